--- a/internal/adapter/loadcast/loadcast.go
+++ b/internal/adapter/loadcast/loadcast.go
@@ -84,7 +84,7 @@
 	}
 	b = binary.BigEndian.AppendUint64(b, uint64(r.Started))
 	b = binary.BigEndian.AppendUint64(b, uint64(r.Weights))
-	for _, n := range []int{r.Load.Running, r.Load.Waiting, r.Load.Places} {
+	for _, n := range []int{r.Load.Running, r.Load.Waiting, r.Load.Slots} {
 		b = binary.BigEndian.AppendUint16(b, uint16(min(max(n, 0), 1<<16-1)))
 	}
 	return b, nil
@@ -100,7 +100,7 @@
 		Started: int64(binary.BigEndian.Uint64(b[8:])),
 		Weights: int64(binary.BigEndian.Uint64(b[16:])),
 		Load: placement.Load{
-			Running: number(24), Waiting: number(26), Places: number(28), Loading: b[1]&flagLoading != 0,
+			Running: number(24), Waiting: number(26), Slots: number(28), Loading: b[1]&flagLoading != 0,
 		},
 	}, true
 }
--- a/internal/app/gateway/attempt.go
+++ b/internal/app/gateway/attempt.go
@@ -60,7 +60,7 @@
 		}
 		c.last = choice
 		if c.sends == 0 {
-			c.g.budgets.First(c.service.Name, now)
+			c.g.budgets.RecordRequest(c.service.Name, now)
 		}
 		if c.service.Engine != nil {
 			c.g.notify(choice.Address, c.in.Work.PromptTokens)
@@ -68,7 +68,7 @@
 		c.sends++
 		c.tried[choice.Instance] = true
 		err := c.attempt(ctx, choice)
-		c.g.targets.Done(choice.Instance)
+		c.g.targets.Release(choice.Instance)
 		if err == nil {
 			return
 		}
@@ -99,7 +99,7 @@
 	case err.Verdict != verdict.NotRun && (!c.route.Repeatable() || c.runs >= c.route.MaxAttempts):
 		return false
 	}
-	return c.g.budgets.Repeat(c.service.Name, c.g.picture.processes(), c.g.deps.Clock.Now())
+	return c.g.budgets.AllowRetry(c.service.Name, c.g.picture.processes(), c.g.deps.Clock.Now())
 }
 
 // end answers a request that was not served. After the head of the answer only
@@ -164,8 +164,8 @@
 // service, which has none.
 func (c *call) noteLoad(choice placement.Choice, l *port.TargetLoad) {
 	if c.service.Engine == nil {
-		load := placement.Load{Running: l.Running, Waiting: l.Waiting, Places: l.Places}
-		c.g.targets.Report(choice.Instance, load, c.g.deps.Clock.Now())
+		load := placement.Load{Running: l.Running, Waiting: l.Waiting, Slots: l.Places}
+		c.g.targets.RecordLoad(choice.Instance, load, c.g.deps.Clock.Now())
 	}
 }
 
@@ -179,13 +179,13 @@
 	switch {
 	case ctx.Err() != nil:
 	case !errors.As(err, &refused):
-		c.g.targets.Failed(choice.Instance, now)
+		c.g.targets.RecordFailure(choice.Instance, now)
 	case refused.Reason == port.RefusedInstance:
-		c.g.targets.Gone(choice.Instance, now)
+		c.g.targets.RecordAddressLost(choice.Instance, now)
 	case refused.Reason == port.RefusedUnreached:
-		c.g.targets.Failed(choice.Instance, now)
+		c.g.targets.RecordFailure(choice.Instance, now)
 	default:
-		c.g.targets.Busy(choice.Instance, now)
+		c.g.targets.RecordBusy(choice.Instance, now)
 	}
 	return err.After(overloadRetry)
 }
@@ -214,7 +214,7 @@
 
 // deliver passes a whole answer on.
 func (c *call) deliver(choice placement.Choice, ans *port.ForwardAnswer, body []byte) *verdict.Error {
-	c.g.targets.Served(choice.Instance)
+	c.g.targets.RecordSuccess(choice.Instance)
 	c.relay.begun, c.relay.status = true, ans.Status
 	h := port.OutboundHead{Status: ans.Status, Header: ans.Header, Length: int64(len(body))}
 	err := c.out.Head(h)
@@ -237,7 +237,7 @@
 	case ctx.Err() != nil:
 		return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeCanceled, "caller left")
 	}
-	c.g.targets.Failed(choice.Instance, c.g.deps.Clock.Now())
+	c.g.targets.RecordFailure(choice.Instance, c.g.deps.Clock.Now())
 	return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeBrokenAnswer, "answer ended early")
 }
 
@@ -260,7 +260,7 @@
 			if first && c.relay.events.Events() > before {
 				first = false
 				now := c.g.deps.Clock.Now()
-				c.g.targets.FirstEvent(choice.Instance, now.Sub(watch.start), choice.First, now)
+				c.g.targets.RecordFirstEvent(choice.Instance, now.Sub(watch.start), choice.TimeToFirstEvent, now)
 			}
 		}
 		if errors.Is(err, io.EOF) && c.relay.events.Rest() == 0 {
@@ -307,7 +307,7 @@
 	if err := c.begin(ans); err != nil {
 		return verdict.Wrap(err, verdict.Ran, verdict.CodeCanceled, "caller left")
 	}
-	c.g.targets.Served(choice.Instance)
+	c.g.targets.RecordSuccess(choice.Instance)
 	c.log("served", nil, ans.Status)
 	return nil
 }
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -40,7 +40,7 @@
 	deps    Deps
 	targets *placement.Table
 	picture *picture
-	budgets *placement.Budgets
+	budgets *placement.RetryBudgets
 	// confirmed is the time since boot at which the store last confirmed the
 	// operators' keys, in nanoseconds; zero before the first time.
 	confirmed atomic.Int64
@@ -63,7 +63,7 @@
 	g := &Gateway{
 		set: s, deps: d, targets: t,
 		picture: newPicture(s, d, t),
-		budgets: placement.NewBudgets(s.RetryRatio, s.RetrySlack, s.RetryWindow, d.Clock.Now()),
+		budgets: placement.NewRetryBudgets(s.RetryRatio, s.RetrySlack, s.RetryWindow, d.Clock.Now()),
 		active:  inflight.New(),
 	}
 	ps := d.Facts.Prefixes()
--- a/internal/app/gateway/gauges.go
+++ b/internal/app/gateway/gauges.go
@@ -38,7 +38,7 @@
 	for service, u := range g.targets.Usage(now, g.picture.processes()) {
 		a := port.Attr{Key: "service", Value: string(service)}
 		m.Gauge("gateway_targets", float64(u.Targets), a)
-		m.Gauge("gateway_target_places", float64(u.Places), a)
+		m.Gauge("gateway_target_places", float64(u.Slots), a)
 		m.Gauge("gateway_target_requests", u.Requests, a)
 	}
 }
--- a/internal/app/gateway/loads.go
+++ b/internal/app/gateway/loads.go
@@ -23,14 +23,14 @@
 // Reported implements loadcast.Handler.
 func (g *Gateway) Reported(r loadcast.Report) {
 	if id, ok := g.targets.InstanceAt(r.Target); ok {
-		g.targets.Report(id, r.Load, g.deps.Clock.Now())
+		g.targets.RecordLoad(id, r.Load, g.deps.Clock.Now())
 	}
 }
 
 // Notified implements loadcast.Handler.
 func (g *Gateway) Notified(n loadcast.Notice) {
 	if id, ok := g.targets.InstanceAt(n.Target); ok {
-		g.targets.Sent(id, g.picture.pace.Load().ReadTime(n.PromptTokens), g.deps.Clock.Now())
+		g.targets.RecordRemoteRequest(id, g.picture.pace.Load().ReadTime(n.PromptTokens), g.deps.Clock.Now())
 	}
 }
 
--- a/internal/app/gateway/picture.go
+++ b/internal/app/gateway/picture.go
@@ -260,19 +260,19 @@
 func (p *picture) setTarget(c port.Change, r port.TargetRecord, now time.Time) {
 	t := placement.Target{
 		Instance: r.Instance, Service: r.Service, Address: r.Address, Domain: r.Domain, Region: p.regions[r.Domain],
-		Places: r.Places, Draining: r.Draining, Started: r.Started,
+		Slots: r.Places, Draining: r.Draining, Started: r.Started,
 	}
 	if r.ColdLeft > 0 {
 		t.ColdUntil = now.Add(r.ColdLeft)
 	}
 	for _, h := range r.Held {
-		t.Weights = max(t.Weights, h.Number)
+		t.WeightsVersion = max(t.WeightsVersion, h.Number)
 	}
 	p.held[c.Key] = r.Instance
 	p.targets.Set(t)
 	p.log.State("target", logging.F("target", string(t.Instance)), logging.F("service", string(t.Service)),
 		logging.F("address", string(t.Address)), logging.F("domain", string(t.Domain)), logging.F("draining", t.Draining),
-		logging.Millis("cold_ms", r.ColdLeft), logging.F("weights", t.Weights), logging.F("revision", c.Revision))
+		logging.Millis("cold_ms", r.ColdLeft), logging.F("weights", t.WeightsVersion), logging.F("revision", c.Revision))
 }
 
 // applyMembers takes in news of the product's processes.
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -175,19 +175,19 @@
 func (c *call) query(now time.Time) placement.Query {
 	d := c.g.picture.declared.Load()
 	q := placement.Query{
-		Service: c.service.Name, Own: c.g.set.Domain,
-		Cordoned: func(x fleet.Domain) bool { return d.cordons[x] },
-		Allowed:  c.allowed(), Tried: c.tried,
-		Processes: c.g.picture.processes(), ColdPerSecond: c.service.ColdPerSecond,
+		Service: c.service.Name, OwnDomain: c.g.set.Domain,
+		DomainCordoned: func(x fleet.Domain) bool { return d.cordons[x] },
+		RegionAllowed:  c.allowed(), Tried: c.tried,
+		Processes: c.g.picture.processes(), ColdRequestsPerSecond: c.service.ColdPerSecond,
 	}
 	if e := c.service.Engine; e != nil {
-		q.Beyond = engineBeyond
-		q.Read, q.Write = e.Pace.ReadTime(c.in.Work.PromptTokens), e.Pace.WriteTime()
+		q.MaxQueuedPerTarget = engineBeyond
+		q.PrefillTime, q.DecodeTime = e.Pace.ReadTime(c.in.Work.PromptTokens), e.Pace.WriteTime()
 		q.NeedsWeights = true
-		q.MinWeights = d.oldest(c.in.Work.Model, c.g.set.WeightsBound-weightsMargin, now)
-		q.Fading = d.oldest(c.in.Work.Model, c.g.set.WeightsBound-fadeMargin, now)
+		q.MinWeightsVersion = d.oldest(c.in.Work.Model, c.g.set.WeightsBound-weightsMargin, now)
+		q.MinQueueWeightsVersion = d.oldest(c.in.Work.Model, c.g.set.WeightsBound-fadeMargin, now)
 	} else {
-		q.Beyond = serviceBeyond
+		q.MaxQueuedPerTarget = serviceBeyond
 	}
 	return q
 }
@@ -231,7 +231,7 @@
 	}
 	if c.last.Instance != "" {
 		fs = append(fs, logging.F("target", string(c.last.Instance)), logging.F("target_domain", string(c.last.Domain)),
-			logging.F("target_load", c.last.Estimate), logging.Millis("predicted_first_ms", c.last.First), logging.Millis("load_age_ms", c.last.LoadAge))
+			logging.F("target_load", c.last.EstimatedInFlight), logging.Millis("predicted_first_ms", c.last.TimeToFirstEvent), logging.Millis("load_age_ms", c.last.LoadAge))
 	}
 	if n := c.relay.events.Events(); n > 0 {
 		fs = append(fs, logging.F("events", n), logging.Millis("first_ms", c.relay.first),
--- a/internal/app/gateway/stall.go
+++ b/internal/app/gateway/stall.go
@@ -62,7 +62,7 @@
 	if s.timer == nil {
 		return
 	}
-	if !g.targets.Room(q, g.deps.Clock.Now()) {
+	if !g.targets.HasCapacity(q, g.deps.Clock.Now()) {
 		s.timer.Reset(stallRetry)
 		return
 	}
--- a/internal/app/loader/loader.go
+++ b/internal/app/loader/loader.go
@@ -216,7 +216,7 @@
 
 func (l *Loader) loadReport(r port.EngineReport) loadcast.Report {
 	out := loadcast.Report{Target: l.set.Engine, Started: r.Started, Load: placement.Load{
-		Running: r.Running, Waiting: r.Waiting, Places: l.view.places(), Loading: r.Busy,
+		Running: r.Running, Waiting: r.Waiting, Slots: l.view.places(), Loading: r.Busy,
 	}}
 	for _, h := range r.Held {
 		out.Weights = max(out.Weights, h.Number)
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -16,11 +16,11 @@
 func engine(id string, places int) Target {
 	return Target{
 		Instance: fleet.Instance(id), Service: "llm", Address: fleet.Address(id), Domain: "a", Region: "r",
-		Places: places, Weights: 1,
+		Slots: places, WeightsVersion: 1,
 	}
 }
 
-func reported(t *Table, id string, l Load, at time.Time) { t.Report(fleet.Instance(id), l, at) }
+func reported(t *Table, id string, l Load, at time.Time) { t.RecordLoad(fleet.Instance(id), l, at) }
 
 // TestChooseKeepsRules guards against a request for a target that must not get
 // it: draining, cordoned, outside the allowed regions, with old weights or none,
@@ -40,28 +40,28 @@
 			case 2:
 				x.Region, ok = "elsewhere", false
 			case 3:
-				x.Weights, ok = 0, false
+				x.WeightsVersion, ok = 0, false
 			case 4:
-				x.Weights, ok = 1, false
+				x.WeightsVersion, ok = 1, false
 			case 5:
 				x.Service, ok = "other", false
 			case 6:
 				tried[x.Instance], ok = true, false
 			}
 			if ok {
-				x.Weights = 2
-			} else if x.Weights == 1 && !x.Draining && x.Domain == "a" && x.Region == "r" && x.Service == "llm" && !tried[x.Instance] {
-				x.Weights = 1
-			} else if x.Weights != 0 {
-				x.Weights = 2
+				x.WeightsVersion = 2
+			} else if x.WeightsVersion == 1 && !x.Draining && x.Domain == "a" && x.Region == "r" && x.Service == "llm" && !tried[x.Instance] {
+				x.WeightsVersion = 1
+			} else if x.WeightsVersion != 0 {
+				x.WeightsVersion = 2
 			}
 			tab.Set(x)
 			good[x.Instance] = ok
 		}
 		q := Query{
-			Service: "llm", Own: "a", NeedsWeights: true, MinWeights: 2, Tried: tried, Processes: 1, Beyond: 2,
-			Cordoned: func(d fleet.Domain) bool { return d == "cordoned" },
-			Allowed:  func(r fleet.Region) bool { return r == "r" },
+			Service: "llm", OwnDomain: "a", NeedsWeights: true, MinWeightsVersion: 2, Tried: tried, Processes: 1, MaxQueuedPerTarget: 2,
+			DomainCordoned: func(d fleet.Domain) bool { return d == "cordoned" },
+			RegionAllowed:  func(r fleet.Region) bool { return r == "r" },
 		}
 		c, out := tab.Choose(q, start, rand.IntN)
 		any := false
@@ -80,7 +80,7 @@
 	tab := NewTable()
 	tab.Set(engine("x", 3))
 	reported(tab, "x", Load{}, start)
-	q := Query{Service: "llm", NeedsWeights: true, Processes: 8, Beyond: 2}
+	q := Query{Service: "llm", NeedsWeights: true, Processes: 8, MaxQueuedPerTarget: 2}
 	for i := range 5 {
 		if _, out := tab.Choose(q, start, rand.IntN); out != Chosen {
 			t.Fatalf("request %d: %v", i, out)
@@ -89,7 +89,7 @@
 	if _, out := tab.Choose(q, start, rand.IntN); out != AllFull {
 		t.Errorf("a sixth request: %v", out)
 	}
-	tab.Done("x")
+	tab.Release("x")
 	if _, out := tab.Choose(q, start, rand.IntN); out != Chosen {
 		t.Errorf("after one has ended: %v", out)
 	}
@@ -101,11 +101,11 @@
 	tab := NewTable()
 	tab.Set(engine("x", 1))
 	reported(tab, "x", Load{Running: 1}, start)
-	q := Query{Service: "llm", NeedsWeights: true, Processes: 1, Beyond: 2, Fading: 2}
+	q := Query{Service: "llm", NeedsWeights: true, Processes: 1, MaxQueuedPerTarget: 2, MinQueueWeightsVersion: 2}
 	if _, out := tab.Choose(q, start, rand.IntN); out != AllFull {
 		t.Errorf("a full engine with fading weights: %v", out)
 	}
-	q.Fading = 1
+	q.MinQueueWeightsVersion = 1
 	if _, out := tab.Choose(q, start, rand.IntN); out != Chosen {
 		t.Errorf("a full engine: %v", out)
 	}
@@ -118,9 +118,9 @@
 	tab.Set(engine("x", 3))
 	reported(tab, "x", Load{Running: 1}, start)
 	for range 3 {
-		tab.Sent("x", 0, start)
+		tab.RecordRemoteRequest("x", 0, start)
 	}
-	q := Query{Service: "llm", NeedsWeights: true, Processes: 8, Beyond: 1}
+	q := Query{Service: "llm", NeedsWeights: true, Processes: 8, MaxQueuedPerTarget: 1}
 	if _, out := tab.Choose(q, start, rand.IntN); out != AllFull {
 		t.Errorf("4 requests at 3 places and 1 that may wait: %v", out)
 	}
@@ -140,8 +140,8 @@
 		reported(tab, id, Load{}, start)
 	}
 	reported(tab, "y", Load{Running: 10}, start)
-	tab.Sent("x", 200*time.Millisecond, start)
-	q := Query{Service: "llm", NeedsWeights: true, Processes: 2, Beyond: 2, Read: 50 * time.Millisecond, Write: 45 * time.Millisecond}
+	tab.RecordRemoteRequest("x", 200*time.Millisecond, start)
+	q := Query{Service: "llm", NeedsWeights: true, Processes: 2, MaxQueuedPerTarget: 2, PrefillTime: 50 * time.Millisecond, DecodeTime: 45 * time.Millisecond}
 	c, _ := tab.Choose(q, start, rand.IntN)
 	if c.Instance != "y" {
 		t.Errorf("chose %s, which reads for another 200 ms", c.Instance)
@@ -161,7 +161,7 @@
 	reported(tab, "cut", Load{}, start)
 	now := start.Add(2 * time.Second)
 	reported(tab, "well", Load{Running: 12}, now)
-	q := Query{Service: "llm", NeedsWeights: true, Processes: 8, Beyond: 2, Read: 50 * time.Millisecond}
+	q := Query{Service: "llm", NeedsWeights: true, Processes: 8, MaxQueuedPerTarget: 2, PrefillTime: 50 * time.Millisecond}
 	for range 3 {
 		if c, _ := tab.Choose(q, now, rand.IntN); c.Instance != "well" {
 			t.Errorf("chose %s", c.Instance)
@@ -178,9 +178,9 @@
 	tab.Set(engine("well", 16))
 	reported(tab, "slow", Load{}, start)
 	reported(tab, "well", Load{Running: 10}, start)
-	tab.FirstEvent("slow", time.Second, 100*time.Millisecond, start)
-	tab.FirstEvent("well", 130*time.Millisecond, 100*time.Millisecond, start)
-	q := Query{Service: "llm", NeedsWeights: true, Processes: 8, Beyond: 2}
+	tab.RecordFirstEvent("slow", time.Second, 100*time.Millisecond, start)
+	tab.RecordFirstEvent("well", 130*time.Millisecond, 100*time.Millisecond, start)
+	q := Query{Service: "llm", NeedsWeights: true, Processes: 8, MaxQueuedPerTarget: 2}
 	if c, _ := tab.Choose(q, start, rand.IntN); c.Instance != "well" {
 		t.Errorf("chose %s", c.Instance)
 	}
@@ -198,7 +198,7 @@
 	tab := NewTable()
 	tab.Set(engine("x", 16))
 	reported(tab, "x", Load{Loading: true}, start)
-	q := Query{Service: "llm", NeedsWeights: true, Processes: 1, Beyond: 2}
+	q := Query{Service: "llm", NeedsWeights: true, Processes: 1, MaxQueuedPerTarget: 2}
 	if _, out := tab.Choose(q, start, rand.IntN); out != AllFull {
 		t.Errorf("an engine that loads: %v", out)
 	}
@@ -214,7 +214,7 @@
 		x := engine("x", 1000)
 		x.ColdUntil = start.Add(3 * time.Second)
 		tab.Set(x)
-		q := Query{Service: "llm", Processes: processes, ColdPerSecond: rate, Beyond: 1000}
+		q := Query{Service: "llm", Processes: processes, ColdRequestsPerSecond: rate, MaxQueuedPerTarget: 1000}
 		for i := range 100 {
 			if _, out := tab.Choose(q, start.Add(time.Duration(i)*9*time.Millisecond), rand.IntN); out == Chosen {
 				sent++
@@ -253,15 +253,15 @@
 	tab.Set(engine("x", 2))
 	q := Query{Service: "llm", Processes: 1}
 	now := start
-	for i, want := range []time.Duration{failPause, 2 * failPause, 4 * failPause} {
-		tab.Failed("x", now)
+	for i, want := range []time.Duration{failurePause, 2 * failurePause, 4 * failurePause} {
+		tab.RecordFailure("x", now)
 		if _, out := tab.Choose(q, now.Add(want-1), rand.IntN); out != AllFull {
 			t.Errorf("failure %d: %v before %v", i, out, want)
 		}
 		if _, out := tab.Choose(q, now.Add(want), rand.IntN); out != Chosen {
 			t.Errorf("failure %d: %v after %v", i, out, want)
 		}
-		tab.Done("x")
+		tab.Release("x")
 		now = now.Add(want)
 	}
 }
@@ -272,7 +272,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const ratio, slack, processes = 0.2, 104.0, 4
 		window := 10 * time.Second
-		b := NewBudgets(ratio, slack, window, start)
+		b := NewRetryBudgets(ratio, slack, window, start)
 		type event struct {
 			at     time.Time
 			repeat bool
@@ -282,9 +282,9 @@
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "first") {
-				b.First("s", now)
+				b.RecordRequest("s", now)
 				events = append(events, event{now, false})
-			} else if b.Repeat("s", processes, now) {
+			} else if b.AllowRetry("s", processes, now) {
 				events = append(events, event{now, true})
 			}
 		}
@@ -313,8 +313,8 @@
 	leaving.Draining = true
 	tab.Set(leaving)
 	tab.Set(engine("z", 16))
-	tab.Failed("z", start)
-	if u := tab.Usage(start, 2)["llm"]; u != (Usage{Targets: 1, Places: 16, Requests: 3}) {
+	tab.RecordFailure("z", start)
+	if u := tab.Usage(start, 2)["llm"]; u != (Usage{Targets: 1, Slots: 16, Requests: 3}) {
 		t.Errorf("usage %+v", u)
 	}
 }
