--- a/internal/core/placement/budget.go
+++ b/internal/core/placement/budget.go
@@ -7,10 +7,10 @@
 	"github.com/masticwing/masticwing/internal/core/shard"
 )
 
-// RetryBudgets limit the requests that are sent a second time, per service, over a
-// sliding window. All processes together may send ratio times the requests plus
-// a slack; each uses an equal part of the slack, so that the sum holds although
-// they do not know of each other.
+// RetryBudgets limits the retries of each service over a sliding window. All
+// processes together may send ratio times the number of requests plus slack
+// retries. Each process uses an equal part of the slack, so that the total is kept
+// without coordination.
 type RetryBudgets struct {
 	ratio, slack float64
 	window       time.Duration
@@ -18,61 +18,66 @@
 	services     *shard.Map[fleet.Service, *windowCounts]
 }
 
-// windowBuckets is the number of parts of the window. One more is kept, so that the
-// count covers at least a whole window.
+// windowBuckets is the number of buckets in a window. One more is kept, so that
+// the counts cover at least a whole window.
 const windowBuckets = 10
 
+// windowCounts holds the counts of one service in a ring of buckets.
 type windowCounts struct {
-	newestBucket int64 // number of the newest bucket
+	newestBucket int64 // bucket number since base
 	requests     [windowBuckets + 1]int
 	retries      [windowBuckets + 1]int
 }
 
-// budgetFraction is the part of the allowed repeats that is used. The rest covers
-// requests that are counted in another window than here.
+// budgetFraction is the fraction of the allowed retries that is used. The rest is
+// headroom for requests that are counted in a different window elsewhere.
 const budgetFraction = 0.5
 
-// NewRetryBudgets returns budgets without requests. base is a time before any use.
+// NewRetryBudgets returns empty budgets. Buckets are numbered from base, which
+// must be before any use.
 func NewRetryBudgets(ratio, slack float64, window time.Duration, base time.Time) *RetryBudgets {
 	return &RetryBudgets{ratio: ratio, slack: slack, window: window, base: base, services: shard.New[fleet.Service, *windowCounts](4)}
 }
 
-// RecordRequest records a request that is sent for the first time.
+// RecordRequest counts the first attempt of a request.
 func (b *RetryBudgets) RecordRequest(s fleet.Service, now time.Time) {
-	b.updateCounts(s, now, func(u *windowCounts, i int) { u.requests[i]++ })
+	b.updateCounts(s, now, func(w *windowCounts, i int) { w.requests[i]++ })
 }
 
-// AllowRetry takes one repeat and reports whether the budget allows it.
+// AllowRetry reports whether the budget allows one more retry, and counts the retry
+// if so.
 func (b *RetryBudgets) AllowRetry(s fleet.Service, processes float64, now time.Time) bool {
 	allowed := false
-	b.updateCounts(s, now, func(u *windowCounts, i int) {
-		first, repeats := 0, 0
-		for k := range u.requests {
-			first += u.requests[k]
-			repeats += u.retries[k]
+	b.updateCounts(s, now, func(w *windowCounts, i int) {
+		requests, retries := 0, 0
+		for k := range w.requests {
+			requests += w.requests[k]
+			retries += w.retries[k]
 		}
-		limit := budgetFraction * (b.ratio*float64(first) + b.slack/max(processes, 1))
-		if allowed = float64(repeats+1) <= limit; allowed {
-			u.retries[i]++
+		limit := budgetFraction * (b.ratio*float64(requests) + b.slack/max(processes, 1))
+		if allowed = float64(retries+1) <= limit; allowed {
+			w.retries[i]++
 		}
 	})
 	return allowed
 }
 
-func (b *RetryBudgets) updateCounts(s fleet.Service, now time.Time, f func(u *windowCounts, i int)) {
+// updateCounts advances the window of a service to now and calls f with the index
+// of the newest bucket.
+func (b *RetryBudgets) updateCounts(s fleet.Service, now time.Time, f func(w *windowCounts, i int)) {
 	n := int64(now.Sub(b.base) / max(1, b.window/windowBuckets))
-	b.services.Update(s, func(u *windowCounts, ok bool) (*windowCounts, bool) {
+	b.services.Update(s, func(w *windowCounts, ok bool) (*windowCounts, bool) {
 		if !ok {
-			u = &windowCounts{newestBucket: n}
+			w = &windowCounts{newestBucket: n}
 		}
-		for ; u.newestBucket < n && n-u.newestBucket <= windowBuckets; u.newestBucket++ {
-			i := (u.newestBucket + 1) % (windowBuckets + 1)
-			u.requests[i], u.retries[i] = 0, 0
+		for ; w.newestBucket < n && n-w.newestBucket <= windowBuckets; w.newestBucket++ {
+			i := (w.newestBucket + 1) % (windowBuckets + 1)
+			w.requests[i], w.retries[i] = 0, 0
 		}
-		if u.newestBucket < n {
-			*u = windowCounts{newestBucket: n}
+		if w.newestBucket < n {
+			*w = windowCounts{newestBucket: n}
 		}
-		f(u, int(u.newestBucket%(windowBuckets+1)))
-		return u, true
+		f(w, int(w.newestBucket%(windowBuckets+1)))
+		return w, true
 	})
 }
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -6,48 +6,56 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// Query describes the target that a request needs.
+// Query holds the requirements of a request on its target.
 type Query struct {
-	Service   fleet.Service
+	Service fleet.Service
+	// OwnDomain is the failure domain of this process; targets in it are preferred.
 	OwnDomain fleet.Domain
-	// DomainCordoned says which failure domains take no new work.
+	// DomainCordoned reports whether a failure domain takes no new requests; nil
+	// means that none is cordoned.
 	DomainCordoned func(fleet.Domain) bool
-	// RegionAllowed says which regions may serve the request; nil allows all.
+	// RegionAllowed reports whether a region may serve the request; nil allows all.
 	RegionAllowed func(fleet.Region) bool
-	// MinWeightsVersion is the oldest number of weights that may serve the request.
+	// MinWeightsVersion is the oldest version of the weights that may serve the
+	// request.
 	MinWeightsVersion int64
-	// NeedsWeights leaves out engines that hold none.
+	// NeedsWeights excludes engines that hold no weights.
 	NeedsWeights bool
-	// Tried holds the targets that the request already went to.
+	// Tried holds the targets that the request was already sent to.
 	Tried map[fleet.Instance]bool
 	// Processes is the number of processes that send to the same targets.
 	Processes float64
-	// MaxQueuedPerTarget is the number of requests that may wait at a target beyond its
-	// places. None may at one with weights older than Fading, which have to be out
-	// of use soon.
-	MaxQueuedPerTarget     int
+	// MaxQueuedPerTarget is the number of requests that may wait at a target in
+	// addition to those in its slots.
+	MaxQueuedPerTarget int
+	// MinQueueWeightsVersion is the oldest version of the weights with which a
+	// request may wait at a target. Older weights may become too old to serve the
+	// request while it waits.
 	MinQueueWeightsVersion int64
-	// PrefillTime is the time in which an engine reads the request's prompt, and DecodeTime
-	// that in which a pass writes. Both are zero for plain services.
+	// PrefillTime is the time that an engine needs for the prefill of the
+	// request's prompt, and DecodeTime the time that one iteration spends on
+	// decoding. Both are zero for plain services.
 	PrefillTime, DecodeTime time.Duration
-	// ColdRequestsPerSecond bounds the requests of all processes to a cold target.
+	// ColdRequestsPerSecond bounds the request rate of all processes together to a
+	// cold target; zero means no bound.
 	ColdRequestsPerSecond float64
 }
 
-// Choice is a target for a request.
+// Choice is the target selected for a request.
 type Choice struct {
 	Instance fleet.Instance
 	Address  fleet.Address
 	Domain   fleet.Domain
-	// EstimatedInFlight is the number of requests that the target probably held.
+	// EstimatedInFlight is the estimated number of requests in the target before
+	// this one.
 	EstimatedInFlight float64
-	// TimeToFirstEvent is the time after which an engine probably sends the first event.
+	// TimeToFirstEvent is the predicted time to the first event of the answer.
 	TimeToFirstEvent time.Duration
-	// LoadAge is the age of the report behind the estimate; negative without one.
+	// LoadAge is the age of the last load report, or negative if there is none.
 	LoadAge time.Duration
 }
 
-// Outcome says why Choose returned no target.
+// Outcome tells whether Choose found a target and, if not, why.
 type Outcome uint8
 
 // The outcomes of Choose.
@@ -56,7 +64,7 @@
 	Chosen Outcome = iota
 	// NoTarget means that no target takes requests of this kind.
 	NoTarget
-	// AllFull means that all targets hold as much as they may.
+	// AllFull means that suitable targets exist but none has capacity now.
 	AllFull
 )
 
@@ -66,36 +74,36 @@
 }
 
 const (
-	// inFlightCost is the time by which each request at an engine makes a new one
-	// less welcome. It decides between engines that read nothing; a request holds
-	// a place for about 1.3 s.
+	// inFlightCost is added to the score of a target for each request in it. It
+	// decides between engines without pending prefill. A request holds a slot for
+	// about 1.3 s.
 	inFlightCost = 4 * time.Millisecond
-	// crossDomainCost is the same for a target of another failure domain, for the
-	// longer way and the shared links between domains.
+	// crossDomainCost is added to the score of a target in another failure domain,
+	// for the longer network path and the shared links between domains.
 	crossDomainCost = 6 * time.Millisecond
-	// staleAfter is the age from which a missing report makes an engine less
-	// welcome, by the time that it is late: its machine or the way to it is in
-	// trouble. Reports come at least every 400 ms.
+	// staleAfter is the age of an engine's last report above which the excess age
+	// is added to its score. Reports arrive at least every 400 ms; a missing one
+	// suggests a fault of the machine or of the network path to it.
 	staleAfter = 600 * time.Millisecond
-	// maxStaleness bounds that time, and is used for an engine that never reported.
+	// maxStaleness bounds the amount added, and applies to engines that never reported.
 	maxStaleness = 3 * time.Second
-	// slotWait is the time after which a full engine has a free place.
+	// slotWait is the time after which an engine without a free slot frees one.
 	slotWait = 100 * time.Millisecond
 )
 
-// timeToFirstEvent returns the time after which the target probably sends the timeToFirstEvent event
-// of an answer: the pass in progress ends, then the prompt is read and the timeToFirstEvent
-// tokens are written. A full engine has to end another request before.
-func (s *targetState) timeToFirstEvent(q *Query, estimate float64, now time.Time) time.Duration {
+// timeToFirstEvent predicts the time to the first event of an answer: the pending
+// prefill, the prefill of this prompt, and one iteration of decoding. If all slots
+// are taken, the request first waits for others to finish.
+func (s *targetState) timeToFirstEvent(q *Query, inFlight float64, now time.Time) time.Duration {
 	d := s.pendingPrefill(now) + q.PrefillTime + q.DecodeTime
-	if beyond := estimate - float64(s.slots()) + 1; beyond > 0 {
-		d += time.Duration(beyond * float64(slotWait))
+	if excess := inFlight - float64(s.slots()) + 1; excess > 0 {
+		d += time.Duration(excess * float64(slotWait))
 	}
 	return d
 }
 
-// Choose takes a place at the target that probably answers first. The caller returns it
-// with Done.
+// Choose selects the target with the best score, mainly the predicted time to the
+// first event, and reserves a slot there. The caller returns the slot with Release.
 func (t *Table) Choose(q Query, now time.Time, intN func(int) int) (Choice, Outcome) {
 	for {
 		c, out := t.bestTarget(q, now, intN)
@@ -105,7 +113,7 @@
 	}
 }
 
-// HasCapacity reports whether some target would take the request now.
+// HasCapacity reports whether any target could take the request now.
 func (t *Table) HasCapacity(q Query, now time.Time) bool {
 	found := false
 	t.targets.Range(func(_ fleet.Instance, s *targetState) bool {
@@ -115,10 +123,12 @@
 	return found
 }
 
+// bestTarget returns the eligible target with capacity and the lowest score; ties
+// are broken at random.
 func (t *Table) bestTarget(q Query, now time.Time, intN func(int) int) (Choice, Outcome) {
-	var all []Choice
+	var best []Choice
 	full := false
-	var least time.Duration
+	var bestScore time.Duration
 	t.targets.Range(func(id fleet.Instance, s *targetState) bool {
 		if !s.eligible(&q) {
 			return true
@@ -139,15 +149,15 @@
 		if q.NeedsWeights {
 			score += s.staleness(now) + s.expectedLateness(now)
 		}
-		if len(all) == 0 || score < least {
-			all, least = append(all[:0], c), score
-		} else if score == least {
-			all = append(all, c)
+		if len(best) == 0 || score < bestScore {
+			best, bestScore = append(best[:0], c), score
+		} else if score == bestScore {
+			best = append(best, c)
 		}
 		return true
 	})
-	if len(all) > 0 {
-		return all[intN(len(all))], Chosen
+	if len(best) > 0 {
+		return best[intN(len(best))], Chosen
 	}
 	if full {
 		return Choice{}, AllFull
@@ -155,7 +165,8 @@
 	return Choice{}, NoTarget
 }
 
-// staleness returns the time by which the report of an engine is late.
+// staleness returns the time by which the next report of an engine is overdue, at
+// most maxStaleness.
 func (s *targetState) staleness(now time.Time) time.Duration {
 	if s.reportedAt.IsZero() {
 		return maxStaleness
@@ -163,6 +174,7 @@
 	return min(max(0, now.Sub(s.reportedAt)-staleAfter), maxStaleness)
 }
 
+// eligible reports whether the target may serve the request, whatever its load.
 func (s *targetState) eligible(q *Query) bool {
 	switch {
 	case s.Service != q.Service, s.Draining, q.Tried[s.Instance]:
@@ -175,30 +187,30 @@
 	return q.RegionAllowed == nil || q.RegionAllowed(s.Region)
 }
 
-// hasCapacity reports whether the target takes one more request now.
+// hasCapacity reports whether the target can take one more request now.
 func (s *targetState) hasCapacity(q *Query, now time.Time) bool {
 	if now.Before(s.pausedUntil) || s.load.Loading && now.Sub(s.reportedAt) <= maxReportAge {
 		return false
 	}
-	beyond := q.MaxQueuedPerTarget
+	maxQueued := q.MaxQueuedPerTarget
 	if s.WeightsVersion < q.MinQueueWeightsVersion {
-		beyond = 0
+		maxQueued = 0
 	}
-	if s.estimatedInFlight(now, q.Processes) >= float64(s.slots()+beyond) {
+	if s.estimatedInFlight(now, q.Processes) >= float64(s.slots()+maxQueued) {
 		return false
 	}
 	return !now.Before(s.ColdUntil) || s.coldRateAllows(q, now)
 }
 
-// coldRateFraction is the part of the rate of a cold target that all processes
-// together use. The rest covers requests that arrive closer together than they
-// were sent.
+// coldRateFraction is the fraction of a cold target's request rate that all
+// processes together use. The rest is headroom for requests that arrive closer
+// together than they were sent.
 const coldRateFraction = 0.8
 
 // coldRateAllows reports whether this process may send one more request to a cold
-// target within the current second. Each process keeps to an equal share, at
-// least one request, so that all together keep the rate without knowing of each
-// other.
+// target. Each process limits itself to an equal share of the rate, but at least
+// one request per second, so that together they keep to the rate without
+// coordination.
 func (s *targetState) coldRateAllows(q *Query, now time.Time) bool {
 	if q.ColdRequestsPerSecond <= 0 {
 		return true
@@ -212,26 +224,28 @@
 	return float64(n) < max(1, coldRateFraction*q.ColdRequestsPerSecond/max(q.Processes, 1))
 }
 
-// reserve takes a place, unless the target has filled up since it was chosen.
+// reserve takes a slot, unless the target has become ineligible or full since it
+// was selected.
 func (t *Table) reserve(id fleet.Instance, q Query, now time.Time) bool {
-	taken := false
+	reserved := false
 	t.update(id, func(s *targetState) {
 		if !s.eligible(&q) || !s.hasCapacity(&q, now) {
 			return
 		}
-		taken = true
+		reserved = true
 		s.ownInFlight++
 		s.addPrefill(q.PrefillTime, now)
 		if now.Before(s.ColdUntil) {
 			s.coldRequests = append(dropExpired(s.coldRequests, now), now)
 		}
 	})
-	return taken
+	return reserved
 }
 
-func dropExpired(starts []time.Time, now time.Time) []time.Time {
-	for len(starts) > 0 && now.Sub(starts[0]) >= time.Second {
-		starts = starts[1:]
+// dropExpired removes the times that are at least a second old from the front.
+func dropExpired(times []time.Time, now time.Time) []time.Time {
+	for len(times) > 0 && now.Sub(times[0]) >= time.Second {
+		times = times[1:]
 	}
-	return starts
+	return times
 }
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -13,21 +13,22 @@
 
 var start = time.Unix(1000, 0)
 
-func engine(id string, places int) Target {
+func engine(id string, slots int) Target {
 	return Target{
 		Instance: fleet.Instance(id), Service: "llm", Address: fleet.Address(id), Domain: "a", Region: "r",
-		Slots: places, WeightsVersion: 1,
+		Slots: slots, WeightsVersion: 1,
 	}
 }
 
-func reported(t *Table, id string, l Load, at time.Time) { t.RecordLoad(fleet.Instance(id), l, at) }
+func report(t *Table, id string, l Load, at time.Time) { t.RecordLoad(fleet.Instance(id), l, at) }
 
-// TestChooseKeepsRules guards against a request for a target that must not get
-// it: draining, cordoned, outside the allowed regions, with old weights or none,
-// of another service, or tried before.
-func TestChooseKeepsRules(t *testing.T) {
+// TestChooseReturnsEligibleTarget guards against a choice that must not run the
+// request: draining, cordoned, outside the allowed regions, with outdated weights
+// or none, of another service, or already tried. It also fails if an eligible
+// target exists and none is chosen.
+func TestChooseReturnsEligibleTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tab, good := NewTable(), map[fleet.Instance]bool{}
+		table, eligible := NewTable(), map[fleet.Instance]bool{}
 		tried := map[fleet.Instance]bool{}
 		for i := range rapid.IntRange(0, 8).Draw(t, "targets") {
 			x := engine(fmt.Sprint(i), 4)
@@ -55,227 +56,228 @@
 			} else if x.WeightsVersion != 0 {
 				x.WeightsVersion = 2
 			}
-			tab.Set(x)
-			good[x.Instance] = ok
+			table.Set(x)
+			eligible[x.Instance] = ok
 		}
 		q := Query{
 			Service: "llm", OwnDomain: "a", NeedsWeights: true, MinWeightsVersion: 2, Tried: tried, Processes: 1, MaxQueuedPerTarget: 2,
 			DomainCordoned: func(d fleet.Domain) bool { return d == "cordoned" },
 			RegionAllowed:  func(r fleet.Region) bool { return r == "r" },
 		}
-		c, out := tab.Choose(q, start, rand.IntN)
-		any := false
-		for _, ok := range good {
-			any = any || ok
+		c, outcome := table.Choose(q, start, rand.IntN)
+		anyEligible := false
+		for _, ok := range eligible {
+			anyEligible = anyEligible || ok
 		}
-		if (out == Chosen) != any || out == Chosen && !good[c.Instance] {
-			t.Fatalf("chose %v (%v) of %v", c, out, good)
+		if (outcome == Chosen) != anyEligible || outcome == Chosen && !eligible[c.Instance] {
+			t.Fatalf("chose %v (%v) of %v", c, outcome, eligible)
 		}
 	})
 }
 
-// TestPlaces guards against more requests at a target than its places and the
-// few that may wait, and against a place that stays taken after its request.
-func TestPlaces(t *testing.T) {
-	tab := NewTable()
-	tab.Set(engine("x", 3))
-	reported(tab, "x", Load{}, start)
+// TestSlotLimit guards against more requests at a target than its slots and the
+// allowed queue, and against a slot that stays reserved after its request ended.
+func TestSlotLimit(t *testing.T) {
+	table := NewTable()
+	table.Set(engine("x", 3))
+	report(table, "x", Load{}, start)
 	q := Query{Service: "llm", NeedsWeights: true, Processes: 8, MaxQueuedPerTarget: 2}
 	for i := range 5 {
-		if _, out := tab.Choose(q, start, rand.IntN); out != Chosen {
-			t.Fatalf("request %d: %v", i, out)
+		if _, outcome := table.Choose(q, start, rand.IntN); outcome != Chosen {
+			t.Fatalf("request %d: %v", i, outcome)
 		}
 	}
-	if _, out := tab.Choose(q, start, rand.IntN); out != AllFull {
-		t.Errorf("a sixth request: %v", out)
+	if _, outcome := table.Choose(q, start, rand.IntN); outcome != AllFull {
+		t.Errorf("sixth request: %v", outcome)
 	}
-	tab.Release("x")
-	if _, out := tab.Choose(q, start, rand.IntN); out != Chosen {
-		t.Errorf("after one has ended: %v", out)
+	table.Release("x")
+	if _, outcome := table.Choose(q, start, rand.IntN); outcome != Chosen {
+		t.Errorf("after a release: %v", outcome)
 	}
 }
 
-// TestFadingWeights guards against a request that waits at a full engine until its
-// weights are too old.
-func TestFadingWeights(t *testing.T) {
-	tab := NewTable()
-	tab.Set(engine("x", 1))
-	reported(tab, "x", Load{Running: 1}, start)
+// TestNoQueueingWithExpiringWeights guards against a request that waits at a full
+// engine until the engine's weights are too old to serve it.
+func TestNoQueueingWithExpiringWeights(t *testing.T) {
+	table := NewTable()
+	table.Set(engine("x", 1))
+	report(table, "x", Load{Running: 1}, start)
 	q := Query{Service: "llm", NeedsWeights: true, Processes: 1, MaxQueuedPerTarget: 2, MinQueueWeightsVersion: 2}
-	if _, out := tab.Choose(q, start, rand.IntN); out != AllFull {
-		t.Errorf("a full engine with fading weights: %v", out)
+	if _, outcome := table.Choose(q, start, rand.IntN); outcome != AllFull {
+		t.Errorf("full engine with expiring weights: %v", outcome)
 	}
 	q.MinQueueWeightsVersion = 1
-	if _, out := tab.Choose(q, start, rand.IntN); out != Chosen {
-		t.Errorf("a full engine: %v", out)
+	if _, outcome := table.Choose(q, start, rand.IntN); outcome != Chosen {
+		t.Errorf("full engine with current weights: %v", outcome)
 	}
 }
 
-// TestOthersRequestsCount guards against gateways that fill an engine together
-// because each sees the others' requests only in the next report.
-func TestOthersRequestsCount(t *testing.T) {
-	tab := NewTable()
-	tab.Set(engine("x", 3))
-	reported(tab, "x", Load{Running: 1}, start)
+// TestRemoteRequestsCount guards against gateways that together overload an engine
+// because each learns of the others' requests only from the next report.
+func TestRemoteRequestsCount(t *testing.T) {
+	table := NewTable()
+	table.Set(engine("x", 3))
+	report(table, "x", Load{Running: 1}, start)
 	for range 3 {
-		tab.RecordRemoteRequest("x", 0, start)
+		table.RecordRemoteRequest("x", 0, start)
 	}
 	q := Query{Service: "llm", NeedsWeights: true, Processes: 8, MaxQueuedPerTarget: 1}
-	if _, out := tab.Choose(q, start, rand.IntN); out != AllFull {
-		t.Errorf("4 requests at 3 places and 1 that may wait: %v", out)
+	if _, outcome := table.Choose(q, start, rand.IntN); outcome != AllFull {
+		t.Errorf("4 requests with 3 slots and a queue of 1: %v", outcome)
 	}
-	reported(tab, "x", Load{Running: 2}, start)
-	if _, out := tab.Choose(q, start, rand.IntN); out != Chosen {
-		t.Errorf("after a report of 2 requests: %v", out)
+	report(table, "x", Load{Running: 2}, start)
+	if _, outcome := table.Choose(q, start, rand.IntN); outcome != Chosen {
+		t.Errorf("after a report of 2 requests in flight: %v", outcome)
 	}
 }
 
-// TestUnreadPromptsDecide guards against a request that waits behind long
-// prompts while another engine has nothing to read. It answers the load of
-// prompts of very different lengths.
-func TestUnreadPromptsDecide(t *testing.T) {
-	tab := NewTable()
+// TestPendingPrefill guards against a request that waits for the prefill of long
+// prompts while another engine has none pending. Prompts differ widely in length,
+// so the number of requests alone does not predict the wait.
+func TestPendingPrefill(t *testing.T) {
+	table := NewTable()
 	for _, id := range []string{"x", "y"} {
-		tab.Set(engine(id, 16))
-		reported(tab, id, Load{}, start)
+		table.Set(engine(id, 16))
+		report(table, id, Load{}, start)
 	}
-	reported(tab, "y", Load{Running: 10}, start)
-	tab.RecordRemoteRequest("x", 200*time.Millisecond, start)
+	report(table, "y", Load{Running: 10}, start)
+	table.RecordRemoteRequest("x", 200*time.Millisecond, start)
 	q := Query{Service: "llm", NeedsWeights: true, Processes: 2, MaxQueuedPerTarget: 2, PrefillTime: 50 * time.Millisecond, DecodeTime: 45 * time.Millisecond}
-	c, _ := tab.Choose(q, start, rand.IntN)
+	c, _ := table.Choose(q, start, rand.IntN)
 	if c.Instance != "y" {
-		t.Errorf("chose %s, which reads for another 200 ms", c.Instance)
+		t.Errorf("chose %s, which has 200 ms of prefill pending", c.Instance)
 	}
 	later := start.Add(300 * time.Millisecond)
-	if c, _ := tab.Choose(q, later, rand.IntN); c.Instance != "x" {
-		t.Errorf("chose %s after the other has read everything", c.Instance)
+	if c, _ := table.Choose(q, later, rand.IntN); c.Instance != "x" {
+		t.Errorf("chose %s after the prefill at the other engine has ended", c.Instance)
 	}
 }
 
-// TestLateReports guards against requests for an engine whose machine is cut off:
-// its reports stop, and its load looks low for ever.
-func TestLateReports(t *testing.T) {
-	tab := NewTable()
-	tab.Set(engine("cut", 16))
-	tab.Set(engine("well", 16))
-	reported(tab, "cut", Load{}, start)
+// TestStaleReports guards against requests for an engine whose machine is
+// unreachable: its reports stop, and the last one shows a low load.
+func TestStaleReports(t *testing.T) {
+	table := NewTable()
+	table.Set(engine("unreachable", 16))
+	table.Set(engine("healthy", 16))
+	report(table, "unreachable", Load{}, start)
 	now := start.Add(2 * time.Second)
-	reported(tab, "well", Load{Running: 12}, now)
+	report(table, "healthy", Load{Running: 12}, now)
 	q := Query{Service: "llm", NeedsWeights: true, Processes: 8, MaxQueuedPerTarget: 2, PrefillTime: 50 * time.Millisecond}
 	for range 3 {
-		if c, _ := tab.Choose(q, now, rand.IntN); c.Instance != "well" {
+		if c, _ := table.Choose(q, now, rand.IntN); c.Instance != "healthy" {
 			t.Errorf("chose %s", c.Instance)
 		}
 	}
 }
 
-// TestSlowEngine guards against requests for an engine whose first events come
-// late although its reports look well, as with a slow engine or a narrow link,
-// and against one that is never tried again.
+// TestSlowEngine guards against requests for an engine whose first events are late
+// although it reports a low load, because the engine or its link is slow. It also
+// guards against an engine that is never tried again after that.
 func TestSlowEngine(t *testing.T) {
-	tab := NewTable()
-	tab.Set(engine("slow", 16))
-	tab.Set(engine("well", 16))
-	reported(tab, "slow", Load{}, start)
-	reported(tab, "well", Load{Running: 10}, start)
-	tab.RecordFirstEvent("slow", time.Second, 100*time.Millisecond, start)
-	tab.RecordFirstEvent("well", 130*time.Millisecond, 100*time.Millisecond, start)
+	table := NewTable()
+	table.Set(engine("slow", 16))
+	table.Set(engine("healthy", 16))
+	report(table, "slow", Load{}, start)
+	report(table, "healthy", Load{Running: 10}, start)
+	table.RecordFirstEvent("slow", time.Second, 100*time.Millisecond, start)
+	table.RecordFirstEvent("healthy", 130*time.Millisecond, 100*time.Millisecond, start)
 	q := Query{Service: "llm", NeedsWeights: true, Processes: 8, MaxQueuedPerTarget: 2}
-	if c, _ := tab.Choose(q, start, rand.IntN); c.Instance != "well" {
+	if c, _ := table.Choose(q, start, rand.IntN); c.Instance != "healthy" {
 		t.Errorf("chose %s", c.Instance)
 	}
 	later := start.Add(10 * time.Second)
-	reported(tab, "slow", Load{}, later)
-	reported(tab, "well", Load{Running: 10}, later)
-	if c, _ := tab.Choose(q, later, rand.IntN); c.Instance != "slow" {
+	report(table, "slow", Load{}, later)
+	report(table, "healthy", Load{Running: 10}, later)
+	if c, _ := table.Choose(q, later, rand.IntN); c.Instance != "slow" {
 		t.Errorf("chose %s after 10 s", c.Instance)
 	}
 }
 
-// TestLoadingEngine guards against requests for an engine that takes none while
-// it changes its weights.
+// TestLoadingEngine guards against requests for an engine that takes none while it
+// replaces its weights.
 func TestLoadingEngine(t *testing.T) {
-	tab := NewTable()
-	tab.Set(engine("x", 16))
-	reported(tab, "x", Load{Loading: true}, start)
+	table := NewTable()
+	table.Set(engine("x", 16))
+	report(table, "x", Load{Loading: true}, start)
 	q := Query{Service: "llm", NeedsWeights: true, Processes: 1, MaxQueuedPerTarget: 2}
-	if _, out := tab.Choose(q, start, rand.IntN); out != AllFull {
-		t.Errorf("an engine that loads: %v", out)
+	if _, outcome := table.Choose(q, start, rand.IntN); outcome != AllFull {
+		t.Errorf("engine that loads weights: %v", outcome)
 	}
 }
 
-// TestColdTarget guards against more requests for a cold target than it bears,
-// summed over processes that do not know of each other.
-func TestColdTarget(t *testing.T) {
+// TestColdRequestRate guards against a request rate to a cold target that exceeds
+// its limit, summed over processes that do not coordinate.
+func TestColdRequestRate(t *testing.T) {
 	const processes, rate = 8, 26.0
 	sent := 0
 	for range processes {
-		tab := NewTable()
+		table := NewTable()
 		x := engine("x", 1000)
 		x.ColdUntil = start.Add(3 * time.Second)
-		tab.Set(x)
+		table.Set(x)
 		q := Query{Service: "llm", Processes: processes, ColdRequestsPerSecond: rate, MaxQueuedPerTarget: 1000}
 		for i := range 100 {
-			if _, out := tab.Choose(q, start.Add(time.Duration(i)*9*time.Millisecond), rand.IntN); out == Chosen {
+			if _, outcome := table.Choose(q, start.Add(time.Duration(i)*9*time.Millisecond), rand.IntN); outcome == Chosen {
 				sent++
 			}
 		}
 	}
 	if sent == 0 || sent > int(1.5*rate)+5 {
-		t.Errorf("%d requests within a second, %g are borne", sent, rate)
+		t.Errorf("%d requests within a second, limit %g", sent, rate)
 	}
 }
 
-// TestRestartForgets guards against load that is counted for an instance that has
-// started again, and against an address that another instance took over.
-func TestRestartForgets(t *testing.T) {
-	tab := NewTable()
-	tab.Set(engine("x", 2))
-	reported(tab, "x", Load{Running: 4}, start)
-	again := engine("x", 2)
-	again.Started = 5
-	tab.Set(again)
+// TestRestartResetsLoad guards against load from before a restart of an instance,
+// and against an address that still resolves to the instance it belonged to before.
+func TestRestartResetsLoad(t *testing.T) {
+	table := NewTable()
+	table.Set(engine("x", 2))
+	report(table, "x", Load{Running: 4}, start)
+	restarted := engine("x", 2)
+	restarted.Started = 5
+	table.Set(restarted)
 	q := Query{Service: "llm", Processes: 1}
-	if _, out := tab.Choose(q, start, rand.IntN); out != Chosen {
-		t.Errorf("after a restart: %v", out)
+	if _, outcome := table.Choose(q, start, rand.IntN); outcome != Chosen {
+		t.Errorf("after a restart: %v", outcome)
 	}
 	newer := engine("y", 2)
 	newer.Address, newer.Started = "x", 9
-	tab.Set(newer)
-	if id, _ := tab.InstanceAt("x"); id != "y" {
-		t.Errorf("the address belongs to %s", id)
+	table.Set(newer)
+	if id, _ := table.InstanceAt("x"); id != "y" {
+		t.Errorf("the address resolves to %s", id)
 	}
 }
 
-// TestPauses guards against requests that go on to a target that fails them.
-func TestPauses(t *testing.T) {
-	tab := NewTable()
-	tab.Set(engine("x", 2))
+// TestFailurePause guards against further requests for a target that fails them.
+// The pause doubles with each failure.
+func TestFailurePause(t *testing.T) {
+	table := NewTable()
+	table.Set(engine("x", 2))
 	q := Query{Service: "llm", Processes: 1}
 	now := start
 	for i, want := range []time.Duration{failurePause, 2 * failurePause, 4 * failurePause} {
-		tab.RecordFailure("x", now)
-		if _, out := tab.Choose(q, now.Add(want-1), rand.IntN); out != AllFull {
-			t.Errorf("failure %d: %v before %v", i, out, want)
+		table.RecordFailure("x", now)
+		if _, outcome := table.Choose(q, now.Add(want-1), rand.IntN); outcome != AllFull {
+			t.Errorf("failure %d: %v before %v", i, outcome, want)
 		}
-		if _, out := tab.Choose(q, now.Add(want), rand.IntN); out != Chosen {
-			t.Errorf("failure %d: %v after %v", i, out, want)
+		if _, outcome := table.Choose(q, now.Add(want), rand.IntN); outcome != Chosen {
+			t.Errorf("failure %d: %v after %v", i, outcome, want)
 		}
-		tab.Release("x")
+		table.Release("x")
 		now = now.Add(want)
 	}
 }
 
-// TestBudgets guards against repeats of all processes together that pass the
-// bound in any window.
-func TestBudgets(t *testing.T) {
+// TestRetryBudgets guards against retries of all processes together that exceed
+// the bound in any window.
+func TestRetryBudgets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ratio, slack, processes = 0.2, 104.0, 4
 		window := 10 * time.Second
 		b := NewRetryBudgets(ratio, slack, window, start)
 		type event struct {
-			at     time.Time
-			repeat bool
+			at    time.Time
+			retry bool
 		}
 		var events []event
 		now := start
@@ -289,32 +291,32 @@
 			}
 		}
 		for i := range events {
-			first, repeats := 0, 0
+			requests, retries := 0, 0
 			for _, e := range events {
-				if d := e.at.Sub(events[i].at); e.repeat && d >= 0 && d < window {
-					repeats++
-				} else if !e.repeat && d >= -window && d < window {
-					first++
+				if d := e.at.Sub(events[i].at); e.retry && d >= 0 && d < window {
+					retries++
+				} else if !e.retry && d >= -window && d < window {
+					requests++
 				}
 			}
-			if float64(repeats) > ratio*float64(first)+slack/processes {
-				t.Fatalf("%d repeats beside %d requests in a window", repeats, first)
+			if float64(retries) > ratio*float64(requests)+slack/processes {
+				t.Fatalf("%d retries for %d requests in a window", retries, requests)
 			}
 		}
 	})
 }
 
-// TestUsage guards against figures of targets that take no requests.
+// TestUsage guards against a usage that includes targets that take no requests.
 func TestUsage(t *testing.T) {
-	tab := NewTable()
-	tab.Set(engine("x", 16))
-	reported(tab, "x", Load{Running: 3}, start)
-	leaving := engine("y", 16)
-	leaving.Draining = true
-	tab.Set(leaving)
-	tab.Set(engine("z", 16))
-	tab.RecordFailure("z", start)
-	if u := tab.Usage(start, 2)["llm"]; u != (Usage{Targets: 1, Slots: 16, Requests: 3}) {
+	table := NewTable()
+	table.Set(engine("x", 16))
+	report(table, "x", Load{Running: 3}, start)
+	draining := engine("y", 16)
+	draining.Draining = true
+	table.Set(draining)
+	table.Set(engine("z", 16))
+	table.RecordFailure("z", start)
+	if u := table.Usage(start, 2)["llm"]; u != (Usage{Targets: 1, Slots: 16, Requests: 3}) {
 		t.Errorf("usage %+v", u)
 	}
 }
--- a/internal/core/placement/table.go
+++ b/internal/core/placement/table.go
@@ -7,7 +7,7 @@
 	"github.com/masticwing/masticwing/internal/core/shard"
 )
 
-// Table holds the targets of all services.
+// Table holds the targets of all services and what is known of their load.
 type Table struct {
 	targets *shard.Map[fleet.Instance, *targetState]
 }
@@ -17,69 +17,71 @@
 	return &Table{targets: shard.New[fleet.Instance, *targetState](0)}
 }
 
-// Set adds or changes a target. What is known of its load stays, unless the
-// instance has started again.
+// Set adds or updates a target. The known load is kept unless the instance has
+// restarted; the number of this process's requests in it is always kept.
 func (t *Table) Set(x Target) {
 	t.targets.Update(x.Instance, func(s *targetState, ok bool) (*targetState, bool) {
 		if !ok || s.Started != x.Started {
-			own := 0
+			ownInFlight := 0
 			if ok {
-				own = s.ownInFlight
+				ownInFlight = s.ownInFlight
 			}
-			return &targetState{Target: x, ownInFlight: own}, true
+			return &targetState{Target: x, ownInFlight: ownInFlight}, true
 		}
 		s.Target = x
 		return s, true
 	})
 }
 
-// Remove forgets a target.
+// Remove deletes a target.
 func (t *Table) Remove(id fleet.Instance) { t.targets.Delete(id) }
 
-// Retain forgets all targets that keep does not name.
+// Retain deletes all targets that are not in keep.
 func (t *Table) Retain(keep map[fleet.Instance]bool) {
-	var gone []fleet.Instance
+	var removed []fleet.Instance
 	t.targets.Range(func(id fleet.Instance, _ *targetState) bool {
 		if !keep[id] {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 		return true
 	})
-	for _, id := range gone {
+	for _, id := range removed {
 		t.targets.Delete(id)
 	}
 }
 
-// RecordLoad records a target's own count of its load.
+// RecordLoad records a load report of a target.
 func (t *Table) RecordLoad(id fleet.Instance, l Load, now time.Time) {
 	t.update(id, func(s *targetState) {
 		s.load, s.reportedAt, s.ownAtReport, s.othersSinceReport = l, now, s.ownInFlight, 0
 	})
 }
 
-// RecordRemoteRequest records a request that another process has sent to a target, and the time
-// that the target needs to read it.
-func (t *Table) RecordRemoteRequest(id fleet.Instance, read time.Duration, now time.Time) {
+// RecordRemoteRequest records a request that another process has sent to a
+// target, and the time that the target needs for its prefill.
+func (t *Table) RecordRemoteRequest(id fleet.Instance, prefill time.Duration, now time.Time) {
 	t.update(id, func(s *targetState) {
 		s.othersSinceReport++
-		s.addPrefill(read, now)
+		s.addPrefill(prefill, now)
 	})
 }
 
-// InstanceAt returns the newest run of a target at an address.
+// InstanceAt returns the instance at an address. If several are registered there,
+// it returns the one that started last.
 func (t *Table) InstanceAt(addr fleet.Address) (fleet.Instance, bool) {
-	var best fleet.Instance
-	var started int64 = -1
+	var newest fleet.Instance
+	var newestStart int64 = -1
 	t.targets.Range(func(id fleet.Instance, s *targetState) bool {
-		if s.Address == addr && s.Started > started {
-			best, started = id, s.Started
+		if s.Address == addr && s.Started > newestStart {
+			newest, newestStart = id, s.Started
 		}
 		return true
 	})
-	return best, best != ""
+	return newest, newest != ""
 }
 
-// Release records that a request of this process has left the target.
+// Release returns the slot that Choose reserved, after the request has left the
+// target.
 func (t *Table) Release(id fleet.Instance) {
 	t.update(id, func(s *targetState) { s.ownInFlight = max(0, s.ownInFlight-1) })
 }
@@ -94,19 +96,19 @@
 }
 
 const (
-	// busyPause is the time for which a target that refused a request is left
-	// alone. An engine ends about one request in this time.
+	// busyPause is the time for which a target gets no requests after it refused
+	// one for lack of capacity. An engine finishes about one request in this time.
 	busyPause = 100 * time.Millisecond
-	// failurePause is the first pause after a lost request; it doubles with each
-	// further one, up to failPauseMax.
+	// failurePause is the pause after the first lost request. It doubles with each
+	// further one, up to maxFailurePause.
 	failurePause    = 250 * time.Millisecond
 	maxFailurePause = 4 * time.Second
-	// addressLostPause is the pause after a refusal by another instance at the same
-	// address. The registry removes the entry in the meantime.
+	// addressLostPause is the pause after another instance answered at the target's
+	// address. The registry removes the outdated entry in the meantime.
 	addressLostPause = 5 * time.Second
 )
 
-// RecordBusy records a refusal for lack of room.
+// RecordBusy records a refusal for lack of capacity.
 func (t *Table) RecordBusy(id fleet.Instance, now time.Time) {
 	t.update(id, func(s *targetState) { s.pausedUntil = now.Add(busyPause) })
 }
@@ -125,29 +127,29 @@
 	})
 }
 
-// RecordFirstEvent records the time after which a target sent its first event, and the
-// one that was predicted.
-func (t *Table) RecordFirstEvent(id fleet.Instance, after, predicted time.Duration, now time.Time) {
-	t.update(id, func(s *targetState) { s.recordLateness(after-predicted, now) })
+// RecordFirstEvent records the actual and the predicted time to the first event
+// of an answer.
+func (t *Table) RecordFirstEvent(id fleet.Instance, actual, predicted time.Duration, now time.Time) {
+	t.update(id, func(s *targetState) { s.recordLateness(actual-predicted, now) })
 }
 
-// RecordSuccess records a request that was answered.
+// RecordSuccess records an answered request, which resets the failure pause.
 func (t *Table) RecordSuccess(id fleet.Instance) {
 	t.update(id, func(s *targetState) { s.failures = 0 })
 }
 
-// Usage is what the targets of a service take and hold.
+// Usage is the capacity and the load of the targets of a service.
 type Usage struct {
-	// Targets counts those that take new requests.
+	// Targets is the number of targets that take new requests.
 	Targets int
-	// Slots is the number of requests that these work on at once.
+	// Slots is the total number of slots of these targets.
 	Slots int
-	// Requests is the number that they probably hold.
+	// Requests is the estimated number of requests in them.
 	Requests float64
 }
 
-// Usage returns the usage by service. processes is the number of processes that
-// send to the same targets.
+// Usage returns the usage of each service. processes is the number of processes
+// that send to the same targets.
 func (t *Table) Usage(now time.Time, processes float64) map[fleet.Service]Usage {
 	out := map[fleet.Service]Usage{}
 	t.targets.Range(func(_ fleet.Instance, s *targetState) bool {
--- a/internal/core/placement/target.go
+++ b/internal/core/placement/target.go
@@ -1,10 +1,11 @@
-// Package placement decides on which target a request runs next and when a
-// request is refused instead. It answers the load of a burst: more requests
-// than the targets can finish, sent by several processes that see each other's
-// requests only through the targets' reports.
+// Package placement selects the target that runs a request, or reports that no
+// target can take it. It is designed for bursts in which there are more requests
+// than the targets can finish, and for several processes that send to the same
+// targets and learn of each other's requests only through the targets' load
+// reports and the notices that accompany requests.
 //
-// The state of each target is guarded by the lock of its shard; no method takes
-// two of them at once.
+// The state of each target is guarded by the lock of its shard; no method holds
+// two shard locks at once.
 package placement
 
 import (
@@ -14,116 +15,126 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// Target is what the registry says of one run of a target.
+// Target is the registry's description of one run of a target.
 type Target struct {
 	Instance fleet.Instance
 	Service  fleet.Service
 	Address  fleet.Address
 	Domain   fleet.Domain
 	Region   fleet.Region
-	// Slots is the number of requests that the target works on at once.
+	// Slots is the number of requests that the target runs concurrently.
 	Slots int
 	// Draining targets take no new requests.
 	Draining bool
-	// ColdUntil is the end of the time in which the target bears little load.
+	// ColdUntil is the end of the warm-up, during which the target can take only
+	// a limited request rate.
 	ColdUntil time.Time
-	// Started identifies the start of the target; an instance may start again.
+	// Started identifies one start of the instance; it changes on a restart.
 	Started int64
-	// WeightsVersion is the number of the weights that the target holds, or zero.
+	// WeightsVersion is the version of the weights that the target holds, or zero
+	// if it holds none.
 	WeightsVersion int64
 }
 
-// Load is a target's own count of its requests.
+// Load is the load that a target reports.
 type Load struct {
 	Running, Waiting, Slots int
-	// Loading means that the target takes nothing while it changes its weights.
+	// Loading is set while the target replaces its weights and takes no requests.
 	Loading bool
 }
 
 func (l Load) total() int { return l.Running + l.Waiting }
 
-// targetState is what is known of a target. own counts the requests of this process.
+// targetState holds a target and the information needed to estimate its load.
 type targetState struct {
 	Target
+	// ownInFlight is the number of this process's requests in the target.
 	ownInFlight int
-	// load is the last report, loadAt its time and ownThen the value of own at
-	// that time.
+	// load is the last report, reportedAt its time, and ownAtReport the value of
+	// ownInFlight at that time.
 	load        Load
 	reportedAt  time.Time
 	ownAtReport int
-	// othersSinceReport counts the requests that other processes sent since the report.
+	// othersSinceReport is the number of requests that other processes have sent
+	// since the report.
 	othersSinceReport int
-	// prefillUntil is the time at which an engine has probably read all prompts that
-	// were sent to it.
+	// prefillUntil is the estimated time at which an engine finishes the prefill
+	// of all prompts sent to it.
 	prefillUntil time.Time
-	// lateness is the time by which first events came later than predicted, at lagAt.
+	// lateness is a moving average, as of latenessAt, of the time by which first
+	// events arrived later than predicted.
 	lateness   time.Duration
 	latenessAt time.Time
-	// pausedUntil is set after a failure or a refusal.
+	// pausedUntil is the end of the pause after a failure or a refusal.
 	pausedUntil time.Time
-	failures    int
-	// coldRequests holds the times of the requests sent to a cold target within the
-	// last second.
+	// failures is the number of failures since the last success.
+	failures int
+	// coldRequests holds the times of the requests that this process sent to the
+	// target within the last second, while the target was cold.
 	coldRequests []time.Time
 }
 
-// maxReportAge is the age from which a report no longer counts. Reports come
-// every 100 ms; several in a row may be lost.
+// maxReportAge is the age above which a load report is ignored. Reports arrive
+// every 100 ms, so several in a row may be lost.
 const maxReportAge = time.Second
 
-// estimatedInFlight returns the number of requests that the target probably holds, of
-// which shares processes send about the same number.
-func (s *targetState) estimatedInFlight(now time.Time, shares float64) float64 {
+// estimatedInFlight estimates the number of requests in the target. Without a
+// recent report it assumes that each of the given number of processes has as many
+// requests there as this one.
+func (s *targetState) estimatedInFlight(now time.Time, processes float64) float64 {
 	if !s.reportedAt.IsZero() && now.Sub(s.reportedAt) <= maxReportAge {
 		return float64(max(s.ownInFlight, s.load.total()+s.ownInFlight-s.ownAtReport+s.othersSinceReport))
 	}
-	return float64(s.ownInFlight) * max(shares, 1)
+	return float64(s.ownInFlight) * max(processes, 1)
 }
 
-// pendingPrefill returns the time for which an engine will read prompts that it already
-// has.
+// pendingPrefill returns the time that an engine still needs for the prefill of
+// the prompts already sent to it.
 func (s *targetState) pendingPrefill(now time.Time) time.Duration {
 	return max(0, s.prefillUntil.Sub(now))
 }
 
-// addPrefill records a prompt that is on its way to the target.
-func (s *targetState) addPrefill(read time.Duration, now time.Time) {
-	if read > 0 {
-		s.prefillUntil = now.Add(s.pendingPrefill(now) + read)
+// addPrefill adds the prefill time of a prompt that is sent to the target.
+func (s *targetState) addPrefill(prefill time.Duration, now time.Time) {
+	if prefill > 0 {
+		s.prefillUntil = now.Add(s.pendingPrefill(now) + prefill)
 	}
 }
 
 const (
-	// latenessHalfLife is the time in which half of a lag is forgotten, so that an engine
-	// that was slow is tried again.
+	// latenessHalfLife is the half-life of the lateness. The decay lets an engine
+	// that was slow be tried again.
 	latenessHalfLife = 1500 * time.Millisecond
-	// latenessSampleWeight is the weight of a new lag. A single late event may be chance.
+	// latenessSampleWeight is the weight of a new sample in the moving average. It
+	// is below 1 because a single late event may be chance.
 	latenessSampleWeight = 0.4
-	// latenessTolerance is the lateness that is no sign of trouble: the pass in progress,
-	// and requests that a notice has not told of yet.
+	// latenessTolerance is subtracted from each sample. It covers the engine
+	// iteration in progress and requests of other processes whose notice has not
+	// arrived yet.
 	latenessTolerance = 250 * time.Millisecond
-	// maxLateness bounds a lag; a longer one is a lost request.
+	// maxLateness bounds a sample; a request that is later than this counts as lost.
 	maxLateness = 3 * time.Second
 )
 
-// expectedLateness returns the time by which the next first event will probably come later
-// than predicted, as of a slow engine or a narrow link.
+// expectedLateness estimates by how much the next first event will be later than
+// predicted, which is the case for a slow engine or a slow link.
 func (s *targetState) expectedLateness(now time.Time) time.Duration {
 	if s.lateness == 0 {
 		return 0
 	}
-	half := now.Sub(s.latenessAt).Seconds() / latenessHalfLife.Seconds()
-	return time.Duration(float64(s.lateness) * math.Exp2(-half))
+	halfLives := now.Sub(s.latenessAt).Seconds() / latenessHalfLife.Seconds()
+	return time.Duration(float64(s.lateness) * math.Exp2(-halfLives))
 }
 
-func (s *targetState) recordLateness(late time.Duration, now time.Time) {
-	old := s.expectedLateness(now)
-	late = min(max(late-latenessTolerance, 0), maxLateness)
-	s.lateness = old + time.Duration(latenessSampleWeight*float64(late-old))
+func (s *targetState) recordLateness(sample time.Duration, now time.Time) {
+	average := s.expectedLateness(now)
+	sample = min(max(sample-latenessTolerance, 0), maxLateness)
+	s.lateness = average + time.Duration(latenessSampleWeight*float64(sample-average))
 	s.latenessAt = now
 }
 
-// slots returns the number of requests that the target works on at once.
+// slots returns the reported number of slots, or the registered one before the
+// first report.
 func (s *targetState) slots() int {
 	if s.load.Slots > 0 {
 		return s.load.Slots
