--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -105,7 +105,7 @@
 		return verdict.New(verdict.NotRun, verdict.CodeStalePicture, "keys were last confirmed %v ago", age.Round(time.Millisecond)).
 			After(retryShort)
 	}
-	a, ok := c.table.AccountByKey(c.in.Key)
+	a, ok := c.table.Account(c.in.Key)
 	if !ok {
 		return verdict.New(verdict.NotRun, verdict.CodeUnknownCustomer, "key is not known")
 	}
@@ -182,7 +182,7 @@
 	}
 	if e := c.service.Engine; e != nil {
 		q.MaxQueuedPerTarget = engineBeyond
-		q.PrefillTime, q.DecodeTime = e.Timing.PrefillTime(c.in.Work.PromptTokens), e.Timing.DecodeTime()
+		q.Prefill, q.Decode = e.Timing.PrefillTime(c.in.Work.PromptTokens), e.Timing.DecodeTime()
 		q.NeedsWeights = true
 		q.MinWeightsVersion = d.oldest(c.in.Work.Model, c.g.set.WeightsBound-weightsMargin, now)
 		q.MinQueueWeightsVersion = d.oldest(c.in.Work.Model, c.g.set.WeightsBound-fadeMargin, now)
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -32,10 +32,10 @@
 	// request may wait at a target. Older weights may become too old to serve the
 	// request while it waits.
 	MinQueueWeightsVersion int64
-	// PrefillTime is the time that an engine needs for the prefill of the
-	// request's prompt, and DecodeTime the time that one iteration spends on
+	// Prefill is the time that an engine needs for the prefill of the
+	// request's prompt, and Decode the time that one iteration spends on
 	// decoding. Both are zero for plain services.
-	PrefillTime, DecodeTime time.Duration
+	Prefill, Decode time.Duration
 	// ColdRequestsPerSecond bounds the request rate of all processes together to a
 	// cold target; zero means no bound.
 	ColdRequestsPerSecond float64
@@ -49,7 +49,7 @@
 	// EstimatedInFlight is the estimated number of requests in the target before
 	// this one.
 	EstimatedInFlight float64
-	// TimeToFirstEvent is the predicted time to the first event of the answer.
+	// TimeToFirstEvent is the predicted time to the first event of the response.
 	TimeToFirstEvent time.Duration
 	// LoadAge is the age of the last load report, or negative if there is none.
 	LoadAge time.Duration
@@ -91,11 +91,11 @@
 	slotWait = 100 * time.Millisecond
 )
 
-// timeToFirstEvent predicts the time to the first event of an answer: the pending
+// timeToFirstEvent predicts the time to the first event of a response: the pending
 // prefill, the prefill of this prompt, and one iteration of decoding. If all slots
 // are taken, the request first waits for others to finish.
 func (s *targetState) timeToFirstEvent(q *Query, inFlight float64, now time.Time) time.Duration {
-	d := s.pendingPrefill(now) + q.PrefillTime + q.DecodeTime
+	d := s.pendingPrefill(now) + q.Prefill + q.Decode
 	if excess := inFlight - float64(s.slots()) + 1; excess > 0 {
 		d += time.Duration(excess * float64(slotWait))
 	}
@@ -234,7 +234,7 @@
 		}
 		reserved = true
 		s.ownInFlight++
-		s.addPrefill(q.PrefillTime, now)
+		s.addPrefill(q.Prefill, now)
 		if now.Before(s.ColdUntil) {
 			s.coldRequests = append(dropExpired(s.coldRequests, now), now)
 		}
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -142,7 +142,7 @@
 	}
 	report(table, "y", Load{Running: 10}, start)
 	table.RecordRemoteRequest("x", 200*time.Millisecond, start)
-	q := Query{Service: "llm", NeedsWeights: true, Processes: 2, MaxQueuedPerTarget: 2, PrefillTime: 50 * time.Millisecond, DecodeTime: 45 * time.Millisecond}
+	q := Query{Service: "llm", NeedsWeights: true, Processes: 2, MaxQueuedPerTarget: 2, Prefill: 50 * time.Millisecond, Decode: 45 * time.Millisecond}
 	c, _ := table.Choose(q, start, rand.IntN)
 	if c.Instance != "y" {
 		t.Errorf("chose %s, which has 200 ms of prefill pending", c.Instance)
@@ -162,7 +162,7 @@
 	report(table, "unreachable", Load{}, start)
 	now := start.Add(2 * time.Second)
 	report(table, "healthy", Load{Running: 12}, now)
-	q := Query{Service: "llm", NeedsWeights: true, Processes: 8, MaxQueuedPerTarget: 2, PrefillTime: 50 * time.Millisecond}
+	q := Query{Service: "llm", NeedsWeights: true, Processes: 8, MaxQueuedPerTarget: 2, Prefill: 50 * time.Millisecond}
 	for range 3 {
 		if c, _ := table.Choose(q, now, rand.IntN); c.Instance != "healthy" {
 			t.Errorf("chose %s", c.Instance)
--- a/internal/core/placement/table.go
+++ b/internal/core/placement/table.go
@@ -128,7 +128,7 @@
 }
 
 // RecordFirstEvent records the actual and the predicted time to the first event
-// of an answer.
+// of a response.
 func (t *Table) RecordFirstEvent(id fleet.Instance, actual, predicted time.Duration, now time.Time) {
 	t.update(id, func(s *targetState) { s.recordLateness(actual-predicted, now) })
 }
--- a/internal/core/routes/routes.go
+++ b/internal/core/routes/routes.go
@@ -50,10 +50,10 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout bounds the time for which a caller waits for an answer.
+	// Timeout bounds the time for which a caller waits for a response.
 	Timeout time.Duration
 	// LatencyObjective is the intended time to the first event of a stream, or to
-	// the end of any other answer.
+	// the end of any other response.
 	LatencyObjective time.Duration
 	// MaxEventGap is the intended maximum time between two events of a stream.
 	MaxEventGap time.Duration
@@ -109,11 +109,11 @@
 
 // Timing is the processing speed of an engine. The engine works in iterations: each
 // one runs the prefill of the prompts that have arrived and then decodes some
-// tokens of every answer in progress.
+// tokens of every response in progress.
 type Timing struct {
-	// DecodeStep is the time to decode one token of every answer in progress.
+	// DecodeStep is the time to decode one token of every response in progress.
 	DecodeStep time.Duration
-	// StepsPerIteration is the number of tokens per answer that an iteration decodes.
+	// StepsPerIteration is the number of tokens per response that an iteration decodes.
 	StepsPerIteration int
 	// PrefillTokensPerSecond is zero if the speed of the prefill is not known.
 	PrefillTokensPerSecond float64
@@ -229,8 +229,8 @@
 	return nil, false
 }
 
-// AccountByKey returns the account that an API key belongs to.
-func (t *Table) AccountByKey(key string) (*Account, bool) {
+// Account returns the account that an API key belongs to.
+func (t *Table) Account(key string) (*Account, bool) {
 	a, ok := t.accountsByKey[key]
 	return a, ok
 }
