--- a/internal/app/gateway/attempt.go
+++ b/internal/app/gateway/attempt.go
@@ -14,56 +14,60 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// maxSends bounds the times that one request is sent, refusals included.
+// maxSends is the most times that one request is sent, including sends that targets
+// refuse.
 const maxSends = 3
 
-// overloadRetry is the pause that callers are told when all targets are full.
-const overloadRetry = time.Second
+// overloadRetryAfter is the retry delay in responses when no target accepts the request.
+const overloadRetryAfter = time.Second
 
-// relay is the state of an answer that is copied to the caller.
+// relay is the state of the response that is copied to the caller. It spans several
+// attempts if a stream resumes at another target.
 type relay struct {
-	begun  bool
-	status int
-	events eventstream.Splitter
-	// first is the time to the first event, lastAt the time of the last one, and
-	// gap the longest pause between two.
-	first  time.Duration
-	lastAt time.Time
-	gap    time.Duration
+	// headSent is set just before the head is passed to the caller.
+	headSent bool
+	status   int
+	events   eventstream.Splitter
+	// firstEventAfter is the time from the receipt of the request to the first event,
+	// and longestGap the longest time between two events.
+	firstEventAfter time.Duration
+	lastEventAt     time.Time
+	longestGap      time.Duration
 }
 
-// note records the time of events.
-func (r *relay) note(now, received time.Time) {
-	if r.lastAt.IsZero() {
-		r.first = now.Sub(received)
+// recordEvents updates the event times for events relayed at now.
+func (r *relay) recordEvents(now, received time.Time) {
+	if r.lastEventAt.IsZero() {
+		r.firstEventAfter = now.Sub(received)
 	} else {
-		r.gap = max(r.gap, now.Sub(r.lastAt))
+		r.longestGap = max(r.longestGap, now.Sub(r.lastEventAt))
 	}
-	r.lastAt = now
+	r.lastEventAt = now
 }
 
-// answered is a whole answer of a target.
-type answered struct {
+// bufferedResponse is a target's complete response.
+type bufferedResponse struct {
 	choice placement.Choice
 	ans    *port.ForwardAnswer
 	body   []byte
 }
 
-// run sends the request until it is answered or may not be sent again.
-func (c *call) run(ctx context.Context) {
+// forward sends the request to one target after another until one serves it or no further
+// retry is allowed.
+func (c *call) forward(ctx context.Context) {
 	for {
 		now := c.g.deps.Clock.Now()
-		choice, out := c.g.targets.Choose(c.query(now), now, c.g.deps.Rand.IntN)
+		choice, out := c.g.targets.Choose(c.placementQuery(now), now, c.g.deps.Rand.IntN)
 		if out != placement.Chosen {
-			c.end(ctx, c.noTarget(out))
+			c.fail(ctx, c.noTargetError(out))
 			return
 		}
-		c.last = choice
+		c.lastChoice = choice
 		if c.sends == 0 {
 			c.g.budgets.First(c.service.Name, now)
 		}
 		if c.service.Engine != nil {
-			c.g.notify(choice.Address, c.in.Work.PromptTokens)
+			c.g.notifyGateways(choice.Address, c.in.Work.PromptTokens)
 		}
 		c.sends++
 		c.tried[choice.Instance] = true
@@ -72,86 +76,89 @@
 		if err == nil {
 			return
 		}
-		if !c.again(ctx, err) {
-			c.end(ctx, err)
+		if !c.shouldRetry(ctx, err) {
+			c.fail(ctx, err)
 			return
 		}
 	}
 }
 
-// noTarget returns the error of a request for which there is no target.
-func (c *call) noTarget(out placement.Outcome) *verdict.Error {
+// noTargetError returns the error for an outcome of the choice without a target.
+func (c *call) noTargetError(out placement.Outcome) *verdict.Error {
 	v := verdict.NotRun
 	if c.runs > 0 {
 		v = verdict.MayHaveRun
 	}
 	if out == placement.AllFull {
-		return verdict.New(v, verdict.CodeOverloaded, "all targets of the service are full").After(overloadRetry)
+		return verdict.New(v, verdict.CodeOverloaded, "all targets of the service are full").After(overloadRetryAfter)
 	}
-	return verdict.New(v, verdict.CodeNoTarget, "no target of the service takes requests").After(overloadRetry)
+	return verdict.New(v, verdict.CodeNoTarget, "no target of the service takes requests").After(overloadRetryAfter)
 }
 
-// again reports whether the request is sent once more after err.
-func (c *call) again(ctx context.Context, err *verdict.Error) bool {
+// shouldRetry reports whether to send the request again after err. If it returns true, it
+// has taken one retry from the budget.
+func (c *call) shouldRetry(ctx context.Context, err *verdict.Error) bool {
 	switch {
 	case ctx.Err() != nil, c.sends >= maxSends:
 		return false
 	case err.Verdict != verdict.NotRun && (!c.route.Repeatable() || c.runs >= c.route.MaxAttempts):
 		return false
 	}
-	return c.g.budgets.Repeat(c.service.Name, c.g.picture.processes(), c.g.deps.Clock.Now())
+	return c.g.budgets.Repeat(c.service.Name, c.g.view.processes(), c.g.deps.Clock.Now())
 }
 
-// end answers a request that was not served. After the head of the answer only
-// the connection can tell that the rest is missing.
-func (c *call) end(ctx context.Context, err *verdict.Error) {
+// fail ends a request that no target served. It delivers the fallback if there is one. It
+// aborts a response whose head was already sent, since then only the closed connection
+// shows that the rest is missing. Otherwise it refuses the request.
+func (c *call) fail(ctx context.Context, err *verdict.Error) {
 	if c.runs > 0 && err.Verdict == verdict.NotRun {
 		err = err.WithVerdict(verdict.MayHaveRun)
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) && err.Code != verdict.CodeDeadline {
 		err = verdict.Wrap(err, err.Verdict, verdict.CodeDeadline, "deadline passed")
 	}
-	if f := c.fallback; f != nil && !c.relay.begun {
+	if f := c.fallback; f != nil && !c.relay.headSent {
 		_ = c.deliver(f.choice, f.ans, f.body)
 		return
 	}
-	if c.relay.begun {
+	if c.relay.headSent {
 		c.out.Abort()
-		c.log("cut", err, c.relay.status)
+		c.logRequest("cut", err, c.relay.status)
 		return
 	}
 	c.refuse(err)
 }
 
-// attempt sends the request once and copies the answer. It returns nil once the
-// caller has the whole answer.
+// attempt sends the request once and copies the response. It returns nil once the request
+// has ended and is logged.
 func (c *call) attempt(ctx context.Context, choice placement.Choice) *verdict.Error {
 	clock := c.g.deps.Clock
 	f := port.Forward{
-		In: c.in, Expect: choice.Instance, Timeout: c.until.Sub(clock.Now()),
+		In: c.in, Expect: choice.Instance, Timeout: c.deadline.Sub(clock.Now()),
 		Urgency: c.urgency(), ResumeAfter: c.resumeAfter(),
 	}
 	if c.account != nil {
 		f.Customer = c.account.Name
 	}
-	sendCtx, watch := c.watchStall(ctx)
-	defer watch.end()
+	sendCtx, watch := c.startStallWatch(ctx)
+	defer watch.stop()
 	ans, err := c.g.deps.Targets.Forward(sendCtx, choice.Address, f)
 	if err != nil {
-		return c.sendFailed(ctx, choice, verdict.Of(err))
+		return c.recordSendFailure(ctx, choice, verdict.Of(err))
 	}
 	defer func() { _ = ans.Body.Close() }()
 	c.runs++
 	if ans.Load != nil {
-		c.noteLoad(choice, ans.Load)
+		c.recordLoad(choice, ans.Load)
 	}
 	if c.route.Kind == routes.Streaming && ans.Status/100 == 2 {
-		return c.stream(ctx, choice, ans, watch)
+		return c.relayStream(ctx, choice, ans, watch)
 	}
-	return c.whole(ctx, choice, ans)
+	return c.relayBuffered(ctx, choice, ans)
 }
 
-// resumeAfter returns the id of the last event that the caller has.
+// resumeAfter returns the id of the last event that the caller has received, or an empty
+// string.
 func (c *call) resumeAfter() string {
 	if id := c.relay.events.LastID(); id != "" {
 		return id
@@ -159,18 +166,17 @@
 	return c.in.ResumeAfter
 }
 
-// noteLoad takes in the load that an answer states. Reports from beside the
-// target are more frequent; the head of an answer only tells the load of a plain
-// service, which has none.
-func (c *call) noteLoad(choice placement.Choice, l *port.TargetLoad) {
+// recordLoad records the load stated in the response of a plain service. Engines are left
+// out: the loaders beside them report their load more often than responses do.
+func (c *call) recordLoad(choice placement.Choice, l *port.TargetLoad) {
 	if c.service.Engine == nil {
 		load := placement.Load{Running: l.Running, Waiting: l.Waiting, Places: l.Places}
 		c.g.targets.Report(choice.Instance, load, c.g.deps.Clock.Now())
 	}
 }
 
-// sendFailed records a request that got no answer from a target.
-func (c *call) sendFailed(ctx context.Context, choice placement.Choice, err *verdict.Error) *verdict.Error {
+// recordSendFailure records that a target refused a request or returned no response.
+func (c *call) recordSendFailure(ctx context.Context, choice placement.Choice, err *verdict.Error) *verdict.Error {
 	now := c.g.deps.Clock.Now()
 	if err.Verdict != verdict.NotRun {
 		c.runs++
@@ -187,104 +193,105 @@
 	default:
 		c.g.targets.Busy(choice.Instance, now)
 	}
-	return err.After(overloadRetry)
+	return err.After(overloadRetryAfter)
 }
 
-// maxWholeBytes bounds an answer that is read before it is passed on.
-const maxWholeBytes = 1 << 20
+// maxBufferedBytes bounds a response that is read completely before it is delivered.
+const maxBufferedBytes = 1 << 20
 
-// whole reads an answer to its end before the caller gets any of it, so that a
-// broken one can be asked for again.
-func (c *call) whole(ctx context.Context, choice placement.Choice, ans *port.ForwardAnswer) *verdict.Error {
-	body, err := io.ReadAll(io.LimitReader(ans.Body, maxWholeBytes+1))
-	if err == nil && len(body) > maxWholeBytes {
-		err = errors.Errorf("answer is longer than %d bytes", maxWholeBytes)
+// relayBuffered reads the complete response before it delivers any of it, so that the
+// request can be retried if the response breaks off.
+func (c *call) relayBuffered(ctx context.Context, choice placement.Choice, ans *port.ForwardAnswer) *verdict.Error {
+	body, err := io.ReadAll(io.LimitReader(ans.Body, maxBufferedBytes+1))
+	if err == nil && len(body) > maxBufferedBytes {
+		err = errors.Errorf("response is longer than %d bytes", maxBufferedBytes)
 	}
 	if err != nil {
-		return c.broken(ctx, choice, err)
+		return c.recordBrokenResponse(ctx, choice, err)
 	}
 	if ans.Status/100 == 5 && c.route.Kind == routes.Safe {
-		// A failure of the target is kept and delivered if no other target does
-		// better.
-		c.fallback = &answered{choice, ans, body}
+		// Keep the target's error; it is delivered if no other target succeeds.
+		c.fallback = &bufferedResponse{choice, ans, body}
 		return verdict.New(verdict.Ran, verdict.CodeTargetError, "target answered with status %d", ans.Status)
 	}
 	return c.deliver(choice, ans, body)
 }
 
-// deliver passes a whole answer on.
+// deliver sends a complete response to the caller and logs the request. It always returns
+// nil.
 func (c *call) deliver(choice placement.Choice, ans *port.ForwardAnswer, body []byte) *verdict.Error {
 	c.g.targets.Served(choice.Instance)
-	c.relay.begun, c.relay.status = true, ans.Status
+	c.relay.headSent, c.relay.status = true, ans.Status
 	h := port.OutboundHead{Status: ans.Status, Header: ans.Header, Length: int64(len(body))}
 	err := c.out.Head(h)
 	if err == nil && len(body) > 0 {
 		err = c.out.Data(body)
 	}
 	if err != nil {
-		c.log("caller left", verdict.Wrap(err, verdict.Ran, verdict.CodeCanceled, "answer could not be delivered"), ans.Status)
+		c.logRequest("caller left", verdict.Wrap(err, verdict.Ran, verdict.CodeCanceled, "response could not be delivered"), ans.Status)
 		return nil
 	}
-	c.log("served", nil, ans.Status)
+	c.logRequest("served", nil, ans.Status)
 	return nil
 }
 
-// broken records an answer that ended early.
-func (c *call) broken(ctx context.Context, choice placement.Choice, err error) *verdict.Error {
+// recordBrokenResponse returns the error for a response that ended early. It counts as a
+// failure of the target unless the request's own context has ended.
+func (c *call) recordBrokenResponse(ctx context.Context, choice placement.Choice, err error) *verdict.Error {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeDeadline, "deadline passed within the answer")
+		return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeDeadline, "deadline passed during the response")
 	case ctx.Err() != nil:
 		return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeCanceled, "caller left")
 	}
 	c.g.targets.Failed(choice.Instance, c.g.deps.Clock.Now())
-	return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeBrokenAnswer, "answer ended early")
+	return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeBrokenAnswer, "response ended early")
 }
 
-// streamBytes is the size of a read; an event has about 100 bytes.
-const streamBytes = 4 << 10
+// streamReadBytes is the buffer size for reading a stream; an event has about 100 bytes.
+const streamReadBytes = 4 << 10
 
-// stream passes the events of a stream on as they come. Only whole events are
-// passed on, so that the stream can go on at another target.
-func (c *call) stream(ctx context.Context, choice placement.Choice, ans *port.ForwardAnswer, watch *stall) *verdict.Error {
+// relayStream sends the events of a stream to the caller as they arrive. It sends only
+// complete events, so that the stream can resume at another target.
+func (c *call) relayStream(ctx context.Context, choice placement.Choice, ans *port.ForwardAnswer, watch *stallWatch) *verdict.Error {
 	c.relay.events.Discard()
-	first, before := true, c.relay.events.Events()
-	buf := make([]byte, streamBytes)
+	first, eventsBefore := true, c.relay.events.Events()
+	buf := make([]byte, streamReadBytes)
 	for {
 		n, err := ans.Body.Read(buf)
 		if n > 0 {
-			watch.progress()
-			if e := c.pass(ans, buf[:n]); e != nil {
+			watch.reset()
+			if e := c.relayEvents(ans, buf[:n]); e != nil {
 				return e
 			}
-			if first && c.relay.events.Events() > before {
+			if first && c.relay.events.Events() > eventsBefore {
 				first = false
 				now := c.g.deps.Clock.Now()
 				c.g.targets.FirstEvent(choice.Instance, now.Sub(watch.start), choice.First, now)
 			}
 		}
 		if errors.Is(err, io.EOF) && c.relay.events.Rest() == 0 {
-			return c.finish(choice, ans)
+			return c.finishStream(choice, ans)
 		}
 		if err != nil {
-			return c.broken(ctx, choice, err)
+			return c.recordBrokenResponse(ctx, choice, err)
 		}
 	}
 }
 
-// pass sends the events that are complete with b.
-func (c *call) pass(ans *port.ForwardAnswer, b []byte) *verdict.Error {
-	whole, ok := c.relay.events.Add(b)
+// relayEvents sends the events that b completes.
+func (c *call) relayEvents(ans *port.ForwardAnswer, b []byte) *verdict.Error {
+	complete, ok := c.relay.events.Add(b)
 	if !ok {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBrokenAnswer, "event is longer than %d bytes", eventstream.MaxEventBytes)
 	}
-	if len(whole) == 0 {
+	if len(complete) == 0 {
 		return nil
 	}
-	c.relay.note(c.g.deps.Clock.Now(), c.in.Received)
-	err := c.begin(ans)
+	c.relay.recordEvents(c.g.deps.Clock.Now(), c.in.Received)
+	err := c.sendStreamHead(ans)
 	if err == nil {
-		err = c.out.Data(whole)
+		err = c.out.Data(complete)
 	}
 	if err != nil {
 		return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeCanceled, "caller left")
@@ -292,22 +299,22 @@
 	return nil
 }
 
-// begin sends the head of a stream once. A stream that goes on at another target
-// keeps the head of the first.
-func (c *call) begin(ans *port.ForwardAnswer) error {
-	if c.relay.begun {
+// sendStreamHead sends the head of a stream unless it was already sent. A stream that
+// resumes at another target keeps the first target's head.
+func (c *call) sendStreamHead(ans *port.ForwardAnswer) error {
+	if c.relay.headSent {
 		return nil
 	}
-	c.relay.begun, c.relay.status = true, ans.Status
-	c.g.deps.Metrics.Seconds("gateway_first_event_seconds", c.relay.first)
+	c.relay.headSent, c.relay.status = true, ans.Status
+	c.g.deps.Metrics.Seconds("gateway_first_event_seconds", c.relay.firstEventAfter)
 	return c.out.Head(port.OutboundHead{Status: ans.Status, Header: ans.Header, Length: -1, Stream: true})
 }
 
-func (c *call) finish(choice placement.Choice, ans *port.ForwardAnswer) *verdict.Error {
-	if err := c.begin(ans); err != nil {
+func (c *call) finishStream(choice placement.Choice, ans *port.ForwardAnswer) *verdict.Error {
+	if err := c.sendStreamHead(ans); err != nil {
 		return verdict.Wrap(err, verdict.Ran, verdict.CodeCanceled, "caller left")
 	}
 	c.g.targets.Served(choice.Instance)
-	c.log("served", nil, ans.Status)
+	c.logRequest("served", nil, ans.Status)
 	return nil
 }
--- a/internal/app/gateway/feed_test.go
+++ b/internal/app/gateway/feed_test.go
@@ -14,92 +14,92 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// feedOf answers with a confirmation of an age.
-type feedOf time.Duration
+// fixedAgeFeed is a port.FeedClient whose replies carry no changes and a confirmation of
+// this age.
+type fixedAgeFeed time.Duration
 
-func (f feedOf) Feed(context.Context, fleet.Address, port.FeedRequest) (port.FeedReply, error) {
+func (f fixedAgeFeed) Feed(context.Context, fleet.Address, port.FeedRequest) (port.FeedReply, error) {
 	return port.FeedReply{At: 1, Age: time.Duration(f)}, nil
 }
 
-// TestConfirmationOfReader guards against a gateway that refuses requests with
-// keys although another one passes confirmations on, and against one that lets an
-// old confirmation replace a newer one.
-func TestConfirmationOfReader(t *testing.T) {
-	b := newBed(t, route)
-	b.clock.forward(6 * time.Second)
-	if c := b.ask(inbound()); c.refused == nil {
-		t.Fatal("a request with a key was served from a picture of 6 s")
+// TestReaderConfirmationIsAdopted guards against a gateway that refuses requests with API
+// keys although its reader confirms them, and against an older confirmation that replaces
+// a newer one.
+func TestReaderConfirmationIsAdopted(t *testing.T) {
+	gw := newTestGateway(t, route)
+	gw.clock.advance(6 * time.Second)
+	if c := gw.request(newInbound()); c.refused == nil {
+		t.Fatal("a request with an API key was served from a view confirmed 6 s ago")
 	}
-	read := func(age time.Duration) {
+	adopt := func(age time.Duration) {
 		readers := func() []core.Member { return []core.Member{{ID: "r", Address: "r"}} }
-		b.source = feed.NewSource(nil, feedOf(age), b.clock, logging.New(b.log, "x", "1"), readers, nil)
-		if _, _, err := b.source.Changes(context.Background(), b.operator.Prefix, 0, time.Second); err != nil {
+		gw.source = feed.NewSource(nil, fixedAgeFeed(age), gw.clock, logging.New(gw.log, "x", "1"), readers, nil)
+		if _, _, err := gw.source.Changes(context.Background(), gw.operatorFollower.Prefix, 0, time.Second); err != nil {
 			t.Fatal(err)
 		}
-		b.confirmFed()
+		gw.adoptReaderConfirmation()
 	}
-	read(time.Second)
-	if age := b.pictureAge(); age != time.Second {
+	adopt(time.Second)
+	if age := gw.viewAge(); age != time.Second {
 		t.Errorf("confirmed %v ago, want 1 s", age)
 	}
-	if c := b.ask(inbound()); c.status != 200 {
+	if c := gw.request(newInbound()); c.status != 200 {
 		t.Errorf("refused: %v", c.refused)
 	}
-	read(3 * time.Second)
-	if age := b.pictureAge(); age != time.Second {
+	adopt(3 * time.Second)
+	if age := gw.viewAge(); age != time.Second {
 		t.Errorf("confirmed %v ago after an older confirmation, want 1 s", age)
 	}
 }
 
-// TestChecksOfReaders guards against calls to the store for a confirmation that
-// another gateway gives, and against readers whose followers find them stale.
-func TestChecksOfReaders(t *testing.T) {
-	b := newBed(t, route)
-	b.clock.forward(time.Second)
-	if d := b.confirmDue(); d != confirmEvery-time.Second {
-		t.Errorf("next check in %v, want %v", d, confirmEvery-time.Second)
+// TestConfirmInterval guards against a gateway that asks the store for confirmations that
+// its reader provides, and against a reader that confirms too rarely for its followers.
+func TestConfirmInterval(t *testing.T) {
+	gw := newTestGateway(t, route)
+	gw.clock.advance(time.Second)
+	if d := gw.untilNextConfirm(); d != confirmInterval-time.Second {
+		t.Errorf("next check in %v, want %v", d, confirmInterval-time.Second)
 	}
-	_, _ = b.hub.Feed(context.Background(), port.FeedRequest{Prefix: "op/"})
-	if d := b.confirmDue(); d != confirmServing-time.Second {
-		t.Errorf("next check of one that others follow in %v, want %v", d, confirmServing-time.Second)
+	_, _ = gw.hub.Feed(context.Background(), port.FeedRequest{Prefix: "op/"})
+	if d := gw.untilNextConfirm(); d != readerConfirmInterval-time.Second {
+		t.Errorf("next check of a gateway with followers in %v, want %v", d, readerConfirmInterval-time.Second)
 	}
 }
 
-// TestConflictsAreTakenIn guards against a configuration that is listed although
-// the answer to a failed check held it, and against a removed cordon that nothing
-// tells of.
-func TestConflictsAreTakenIn(t *testing.T) {
-	b := newBed(t, route)
-	b.facts["op/config"] = port.ConfigFact{Config: routes.Config{Version: 2, Routes: []routes.Route{route}}}
+// TestConflictUpdatesView guards against listing a configuration that the conflict already
+// contains, and against missing the removal of a cordon, which no conflict contains.
+func TestConflictUpdatesView(t *testing.T) {
+	gw := newTestGateway(t, route)
+	gw.facts["op/config"] = port.ConfigFact{Config: routes.Config{Version: 2, Routes: []routes.Route{route}}}
 	expect := []port.Expectation{{Key: "op/config", Revision: 1}}
 	item := port.Item{Key: "op/config", Revision: 7}
-	b.conflicted(expect, &port.ConflictError{Current: []port.Item{item}})
-	if v := b.picture.table.Load().Version; v != 2 {
+	gw.handleConflict(expect, &port.ConflictError{Current: []port.Item{item}})
+	if v := gw.view.routeTable.Load().Version; v != 2 {
 		t.Errorf("configuration %d in force, want 2", v)
 	}
-	if b.picture.explains([]port.Expectation{{Key: "op/cordon/a", Revision: 3}}, nil) {
-		t.Error("a key that is gone is explained by nothing")
+	if gw.view.coversConflict([]port.Expectation{{Key: "op/cordon/a", Revision: 3}}, nil) {
+		t.Error("a removed key counts as covered by an empty conflict")
 	}
-	if b.picture.explains([]port.Expectation{{Key: "op/config", Revision: 7}}, []port.Item{item}) {
-		t.Error("equal revisions explain a conflict")
+	if gw.view.coversConflict([]port.Expectation{{Key: "op/config", Revision: 7}}, []port.Item{item}) {
+		t.Error("equal revisions count as covering a conflict")
 	}
 }
 
-// gauges keeps the last value of each gauge.
-type gauges map[string]float64
+// gaugeRecorder is a port.Metrics that keeps the last value of each gauge.
+type gaugeRecorder map[string]float64
 
-func (gauges) Count(string, int64, ...port.Attr)              {}
-func (gauges) Seconds(string, time.Duration, ...port.Attr)    {}
-func (g gauges) Gauge(name string, v float64, _ ...port.Attr) { g[name] = v }
+func (gaugeRecorder) Count(string, int64, ...port.Attr)              {}
+func (gaugeRecorder) Seconds(string, time.Duration, ...port.Attr)    {}
+func (g gaugeRecorder) Gauge(name string, v float64, _ ...port.Attr) { g[name] = v }
 
-// TestGauges guards against graphs that hide an old picture or targets that are
-// full.
+// TestGauges guards against gauges from which an outdated view or full targets cannot be
+// seen.
 func TestGauges(t *testing.T) {
-	b := newBed(t, route)
-	m := gauges{}
-	b.deps.Metrics = m
-	b.clock.forward(3 * time.Second)
-	b.recordOnce()
+	gw := newTestGateway(t, route)
+	m := gaugeRecorder{}
+	gw.deps.Metrics = m
+	gw.clock.advance(3 * time.Second)
+	gw.setGauges()
 	for name, want := range map[string]float64{
 		"gateway_picture_age_seconds": 3, "gateway_config_version": 1, "gateway_targets": 2, "gateway_target_places": 8,
 	} {
@@ -109,33 +109,33 @@
 	}
 }
 
-// TestDeclarationsFoundLate guards against a gateway that uses old weights for the
-// whole bound from the time at which it learned of new ones: one that has just
-// started, or that did not reach the store when they were declared.
-func TestDeclarationsFoundLate(t *testing.T) {
+// TestLateDeclarations guards against a gateway that counts WeightsBound from the time at
+// which it learned of new weights instead of their declaration. The two differ for a
+// gateway that has just started, or that could not reach the store at the declaration.
+func TestLateDeclarations(t *testing.T) {
 	for name, c := range map[string]struct {
-		confirmed time.Duration // ago; zero for never
-		old       time.Duration // for which old weights may be used
+		confirmedAgo time.Duration // zero for never
+		oldAllowed   time.Duration // time for which old weights may still be used
 	}{
 		"in time":      {300 * time.Millisecond, 8*time.Second - weightsMargin},
-		"after 3 s":    {3 * time.Second, 8*time.Second - weightsMargin - 3*time.Second + usualAge},
-		"at the start": {0, oldAtStart},
+		"after 3 s":    {3 * time.Second, 8*time.Second - weightsMargin - 3*time.Second + usualConfirmationAge},
+		"at the start": {0, startupWeightsGrace},
 	} {
-		b := newBed(t, route)
-		b.confirmed.Store(0)
-		if c.confirmed > 0 {
-			b.confirmed.Store(int64(b.clock.SinceBoot() - c.confirmed))
+		gw := newTestGateway(t, route)
+		gw.confirmedAt.Store(0)
+		if c.confirmedAgo > 0 {
+			gw.confirmedAt.Store(int64(gw.clock.SinceBoot() - c.confirmedAgo))
 		}
-		b.facts["op/weights"] = port.WeightsFact{Model: "m", Number: 2}
-		b.applyOperator(follow.Event{Reset: true, Changes: []port.Change{{Item: port.Item{Key: "op/weights", Revision: 9}}}})
-		now := b.clock.Now()
-		d := b.picture.declared.Load()
-		const slack = 200 * time.Millisecond
-		if n := d.oldest("m", b.set.WeightsBound-weightsMargin, now.Add(c.old-slack)); n != 0 {
-			t.Errorf("%s: old weights are out of use before %v", name, c.old)
+		gw.facts["op/weights"] = port.WeightsFact{Model: "m", Number: 2}
+		gw.applyOperatorKeys(follow.Event{Reset: true, Changes: []port.Change{{Item: port.Item{Key: "op/weights", Revision: 9}}}})
+		now := gw.clock.Now()
+		d := gw.view.declarations.Load()
+		const tolerance = 200 * time.Millisecond
+		if n := d.minWeightsVersion("m", gw.settings.WeightsBound-weightsMargin, now.Add(c.oldAllowed-tolerance)); n != 0 {
+			t.Errorf("%s: old weights are refused before %v", name, c.oldAllowed)
 		}
-		if n := d.oldest("m", b.set.WeightsBound-weightsMargin, now.Add(c.old+slack)); n != 2 {
-			t.Errorf("%s: old weights are in use after %v", name, c.old)
+		if n := d.minWeightsVersion("m", gw.settings.WeightsBound-weightsMargin, now.Add(c.oldAllowed+tolerance)); n != 2 {
+			t.Errorf("%s: old weights are still used after %v", name, c.oldAllowed)
 		}
 	}
 }
--- a/internal/app/gateway/follow.go
+++ b/internal/app/gateway/follow.go
@@ -14,80 +14,83 @@
 )
 
 const (
-	// watchWait is the longest wait of a watch; each call is charged. The store
-	// keeps 20 s of history, which a longer wait without a change would pass.
-	watchWait = 15 * time.Second
-	// operatorPause collects operators' changes that come together. Changes must
-	// be in force within 2 s.
-	operatorPause = 20 * time.Millisecond
-	// targetPause collects changes of targets. A leaving target must get no new
-	// work after 2 s.
-	targetPause = 400 * time.Millisecond
-	// memberPause collects changes of processes, which only set shares. Each call
-	// is charged.
-	memberPause = 4 * time.Second
-	// fedPause collects changes that another gateway passes on. A configuration of
-	// some hundred kilobytes goes to a dozen processes over the reader's link, so
-	// that one that is replaced at once has to be skipped.
-	fedPause = 300 * time.Millisecond
-
-	// feedWaitOperator is the time for which a reader waits for changes of the
-	// operators' keys. Its replies are what confirms these keys here.
+	// watchTimeout is the longest time for which a read of changes waits. Each call to
+	// the store is charged. The store keeps 20 s of history: after a longer wait
+	// without a change, the revision to continue from would be outside it.
+	watchTimeout = 15 * time.Second
+	// operatorBatchDelay is the pause between two reads of the operator keys, so that
+	// changes made together are read together. Changes must be in force within 2 s.
+	operatorBatchDelay = 20 * time.Millisecond
+	// targetBatchDelay is the same for targets. A leaving target must get no new
+	// requests after 2 s.
+	targetBatchDelay = 400 * time.Millisecond
+	// memberBatchDelay is the same for the registered processes, which only determine
+	// each gateway's share of the targets. Each call is charged.
+	memberBatchDelay = 4 * time.Second
+	// feedBatchDelay is the pause between two reads from another gateway. The reader
+	// sends a configuration of some hundred kilobytes to a dozen processes over its
+	// link, so a version that is replaced shortly after should be skipped.
+	feedBatchDelay = 300 * time.Millisecond
+
+	// feedWaitOperator is the time for which a reader waits for changes of the operator
+	// keys before it replies. Each reply also confirms this gateway's view of them.
 	feedWaitOperator = 400 * time.Millisecond
-	// feedWaitTargets bounds the time until a silent reader is noticed. Leaving
-	// targets get no new work after 2 s, in which a gateway that lost its reader also
-	// asks the others and the store.
+	// feedWaitTargets is the same for targets. It bounds the time until an unresponsive
+	// reader is detected. A leaving target must get no new requests after 2 s, within
+	// which a gateway that lost its reader also has to ask the other readers and the
+	// store.
 	feedWaitTargets = 400 * time.Millisecond
-	// directWaitTargets bounds the wait for changes of targets at the store. A silent
-	// connection there would hide leaving targets from the whole domain.
-	directWaitTargets = 2 * time.Second
-	// directWaitOperator is the same for the operators' keys. The regular check tells
-	// of changes of known keys, but not of weights that are declared for the first
+	// storeWaitTargets bounds the wait for changes of targets at the store. An
+	// unresponsive connection there would hide leaving targets from the whole domain.
+	storeWaitTargets = 2 * time.Second
+	// storeWaitOperator is the same for the operator keys. The periodic confirmation
+	// detects changes of known keys, but not weights that are declared for the first
 	// time.
-	directWaitOperator = 3 * time.Second
-	// feedWaitMembers and directWaitMembers are the same for processes, which only
-	// set shares. Followers go on from what the reader saw last, of which the store
-	// still has to have the history of 20 s.
-	feedWaitMembers   = 3 * time.Second
-	directWaitMembers = 8 * time.Second
+	storeWaitOperator = 3 * time.Second
+	// feedWaitMembers and storeWaitMembers are the same for the registered processes,
+	// which only determine shares. A gateway that loses its reader continues from the
+	// reader's last revision, which must still be in the store's 20 s of history.
+	feedWaitMembers  = 3 * time.Second
+	storeWaitMembers = 8 * time.Second
 )
 
-// follower returns a follower of a prefix. pause is the time between two reads of
-// the store.
-func (g *Gateway) follower(prefix string, pause time.Duration) *follow.Follower {
-	between := func() time.Duration {
+// newFollower returns a follower of a prefix. storeDelay is the pause between two reads
+// of the store; reads from another gateway use feedBatchDelay.
+func (g *Gateway) newFollower(prefix string, storeDelay time.Duration) *follow.Follower {
+	delay := func() time.Duration {
 		if g.source.Direct(prefix) {
-			return pause
+			return storeDelay
 		}
-		return fedPause
+		return feedBatchDelay
 	}
-	return follow.New(g.source, prefix, watchWait, between, g.deps.Clock, g.deps.Log)
+	return follow.New(g.source, prefix, watchTimeout, delay, g.deps.Clock, g.deps.Log)
 }
 
-// serve makes a follower pass news of its prefix on, and returns the function that
-// takes them in. Others get news no later than this gateway, since they take its
-// confirmations for theirs.
-func (g *Gateway) serve(f *follow.Follower, apply func(follow.Event)) func(follow.Event) {
-	pass, seen := g.hub.Serve(f.Prefix, func() bool { return !g.closing.Load() && g.source.Direct(f.Prefix) })
+// publishThenApply registers the follower's prefix in the hub and returns a function that
+// publishes an event there and then calls apply. Publishing comes first because other
+// gateways adopt the confirmations of this one: they must not get an event later.
+func (g *Gateway) publishThenApply(f *follow.Follower, apply func(follow.Event)) func(follow.Event) {
+	publish, markSeen := g.hub.Serve(f.Prefix, func() bool { return !g.closing.Load() && g.source.Direct(f.Prefix) })
 	f.Applied = func(at int64) {
-		seen(at)
-		if f == g.operator {
-			g.confirmFed()
+		markSeen(at)
+		if f == g.operatorFollower {
+			g.adoptReaderConfirmation()
 		}
 	}
 	return func(e follow.Event) {
-		pass(e)
+		publish(e)
 		apply(e)
 	}
 }
 
-// serveFeed passes changes of the store on to the processes that follow this one.
+// serveFeed serves changes of the store to the gateways that follow this one. It listens
+// again after an error.
 func (g *Gateway) serveFeed(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := func() error {
-			lis, err := net.Listen("tcp", string(g.set.Internal))
+			lis, err := net.Listen("tcp", string(g.settings.Internal))
 			if err != nil {
-				return errors.Wrap(err, "listening for other processes")
+				return errors.Wrap(err, "listening on the internal address")
 			}
 			defer func() { _ = lis.Close() }()
 			srv, err := rpc.NewServer(rpc.Handlers{Feed: g.hub})
@@ -97,110 +100,115 @@
 			return srv.Serve(ctx, lis)
 		}()
 		if err != nil {
-			g.deps.Log.Fault("serving other processes", err)
+			g.deps.Log.Fault("serving the feed of store changes failed", err)
 			g.sleep(ctx, time.Second)
 		}
 	}
 }
 
 const (
-	// confirmEvery is the pause between two checks that the operators' keys are
-	// as this process knows them. Each is charged; a key that was taken away
-	// must be refused after 5 s. A gateway that follows another one gets a
-	// confirmation from it before that, unless the other is in trouble.
-	confirmEvery = 1500 * time.Millisecond
-	// confirmServing is the same for a gateway that others follow.
-	confirmServing = 600 * time.Millisecond
-	// confirmRetry is the pause after a check without an answer.
-	confirmRetry = 300 * time.Millisecond
+	// confirmInterval is the age of a confirmation at which this gateway asks the store
+	// for a new one. Each call is charged; a removed API key must be refused after 5 s.
+	// A gateway that follows another one normally adopts its confirmations before the
+	// interval ends.
+	confirmInterval = 1500 * time.Millisecond
+	// readerConfirmInterval is the same for a gateway that others follow.
+	readerConfirmInterval = 600 * time.Millisecond
+	// confirmRetryDelay is the pause after a call that did not confirm the view.
+	confirmRetryDelay = 300 * time.Millisecond
 )
 
-// confirmLoop checks the picture against the store. A watch that reports nothing
-// proves nothing while the store drops its history.
+// confirmLoop checks the view of the operator keys against the store until ctx ends. The
+// absence of watched changes is no confirmation, since the store may have dropped history.
 func (g *Gateway) confirmLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := confirmRetry
-		if g.picture.table.Load() != nil {
-			if pause = g.confirmDue(); pause <= 0 {
-				pause = g.confirm(ctx)
+		pause := confirmRetryDelay
+		if g.view.routeTable.Load() != nil {
+			if pause = g.untilNextConfirm(); pause <= 0 {
+				pause = g.confirmView(ctx)
 			}
 		}
 		g.sleep(ctx, pause)
 	}
 }
 
-// confirmDue returns the time until the next check.
-func (g *Gateway) confirmDue() time.Duration {
-	every := confirmEvery
+// untilNextConfirm returns the time until the view has to be confirmed again; it may be
+// negative.
+func (g *Gateway) untilNextConfirm() time.Duration {
+	interval := confirmInterval
 	if g.hub.Serving() {
-		every = confirmServing
+		interval = readerConfirmInterval
 	}
-	return every - g.pictureAge()
+	return interval - g.viewAge()
 }
 
-// confirmFed takes over the confirmation of the gateway that this one follows.
-func (g *Gateway) confirmFed() {
-	at, fed := g.source.Fed(g.operator.Prefix)
-	if old := g.confirmed.Load(); fed && int64(at) > old {
-		g.confirmed.CompareAndSwap(old, int64(at))
+// adoptReaderConfirmation adopts the confirmation of the gateway that this one follows,
+// if it is newer than its own.
+func (g *Gateway) adoptReaderConfirmation() {
+	at, fed := g.source.Fed(g.operatorFollower.Prefix)
+	if old := g.confirmedAt.Load(); fed && int64(at) > old {
+		g.confirmedAt.CompareAndSwap(old, int64(at))
 	}
 }
 
-func (g *Gateway) confirm(ctx context.Context) time.Duration {
-	expect := g.picture.expectations(g.deps.Facts.CordonKey)
+// confirmView checks the revisions of the operator keys with a commit without writes. It
+// returns the pause before the next check.
+func (g *Gateway) confirmView(ctx context.Context) time.Duration {
+	expect := g.view.expectedRevisions(g.deps.Facts.CordonKey)
 	at := g.deps.Clock.SinceBoot()
 	err := g.deps.Store.Commit(ctx, expect, nil)
 	switch {
 	case err == nil:
-		g.confirmed.Store(int64(at))
-		return g.confirmDue()
+		g.confirmedAt.Store(int64(at))
+		return g.untilNextConfirm()
 	case errors.Is(err, port.ErrConflict):
-		g.conflicted(expect, err)
+		g.handleConflict(expect, err)
 	}
-	return confirmRetry
+	return confirmRetryDelay
 }
 
-// conflicted takes in that the operators' keys are not as this gateway knows them.
-// The answer holds those that exist; a configuration has some hundred kilobytes
-// and is not read again for keys that it tells of.
-func (g *Gateway) conflicted(expect []port.Expectation, err error) {
+// handleConflict updates the view after the store found other revisions of the operator
+// keys. The conflict contains the current items, so that the prefix is listed again only
+// if they do not cover it: a configuration has some hundred kilobytes.
+func (g *Gateway) handleConflict(expect []port.Expectation, err error) {
 	var c *port.ConflictError
 	known := 0
-	if errors.As(err, &c) && g.picture.explains(expect, c.Current) {
+	if errors.As(err, &c) && g.view.coversConflict(expect, c.Current) {
 		known = len(c.Current)
 		var e follow.Event
 		for _, it := range c.Current {
 			e.Changes = append(e.Changes, port.Change{Item: it})
 		}
-		g.applyOperator(e)
+		g.applyOperatorKeys(e)
 	} else {
-		g.operator.Relist()
+		g.operatorFollower.Relist()
 	}
 	g.deps.Log.State("operators' keys have changed", logging.F("known", len(expect)), logging.F("told", known))
 }
 
-// pictureAge returns the time since the store confirmed the operators' keys.
-func (g *Gateway) pictureAge() time.Duration {
-	return g.deps.Clock.SinceBoot() - time.Duration(g.confirmed.Load())
+// viewAge returns the time since the store last confirmed the operator keys. It is
+// meaningful only if confirmedAt is set.
+func (g *Gateway) viewAge() time.Duration {
+	return g.deps.Clock.SinceBoot() - time.Duration(g.confirmedAt.Load())
 }
 
 const (
-	// usualAge is the age of a picture when news come, without any trouble.
-	// weightsMargin covers it.
-	usualAge = 700 * time.Millisecond
-	// oldAtStart is the time for which a gateway that has just started uses weights
-	// that are older than the declared ones. It does not know when these were
-	// declared; other gateways take requests meanwhile.
-	oldAtStart = 2 * time.Second
+	// usualConfirmationAge is the age of the last confirmation when a change arrives in
+	// normal operation. weightsMargin covers it.
+	usualConfirmationAge = 700 * time.Millisecond
+	// startupWeightsGrace is the time for which a gateway that has just started still
+	// uses weights older than the declared ones. It does not know when those were
+	// declared; other gateways serve requests in the meantime.
+	startupWeightsGrace = 2 * time.Second
 )
 
-// declaredSince returns the earliest time at which a declaration was made that is
-// news: after the last confirmation of the picture without it. A gateway that has
-// just started has no such picture.
-func (g *Gateway) declaredSince() time.Time {
+// earliestDeclaration returns the earliest time at which a declaration that this gateway
+// learns of now may have been made: it is later than the last confirmation of the view,
+// which did not contain it. A gateway that has just started has no confirmation.
+func (g *Gateway) earliestDeclaration() time.Time {
 	now := g.deps.Clock.Now()
-	if g.confirmed.Load() == 0 {
-		return now.Add(oldAtStart - (g.set.WeightsBound - weightsMargin))
+	if g.confirmedAt.Load() == 0 {
+		return now.Add(startupWeightsGrace - (g.settings.WeightsBound - weightsMargin))
 	}
-	return now.Add(-max(0, g.pictureAge()-usualAge))
+	return now.Add(-max(0, g.viewAge()-usualConfirmationAge))
 }
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -1,5 +1,5 @@
 // Package gateway serves pass-through requests: it finds the route and the
-// client account of a request, chooses a target, and copies the answer back.
+// client account of a request, chooses a target, and copies the response back.
 // It runs on the entry VMs of a deployment whose targets register themselves in
 // the platform's store.
 package gateway
@@ -22,7 +22,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Deps are the ports that a gateway uses.
+// Deps holds the ports and the logger that a gateway uses.
 type Deps struct {
 	Store   port.Store
 	Feed    port.FeedClient
@@ -34,73 +34,77 @@
 	Log     *logging.Logger
 }
 
-// Gateway implements port.InboundHandler.
+// Gateway routes callers' requests to targets. It implements port.InboundHandler.
 type Gateway struct {
-	set     Settings
-	deps    Deps
-	targets *placement.Table
-	picture *picture
-	budgets *placement.Budgets
-	// confirmed is the time since boot at which the store last confirmed the
-	// operators' keys, in nanoseconds; zero before the first time.
-	confirmed atomic.Int64
-	closing   atomic.Bool
-	refusing  atomic.Bool
-	active    *inflight.Counter
-	source    *feed.Source
-	hub       *feed.Hub
-	operator  *follow.Follower
-	// applyOperator takes in news of the operators' keys.
-	applyOperator func(follow.Event)
-	sender        atomic.Pointer[loadcast.Sender]
+	settings Settings
+	deps     Deps
+	targets  *placement.Table
+	view     *view
+	budgets  *placement.Budgets
+	// confirmedAt is the time since boot, in nanoseconds, at which the store last
+	// confirmed that the view of the operator keys is current; zero if it never did.
+	confirmedAt atomic.Int64
+	// closing is set when Stop begins, refusing once new requests are refused.
+	closing          atomic.Bool
+	refusing         atomic.Bool
+	active           *inflight.Counter
+	source           *feed.Source
+	hub              *feed.Hub
+	operatorFollower *follow.Follower
+	// applyOperatorKeys publishes changes of the operator keys to other gateways and
+	// applies them to the view.
+	applyOperatorKeys func(follow.Event)
+	noticeSender      atomic.Pointer[loadcast.Sender]
 }
 
 var _ port.InboundHandler = (*Gateway)(nil)
 
-// New returns a gateway that knows nothing yet. Run makes it follow the store.
+// New returns a gateway with an empty view of the store. Run fills it and keeps it
+// up to date.
 func New(s Settings, d Deps) *Gateway {
 	t := placement.NewTable()
 	g := &Gateway{
-		set: s, deps: d, targets: t,
-		picture: newPicture(s, d, t),
+		settings: s, deps: d, targets: t,
+		view:    newView(s, d, t),
 		budgets: placement.NewBudgets(s.RetryRatio, s.RetrySlack, s.RetryWindow, d.Clock.Now()),
 		active:  inflight.New(),
 	}
 	ps := d.Facts.Prefixes()
-	readers := func() []core.Member { return *g.picture.readers.Load() }
+	readers := func() []core.Member { return *g.view.readers.Load() }
 	g.source = feed.NewSource(d.Store, d.Feed, d.Clock, d.Log, readers, map[string]feed.Prefix{
-		ps.Operator: {Wait: feedWaitOperator, Direct: directWaitOperator},
-		ps.Targets:  {Wait: feedWaitTargets, Direct: directWaitTargets},
-		ps.Members:  {Wait: feedWaitMembers, Direct: directWaitMembers},
+		ps.Operator: {Wait: feedWaitOperator, Direct: storeWaitOperator},
+		ps.Targets:  {Wait: feedWaitTargets, Direct: storeWaitTargets},
+		ps.Members:  {Wait: feedWaitMembers, Direct: storeWaitMembers},
 	})
-	g.hub = feed.NewHub(d.Clock, g.pictureAge)
-	g.operator = g.follower(ps.Operator, operatorPause)
-	g.applyOperator = g.serve(g.operator, func(e follow.Event) {
+	g.hub = feed.NewHub(d.Clock, g.viewAge)
+	g.operatorFollower = g.newFollower(ps.Operator, operatorBatchDelay)
+	g.applyOperatorKeys = g.publishThenApply(g.operatorFollower, func(e follow.Event) {
 		at := d.Clock.SinceBoot()
-		g.picture.applyOperator(e, g.declaredSince())
-		if e.Reset && g.confirmed.Load() == 0 {
-			g.confirmed.Store(int64(at))
+		g.view.applyOperatorKeys(e, g.earliestDeclaration())
+		if e.Reset && g.confirmedAt.Load() == 0 {
+			g.confirmedAt.Store(int64(at))
 		}
 	})
 	return g
 }
 
-// Run follows the store and the load of targets until ctx ends.
+// Run keeps the view of the store and the load of targets up to date, and serves
+// the feed of store changes to other gateways, until ctx ends.
 func (g *Gateway) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	g.openSender()
+	g.openNoticeSender()
 	wg.Go(func() { g.serveFeed(ctx) })
 	ps := g.deps.Facts.Prefixes()
-	targets, members := g.follower(ps.Targets, targetPause), g.follower(ps.Members, memberPause)
-	applyTargets, applyMembers := g.serve(targets, g.picture.applyTargets), g.serve(members, g.picture.applyMembers)
-	wg.Go(func() { g.operator.Run(ctx, g.applyOperator) })
+	targets, members := g.newFollower(ps.Targets, targetBatchDelay), g.newFollower(ps.Members, memberBatchDelay)
+	applyTargets, applyMembers := g.publishThenApply(targets, g.view.applyTargets), g.publishThenApply(members, g.view.applyMembers)
+	wg.Go(func() { g.operatorFollower.Run(ctx, g.applyOperatorKeys) })
 	wg.Go(func() { targets.Run(ctx, applyTargets) })
 	wg.Go(func() { members.Run(ctx, applyMembers) })
 	wg.Go(func() { g.confirmLoop(ctx) })
-	wg.Go(func() { g.receiveLoads(ctx) })
-	wg.Go(func() { g.recordGauges(ctx) })
-	e := enroll.Enrolment{Store: g.deps.Store, Prefix: ps.Members, Self: g.set.member(), Clock: g.deps.Clock, Log: g.deps.Log}
+	wg.Go(func() { g.receiveLoadReports(ctx) })
+	wg.Go(func() { g.gaugeLoop(ctx) })
+	e := enroll.Enrolment{Store: g.deps.Store, Prefix: ps.Members, Self: g.settings.storedMember(), Clock: g.deps.Clock, Log: g.deps.Log}
 	wg.Go(func() { e.Run(ctx) })
 }
 
@@ -109,9 +113,9 @@
 	switch {
 	case g.closing.Load():
 		return false, "shutting down"
-	case g.picture.table.Load() == nil:
+	case g.view.routeTable.Load() == nil:
 		return false, "no configuration"
-	case !g.picture.listed.Load():
+	case !g.view.targetsListed.Load():
 		return false, "no list of targets"
 	}
 	return true, ""
@@ -119,34 +123,34 @@
 
 // Bounds implements port.InboundHandler.
 func (g *Gateway) Bounds() port.CallerBounds {
-	t := g.picture.table.Load()
+	t := g.view.routeTable.Load()
 	if t == nil {
 		return port.CallerBounds{}
 	}
 	return port.CallerBounds{HeaderBytes: t.Limits.HeaderBytes, BodyBytes: t.Limits.BodyBytes, Idle: t.Limits.Idle}
 }
 
-// Closing reports whether connections are to be closed after the answer.
+// Closing reports whether to close each connection after its response.
 func (g *Gateway) Closing() bool { return g.closing.Load() }
 
 const (
-	// leaveTime is the time for which a stopping gateway still serves requests
+	// shutdownDelay is the time for which a stopping gateway still accepts requests
 	// on open connections. The platform takes it out of rotation within 2 s.
-	leaveTime = 2500 * time.Millisecond
-	// stopMargin is left of the grace period for the end of the process.
-	stopMargin = 500 * time.Millisecond
+	shutdownDelay = 2500 * time.Millisecond
+	// exitMargin is the part of the grace period reserved for the process to exit.
+	exitMargin = 500 * time.Millisecond
 )
 
-// Stop takes the gateway out of service: it reports that it is not ready, serves
-// what still comes for a while, refuses new requests then, and waits for those
-// in progress.
+// Stop takes the gateway out of service. It reports that it is not ready, accepts
+// requests for shutdownDelay, then refuses new ones and waits for those in progress,
+// at most until the grace period ends.
 func (g *Gateway) Stop() {
 	start := g.deps.Clock.Now()
 	g.closing.Store(true)
-	g.deps.Log.State("stopping", logging.Millis("grace_ms", g.set.Grace))
-	<-g.deps.Clock.After(leaveTime)
+	g.deps.Log.State("stopping", logging.Millis("grace_ms", g.settings.Grace))
+	<-g.deps.Clock.After(shutdownDelay)
 	g.refusing.Store(true)
-	deadline := g.deps.Clock.After(max(0, g.set.Grace-stopMargin-g.deps.Clock.Now().Sub(start)))
+	deadline := g.deps.Clock.After(max(0, g.settings.Grace-exitMargin-g.deps.Clock.Now().Sub(start)))
 	for !g.active.Idle() {
 		select {
 		case <-g.active.Left():
--- a/internal/app/gateway/gauges.go
+++ b/internal/app/gateway/gauges.go
@@ -7,35 +7,35 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// gaugesEvery is the time between two records of the gauges. Metrics are scraped
-// every 5 s or more rarely.
-const gaugesEvery = 5 * time.Second
+// gaugeInterval is the time between two updates of the gauges. Metrics are scraped
+// at most every 5 s.
+const gaugeInterval = 5 * time.Second
 
-// recordGauges records what this gateway believes until ctx ends.
-func (g *Gateway) recordGauges(ctx context.Context) {
+// gaugeLoop updates the gauges of this gateway's view and load until ctx ends.
+func (g *Gateway) gaugeLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		g.recordOnce()
-		g.sleep(ctx, gaugesEvery)
+		g.setGauges()
+		g.sleep(ctx, gaugeInterval)
 	}
 }
 
-func (g *Gateway) recordOnce() {
+func (g *Gateway) setGauges() {
 	m := g.deps.Metrics
 	m.Gauge("gateway_requests_in_progress", float64(g.active.Count()))
-	m.Gauge("gateway_processes", g.picture.processes())
+	m.Gauge("gateway_processes", g.view.processes())
 	following := 0.0
-	if _, fed := g.source.Fed(g.operator.Prefix); fed {
+	if _, fed := g.source.Fed(g.operatorFollower.Prefix); fed {
 		following = 1
 	}
 	m.Gauge("gateway_follows_reader", following)
-	if g.confirmed.Load() > 0 {
-		m.Gauge("gateway_picture_age_seconds", g.pictureAge().Seconds())
+	if g.confirmedAt.Load() > 0 {
+		m.Gauge("gateway_picture_age_seconds", g.viewAge().Seconds())
 	}
-	if t := g.picture.table.Load(); t != nil {
+	if t := g.view.routeTable.Load(); t != nil {
 		m.Gauge("gateway_config_version", float64(t.Version))
 	}
 	now := g.deps.Clock.Now()
-	for service, u := range g.targets.Usage(now, g.picture.processes()) {
+	for service, u := range g.targets.Usage(now, g.view.processes()) {
 		a := port.Attr{Key: "service", Value: string(service)}
 		m.Gauge("gateway_targets", float64(u.Targets), a)
 		m.Gauge("gateway_target_places", float64(u.Places), a)
--- a/internal/app/gateway/harness_test.go
+++ b/internal/app/gateway/harness_test.go
@@ -20,7 +20,8 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// facts is a reader of items whose value names an entry of the map.
+// facts is a port.FactReader that returns the fact stored under an item's key. A nil
+// fact makes the item unreadable.
 type facts map[string]port.Fact
 
 func (f facts) Prefixes() port.Prefixes {
@@ -34,66 +35,69 @@
 	return f[it.Key], nil
 }
 
-// reply is what a target does with a request.
-type reply struct {
+// scriptedReply is the outcome of one request sent through a forwarder.
+type scriptedReply struct {
 	err    error
 	status int
-	// body is read piece by piece; end is the error behind it, io.EOF if nil.
-	body []string
-	end  error
-	// wait is the time before the answer; it ends with the request.
-	wait time.Duration
+	// body holds the data of each read, and bodyErr the error after the last one; nil
+	// stands for io.EOF.
+	body    []string
+	bodyErr error
+	// delay is the time before the response. It ends early with the request.
+	delay time.Duration
 }
 
-type target struct {
+// forwarder is a port.Forwarder that returns replies in order, and then status 200. It
+// records each request and its address.
+type forwarder struct {
 	mu      sync.Mutex
-	replies []reply
+	replies []scriptedReply
 	sent    []port.Forward
 	to      []fleet.Address
 }
 
-func (t *target) Forward(ctx context.Context, to fleet.Address, f port.Forward) (*port.ForwardAnswer, error) {
-	t.mu.Lock()
-	t.sent, t.to = append(t.sent, f), append(t.to, to)
-	r := reply{status: 200, body: []string{"ok"}}
-	if n := len(t.sent); n <= len(t.replies) {
-		r = t.replies[n-1]
+func (fw *forwarder) Forward(ctx context.Context, to fleet.Address, f port.Forward) (*port.ForwardAnswer, error) {
+	fw.mu.Lock()
+	fw.sent, fw.to = append(fw.sent, f), append(fw.to, to)
+	r := scriptedReply{status: 200, body: []string{"ok"}}
+	if n := len(fw.sent); n <= len(fw.replies) {
+		r = fw.replies[n-1]
 	}
-	t.mu.Unlock()
-	if r.wait > 0 {
+	fw.mu.Unlock()
+	if r.delay > 0 {
 		select {
 		case <-ctx.Done():
-			return nil, verdict.Wrap(ctx.Err(), verdict.MayHaveRun, verdict.CodeTargetLost, "no answer")
-		case <-time.After(r.wait):
+			return nil, verdict.Wrap(ctx.Err(), verdict.MayHaveRun, verdict.CodeTargetLost, "no response")
+		case <-time.After(r.delay):
 		}
 	}
 	if r.err != nil {
 		return nil, r.err
 	}
-	if r.end == nil {
-		r.end = io.EOF
+	if r.bodyErr == nil {
+		r.bodyErr = io.EOF
 	}
-	return &port.ForwardAnswer{Status: r.status, Header: port.Header{"X-Run": {fmt.Sprint(len(t.sent))}}, Length: -1, Body: &pieces{r.body, r.end}}, nil
+	return &port.ForwardAnswer{Status: r.status, Header: port.Header{"X-Run": {fmt.Sprint(len(fw.sent))}}, Length: -1, Body: &bodyReader{r.body, r.bodyErr}}, nil
 }
 
-// pieces returns one piece for each read.
-type pieces struct {
-	left []string
-	end  error
+// bodyReader returns one segment per read, and err after the last one.
+type bodyReader struct {
+	segments []string
+	err      error
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
-	if len(p.left) == 0 {
-		return 0, p.end
+func (p *bodyReader) Read(b []byte) (int, error) {
+	if len(p.segments) == 0 {
+		return 0, p.err
 	}
-	n := copy(b, p.left[0])
-	p.left = p.left[1:]
+	n := copy(b, p.segments[0])
+	p.segments = p.segments[1:]
 	return n, nil
 }
-func (p *pieces) Close() error { return nil }
+func (p *bodyReader) Close() error { return nil }
 
-// caller records the answer to a request.
-type caller struct {
+// callerRecorder is a port.Outbound that records the response.
+type callerRecorder struct {
 	status  int
 	header  port.Header
 	body    bytes.Buffer
@@ -101,16 +105,16 @@
 	aborted bool
 }
 
-func (c *caller) Head(h port.OutboundHead) error {
+func (c *callerRecorder) Head(h port.OutboundHead) error {
 	c.status, c.header = h.Status, h.Header
 	return nil
 }
-func (c *caller) Data(b []byte) error {
+func (c *callerRecorder) Data(b []byte) error {
 	c.body.Write(b)
 	return nil
 }
-func (c *caller) Refuse(e *verdict.Error) { c.refused = e }
-func (c *caller) Abort()                  { c.aborted = true }
+func (c *callerRecorder) Refuse(e *verdict.Error) { c.refused = e }
+func (c *callerRecorder) Abort()                  { c.aborted = true }
 
 type noMetrics struct{}
 
@@ -118,32 +122,33 @@
 func (noMetrics) Seconds(string, time.Duration, ...port.Attr) {}
 func (noMetrics) Gauge(string, float64, ...port.Attr)         {}
 
-// clock is the system clock with a time since boot that tests move.
+// clock is the system clock with a time since boot that tests control.
 type clock struct {
 	sysclock.Clock
-	mu   sync.Mutex
-	boot time.Duration
+	mu        sync.Mutex
+	sinceBoot time.Duration
 }
 
 func (c *clock) SinceBoot() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.boot
+	return c.sinceBoot
 }
 
-func (c *clock) forward(d time.Duration) {
+func (c *clock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.boot += d
+	c.sinceBoot += d
 }
 
-// bed is a gateway with two targets of one service in domains a and b.
-type bed struct {
+// testGateway is a gateway with one service, which has a target in domain a and one in
+// domain b. It does not run; tests apply changes of the store directly.
+type testGateway struct {
 	*Gateway
-	target *target
-	clock  *clock
-	facts  facts
-	log    *bytes.Buffer
+	forwarder *forwarder
+	clock     *clock
+	facts     facts
+	log       *bytes.Buffer
 }
 
 var route = routes.Route{
@@ -151,55 +156,56 @@
 	MaxAttempts: 2, Shares: []routes.Share{{Service: "s", Weight: 1}},
 }
 
-func newBed(t *testing.T, r routes.Route, replies ...reply) *bed {
+// newTestGateway returns a gateway with route r whose targets answer with replies.
+func newTestGateway(t *testing.T, r routes.Route, replies ...scriptedReply) *testGateway {
 	t.Helper()
-	b := &bed{target: &target{replies: replies}, clock: &clock{boot: time.Hour}, facts: facts{}, log: &bytes.Buffer{}}
-	set := Settings{
+	gw := &testGateway{forwarder: &forwarder{replies: replies}, clock: &clock{sinceBoot: time.Hour}, facts: facts{}, log: &bytes.Buffer{}}
+	s := Settings{
 		Settings: enroll.Settings{Domain: "a", Regions: map[fleet.Domain]fleet.Region{"a": "ra", "b": "rb"}}, KeyBound: 5 * time.Second,
 		WeightsBound: 8 * time.Second, RetryRatio: 0.2, RetrySlack: 100, RetryWindow: 10 * time.Second,
 	}
-	b.Gateway = New(set, Deps{
-		Facts: b.facts, Targets: b.target, Clock: b.clock, Rand: sysclock.Rand{}, Metrics: noMetrics{},
-		Log: logging.New(b.log, "masticwing-gateway", "g"),
+	gw.Gateway = New(s, Deps{
+		Facts: gw.facts, Targets: gw.forwarder, Clock: gw.clock, Rand: sysclock.Rand{}, Metrics: noMetrics{},
+		Log: logging.New(gw.log, "masticwing-gateway", "g"),
 	})
-	b.operator = follow.New(nil, "op/", time.Second, func() time.Duration { return time.Millisecond }, b.clock, b.deps.Log)
-	b.configure(1, r)
+	gw.operatorFollower = follow.New(nil, "op/", time.Second, func() time.Duration { return time.Millisecond }, gw.clock, gw.deps.Log)
+	gw.applyConfig(1, r)
 	for _, id := range []string{"a", "b"} {
-		b.put("targets/"+id, 1, port.TargetFact{Target: port.TargetRecord{
+		gw.applyFact("targets/"+id, 1, port.TargetFact{Target: port.TargetRecord{
 			Instance: fleet.Instance(id), Service: "s", Address: fleet.Address(id), Domain: fleet.Domain(id), Places: 4,
 		}})
 	}
-	b.confirmed.Store(int64(b.clock.SinceBoot()))
-	return b
+	gw.confirmedAt.Store(int64(gw.clock.SinceBoot()))
+	return gw
 }
 
-func (b *bed) configure(version int64, rs ...routes.Route) {
-	b.put("op/config", version, port.ConfigFact{Config: routes.Config{
+func (gw *testGateway) applyConfig(version int64, rs ...routes.Route) {
+	gw.applyFact("op/config", version, port.ConfigFact{Config: routes.Config{
 		Version: version, Routes: rs, Services: []routes.Service{{Name: "s"}},
 		Accounts: []routes.Account{{Name: "t", Keys: []string{"k"}}},
 	}})
 }
 
-// put makes a change of a key known to the gateway.
-func (b *bed) put(key string, revision int64, f port.Fact) {
-	b.facts[key] = f
+// applyFact applies a change of a key to the gateway's view.
+func (gw *testGateway) applyFact(key string, revision int64, f port.Fact) {
+	gw.facts[key] = f
 	e := follow.Event{Changes: []port.Change{{Item: port.Item{Key: key, Revision: revision}}}}
 	if strings.HasPrefix(key, "op/") {
-		b.picture.applyOperator(e, b.clock.Now())
+		gw.view.applyOperatorKeys(e, gw.clock.Now())
 	} else {
-		b.picture.applyTargets(e)
+		gw.view.applyTargets(e)
 	}
 }
 
-func inbound() *port.Inbound {
+func newInbound() *port.Inbound {
 	return &port.Inbound{
 		ID: "1", Method: "GET", Host: "h", URI: "/p/x", Path: "/p/x", Key: "k", Header: port.Header{},
 		Received: time.Now(), Patience: time.Second,
 	}
 }
 
-func (b *bed) ask(in *port.Inbound) *caller {
-	c := &caller{}
-	b.Serve(context.Background(), in, c)
+func (gw *testGateway) request(in *port.Inbound) *callerRecorder {
+	c := &callerRecorder{}
+	gw.Serve(context.Background(), in, c)
 	return c
 }
--- a/internal/app/gateway/loads.go
+++ b/internal/app/gateway/loads.go
@@ -9,50 +9,53 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// receiveLoads takes in the load of targets. A socket that fails is opened
-// again.
-func (g *Gateway) receiveLoads(ctx context.Context) {
+// receiveLoadReports receives load reports of targets and notices of other gateways.
+// It reopens the socket after an error.
+func (g *Gateway) receiveLoadReports(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := loadcast.Receive(ctx, g.set.Internal, g); err != nil {
-			g.deps.Log.Fault("load reports", err)
+		if err := loadcast.Receive(ctx, g.settings.Internal, g); err != nil {
+			g.deps.Log.Fault("receiving load reports failed", err)
 			g.sleep(ctx, time.Second)
 		}
 	}
 }
 
-// Reported implements loadcast.Handler.
+// Reported records the load that a target reports. It implements loadcast.Handler.
 func (g *Gateway) Reported(r loadcast.Report) {
 	if id, ok := g.targets.InstanceAt(r.Target); ok {
 		g.targets.Report(id, r.Load, g.deps.Clock.Now())
 	}
 }
 
-// Notified implements loadcast.Handler.
+// Notified records a request that another gateway has sent to a target. It implements
+// loadcast.Handler.
 func (g *Gateway) Notified(n loadcast.Notice) {
 	if id, ok := g.targets.InstanceAt(n.Target); ok {
-		g.targets.Sent(id, g.picture.pace.Load().ReadTime(n.PromptTokens), g.deps.Clock.Now())
+		g.targets.Sent(id, g.view.engineTiming.Load().ReadTime(n.PromptTokens), g.deps.Clock.Now())
 	}
 }
 
-// notify tells the other gateways of a request that goes to an engine. They would
-// learn of it from the engine's next report, after others went there as well.
-func (g *Gateway) notify(target fleet.Address, tokens int) {
-	s := g.sender.Load()
+// notifyGateways tells the other gateways about a request to an engine. Without the
+// notice they would see it only in the engine's next load report, and could send more
+// requests to the same engine in the meantime.
+func (g *Gateway) notifyGateways(target fleet.Address, tokens int) {
+	s := g.noticeSender.Load()
 	if s == nil {
 		return
 	}
-	if err := s.Notify(loadcast.Notice{Target: target, PromptTokens: tokens}, *g.picture.others.Load()); err != nil {
+	if err := s.Notify(loadcast.Notice{Target: target, PromptTokens: tokens}, *g.view.otherGateways.Load()); err != nil {
 		g.deps.Metrics.Count("gateway_notices_unsent_total", 1)
 	}
 }
 
-// openSender opens the socket for notices.
-func (g *Gateway) openSender() {
-	a, err := netip.ParseAddrPort(string(g.set.Internal))
+// openNoticeSender opens the socket for notices to other gateways. If this fails, the
+// gateway runs without sending notices.
+func (g *Gateway) openNoticeSender() {
+	a, err := netip.ParseAddrPort(string(g.settings.Internal))
 	if err == nil {
 		var s *loadcast.Sender
 		if s, err = loadcast.NewSender(a.Addr()); err == nil {
-			g.sender.Store(s)
+			g.noticeSender.Store(s)
 			return
 		}
 	}
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -13,63 +13,63 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// call is one caller's request on its way through a gateway.
+// call is the state of one caller's request.
 type call struct {
 	g     *Gateway
 	in    *port.Inbound
 	out   port.Outbound
 	route *routes.Route
-	// account is nil for anonymous requests.
-	account *routes.Account
-	service *routes.Service
-	table   *routes.Table
-	// until is the end of the caller's patience or of the route's timeout,
-	// whichever comes first.
-	until time.Time
-	// sends counts the times that the request was sent, and runs those that may
-	// have run.
+	// account is nil if the request needed no API key.
+	account    *routes.Account
+	service    *routes.Service
+	routeTable *routes.Table
+	// deadline is the caller's deadline or the end of the route's timeout, whichever
+	// is earlier.
+	deadline time.Time
+	// sends counts the attempts to send the request, and runs those after which a
+	// target may have run it.
 	sends, runs int
 	tried       map[fleet.Instance]bool
-	last        placement.Choice
+	lastChoice  placement.Choice
 	relay       relay
-	// fallback is a failure of a target that is delivered unless another target
-	// serves the request.
-	fallback *answered
+	// fallback is a target's response with a 5xx status. It is delivered if no retry
+	// succeeds.
+	fallback *bufferedResponse
 }
 
-// Serve implements port.InboundHandler.
+// Serve answers a caller's request. It implements port.InboundHandler.
 func (g *Gateway) Serve(ctx context.Context, in *port.Inbound, out port.Outbound) {
 	g.active.Enter()
 	defer g.active.Leave()
 	c := &call{g: g, in: in, out: out, tried: map[fleet.Instance]bool{}}
-	if e := c.admit(); e != nil {
+	if e := c.resolve(); e != nil {
 		c.refuse(e)
 		return
 	}
-	ctx, cancel := context.WithDeadline(ctx, c.until)
+	ctx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
-	c.run(ctx)
+	c.forward(ctx)
 }
 
-// retryShort is the pause that callers are told when a gateway can't serve for
-// a reason of its own; another gateway probably can.
-const retryShort = 100 * time.Millisecond
+// localRetryAfter is the retry delay in responses of a gateway that cannot serve for a
+// reason of its own. Another gateway probably can, so it is short.
+const localRetryAfter = 100 * time.Millisecond
 
-// defaultPatience bounds requests that state no deadline on routes without a
-// timeout.
-const defaultPatience = 30 * time.Second
+// defaultTimeout bounds requests without a deadline on routes without a timeout.
+const defaultTimeout = 30 * time.Second
 
-// admit finds the route, the account and the service of a request.
-func (c *call) admit() *verdict.Error {
+// resolve finds the route, the account and the service of the request and sets its
+// deadline.
+func (c *call) resolve() *verdict.Error {
 	g := c.g
-	c.table = g.picture.table.Load()
+	c.routeTable = g.view.routeTable.Load()
 	switch {
 	case g.refusing.Load():
-		return verdict.New(verdict.NotRun, verdict.CodeShuttingDown, "gateway is shutting down").After(retryShort)
-	case c.table == nil:
-		return verdict.New(verdict.NotRun, verdict.CodeNoConfiguration, "no configuration is known").After(retryShort)
+		return verdict.New(verdict.NotRun, verdict.CodeShuttingDown, "gateway is shutting down").After(localRetryAfter)
+	case c.routeTable == nil:
+		return verdict.New(verdict.NotRun, verdict.CodeNoConfiguration, "no configuration is known").After(localRetryAfter)
 	}
-	r, ok := c.table.Match(c.in.Host, c.in.Path)
+	r, ok := c.routeTable.Match(c.in.Host, c.in.Path)
 	if !ok {
 		return verdict.New(verdict.NotRun, verdict.CodeUnknownService, "no route for this host and path")
 	}
@@ -79,43 +79,43 @@
 	}
 	name, ok := r.Pick(requestHash(c.in.ID))
 	if ok {
-		c.service, ok = c.table.Service(name)
+		c.service, ok = c.routeTable.Service(name)
 	}
 	if !ok {
 		return verdict.New(verdict.NotRun, verdict.CodeNoTarget, "route has no service").After(time.Second)
 	}
-	patience := c.in.Patience
-	if patience == 0 {
-		patience = defaultPatience
+	timeout := c.in.Patience
+	if timeout == 0 {
+		timeout = defaultTimeout
 	}
 	if r.Timeout > 0 {
-		patience = min(patience, r.Timeout)
+		timeout = min(timeout, r.Timeout)
 	}
-	c.until = c.in.Received.Add(patience)
+	c.deadline = c.in.Received.Add(timeout)
 	return nil
 }
 
-// authenticate finds the account that holds the request's key. A picture that
-// was not confirmed for too long may hold a key that was taken away.
+// authenticate finds the account of the request's API key. It refuses the request if the
+// view was not confirmed for too long, since the key may have been removed.
 func (c *call) authenticate() *verdict.Error {
-	if !c.table.Keyed() || c.route.Anonymous {
+	if !c.routeTable.Keyed() || c.route.Anonymous {
 		return nil
 	}
-	if age := c.g.pictureAge(); c.g.confirmed.Load() == 0 || age > c.g.set.KeyBound-keyMargin {
-		return verdict.New(verdict.NotRun, verdict.CodeStalePicture, "keys were last confirmed %v ago", age.Round(time.Millisecond)).
-			After(retryShort)
+	if age := c.g.viewAge(); c.g.confirmedAt.Load() == 0 || age > c.g.settings.KeyBound-keyBoundMargin {
+		return verdict.New(verdict.NotRun, verdict.CodeStalePicture, "API keys were last confirmed %v ago", age.Round(time.Millisecond)).
+			After(localRetryAfter)
 	}
-	a, ok := c.table.Account(c.in.Key)
+	a, ok := c.routeTable.Account(c.in.Key)
 	if !ok {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknownCustomer, "key is not known")
+		return verdict.New(verdict.NotRun, verdict.CodeUnknownCustomer, "API key is not known")
 	}
 	c.account = a
 	return nil
 }
 
-// keyMargin covers the time between the check of a key and the request's start
-// at a target.
-const keyMargin = 100 * time.Millisecond
+// keyBoundMargin covers the time between the check of an API key and the start of the
+// request at a target.
+const keyBoundMargin = 100 * time.Millisecond
 
 func requestHash(id fleet.RequestID) uint64 {
 	h := fnv.New64a()
@@ -123,8 +123,9 @@
 	return h.Sum64()
 }
 
-// allowed returns the regions that may serve the request, or nil for all.
-func (c *call) allowed() func(fleet.Region) bool {
+// regionFilter returns a function that reports whether targets of a region may serve the
+// request, or nil if all regions may.
+func (c *call) regionFilter() func(fleet.Region) bool {
 	var sets [][]fleet.Region
 	if len(c.route.Regions) > 0 {
 		sets = append(sets, c.route.Regions)
@@ -137,7 +138,7 @@
 	}
 	return func(r fleet.Region) bool {
 		for _, s := range sets {
-			if !contains(s, r) {
+			if !containsRegion(s, r) {
 				return false
 			}
 		}
@@ -145,7 +146,7 @@
 	}
 }
 
-func contains(rs []fleet.Region, r fleet.Region) bool {
+func containsRegion(rs []fleet.Region, r fleet.Region) bool {
 	for _, x := range rs {
 		if x == r {
 			return true
@@ -155,87 +156,89 @@
 }
 
 const (
-	// engineBeyond is the number of requests that may wait at a model engine
-	// beyond its places. An engine ends about nine requests a second, so that
-	// one waits about 0.1 s of an objective of 0.4 s. A second one makes a tenth
-	// of the answers late; without any, places stand empty.
-	engineBeyond = 1
-	// serviceBeyond is the same for plain services. Their calls take 15 to 30 ms,
+	// engineQueueLimit is the number of requests that may wait at a model engine
+	// beyond its slots. An engine completes about nine requests a second, so that
+	// one waits about 0.1 s of an objective of 0.4 s. With a second one, a tenth of
+	// the responses are late; with none, slots stay idle.
+	engineQueueLimit = 1
+	// serviceQueueLimit is the same for plain services. Their calls take 15 to 30 ms,
 	// so that the last one waits less than the shortest objective, 100 ms.
-	serviceBeyond = 12
-	// weightsMargin is the time before the bound from which targets with older
-	// weights get no requests. A request for a free place starts within 0.4 s.
+	serviceQueueLimit = 12
+	// weightsMargin is how long before WeightsBound targets with older weights stop
+	// getting requests. A request for a free slot starts within 0.4 s.
 	weightsMargin = 1200 * time.Millisecond
-	// fadeMargin is the same for requests that would wait at a full engine, which
-	// takes more than a second at times.
-	fadeMargin = 3 * time.Second
+	// queuedWeightsMargin is the same for requests that would wait at a full engine,
+	// which sometimes takes more than a second.
+	queuedWeightsMargin = 3 * time.Second
 )
 
-// query describes the target that the request needs now.
-func (c *call) query(now time.Time) placement.Query {
-	d := c.g.picture.declared.Load()
+// placementQuery returns the conditions for choosing a target at now.
+func (c *call) placementQuery(now time.Time) placement.Query {
+	d := c.g.view.declarations.Load()
 	q := placement.Query{
-		Service: c.service.Name, Own: c.g.set.Domain,
+		Service: c.service.Name, Own: c.g.settings.Domain,
 		Cordoned: func(x fleet.Domain) bool { return d.cordons[x] },
-		Allowed:  c.allowed(), Tried: c.tried,
-		Processes: c.g.picture.processes(), ColdPerSecond: c.service.ColdPerSecond,
+		Allowed:  c.regionFilter(), Tried: c.tried,
+		Processes: c.g.view.processes(), ColdPerSecond: c.service.ColdPerSecond,
 	}
 	if e := c.service.Engine; e != nil {
-		q.Beyond = engineBeyond
+		q.Beyond = engineQueueLimit
 		q.Read, q.Write = e.Pace.ReadTime(c.in.Work.PromptTokens), e.Pace.WriteTime()
 		q.NeedsWeights = true
-		q.MinWeights = d.oldest(c.in.Work.Model, c.g.set.WeightsBound-weightsMargin, now)
-		q.Fading = d.oldest(c.in.Work.Model, c.g.set.WeightsBound-fadeMargin, now)
+		q.MinWeights = d.minWeightsVersion(c.in.Work.Model, c.g.settings.WeightsBound-weightsMargin, now)
+		q.Fading = d.minWeightsVersion(c.in.Work.Model, c.g.settings.WeightsBound-queuedWeightsMargin, now)
 	} else {
-		q.Beyond = serviceBeyond
+		q.Beyond = serviceQueueLimit
 	}
 	return q
 }
 
-// urgency orders the requests that wait in an engine.
+// urgency returns the request's rank among those that wait in an engine, 0 first, or -1
+// for a plain service. The account's priority overrides that of the route.
 func (c *call) urgency() int {
 	if c.service.Engine == nil {
 		return -1
 	}
-	const lowest = 9
+	const leastUrgent = 9
 	p := c.route.Priority
 	if c.account != nil && c.account.HasPriority {
 		p = c.account.Priority
 	}
-	return min(max(p, 0), lowest)
+	return min(max(p, 0), leastUrgent)
 }
 
-// refuse answers with an error of the gateway and logs why.
+// refuse responds with an error and logs it.
 func (c *call) refuse(e *verdict.Error) {
 	c.out.Refuse(e)
-	c.log("refused", e, 0)
+	c.logRequest("refused", e, 0)
 }
 
-// log writes the line of a request that has ended.
-func (c *call) log(outcome string, e *verdict.Error, status int) {
+// logRequest writes the log line and the metrics of a request that has ended. status is
+// zero if no response was sent.
+func (c *call) logRequest(outcome string, e *verdict.Error, status int) {
 	g := c.g
 	now := g.deps.Clock.Now()
 	fs := []logging.Field{
 		logging.F("request", string(c.in.ID)), logging.F("outcome", outcome),
 		logging.Millis("took_ms", now.Sub(c.in.Received)),
 		logging.F("sends", c.sends), logging.F("runs", c.runs),
-		logging.Millis("picture_age_ms", g.pictureAge()),
+		logging.Millis("picture_age_ms", g.viewAge()),
 	}
 	route, class := "", "unknown"
 	if c.route != nil {
 		route, class = c.route.Name, c.route.Kind.String()
-		fs = append(fs, logging.F("route", route), logging.F("config", c.table.Version))
+		fs = append(fs, logging.F("route", route), logging.F("config", c.routeTable.Version))
 	}
 	if c.account != nil {
 		fs = append(fs, logging.F("account", string(c.account.Name)))
 	}
-	if c.last.Instance != "" {
-		fs = append(fs, logging.F("target", string(c.last.Instance)), logging.F("target_domain", string(c.last.Domain)),
-			logging.F("target_load", c.last.Estimate), logging.Millis("predicted_first_ms", c.last.First), logging.Millis("load_age_ms", c.last.LoadAge))
+	if c.lastChoice.Instance != "" {
+		fs = append(fs, logging.F("target", string(c.lastChoice.Instance)), logging.F("target_domain", string(c.lastChoice.Domain)),
+			logging.F("target_load", c.lastChoice.Estimate), logging.Millis("predicted_first_ms", c.lastChoice.First), logging.Millis("load_age_ms", c.lastChoice.LoadAge))
 	}
 	if n := c.relay.events.Events(); n > 0 {
-		fs = append(fs, logging.F("events", n), logging.Millis("first_ms", c.relay.first),
-			logging.Millis("longest_gap_ms", c.relay.gap), logging.Millis("objective_ms", c.route.Objective),
+		fs = append(fs, logging.F("events", n), logging.Millis("first_ms", c.relay.firstEventAfter),
+			logging.Millis("longest_gap_ms", c.relay.longestGap), logging.Millis("objective_ms", c.route.Objective),
 			logging.F("prompt_tokens", c.in.Work.PromptTokens), logging.F("expected_tokens", c.in.Work.ExpectedTokens))
 	}
 	if status != 0 {
--- a/internal/app/gateway/settings.go
+++ b/internal/app/gateway/settings.go
@@ -10,7 +10,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Settings are the settings of masticwing-gateway.
+// Settings holds the configuration of a masticwing-gateway process.
 type Settings struct {
 	daemon.Common
 	enroll.Settings
@@ -18,22 +18,25 @@
 	Callers fleet.Address
 	Ready   fleet.Address
 
-	// Grace is the time from SIGTERM to the end of the process.
+	// Grace is the time from SIGTERM by which the process must exit.
 	Grace time.Duration
-	// KeyBound is the longest time for which a key may be used after it was
-	// taken away.
+	// KeyBound is the longest time for which an API key may still be accepted after the
+	// operators removed it.
 	KeyBound time.Duration
-	// WeightsBound is the time after which declared weights must be in use.
+	// WeightsBound is the time after which newly declared weights must be in use.
 	WeightsBound time.Duration
 
+	// RetryRatio, RetrySlack and RetryWindow configure the retry budget that all
+	// gateways share, per service: RetryRatio retries per request plus RetrySlack
+	// retries, within each RetryWindow.
 	RetryRatio, RetrySlack float64
 	RetryWindow            time.Duration
-	// Memory is the most that the process may use.
+	// Memory is the memory limit of the process in bytes.
 	Memory int64
 }
 
-// member returns the entry of this gateway in the store.
-func (c *Settings) member() port.StoredMember {
+// storedMember returns the record under which this gateway registers in the store.
+func (c *Settings) storedMember() port.StoredMember {
 	return port.StoredMember{
 		ID: c.ID, Kind: fleet.KindEntry.String(), Domain: c.Domain, Region: c.Regions[c.Domain], Address: c.Internal,
 	}
@@ -44,19 +47,19 @@
 	gib = 1 << 30
 )
 
-// Register registers all keys.
+// Register adds all settings of the gateway to s.
 func (c *Settings) Register(s *settings.Set) {
 	c.Common.Register(s)
 	c.Settings.Register(s)
 	s.Address("listen", "callers", &c.Callers, settings.Required, "Address for callers.")
 	s.Address("listen", "ready", &c.Ready, settings.Required, "Address of the platform's readiness checks.")
-	s.Duration("limits", "grace", &c.Grace, 8*time.Second, time.Second, time.Hour, "Time from SIGTERM to the end of the process.")
+	s.Duration("limits", "grace", &c.Grace, 8*time.Second, time.Second, time.Hour, "Time from SIGTERM by which the process must exit.")
 	s.Duration("limits", "key_bound", &c.KeyBound, 5*time.Second, 100*time.Millisecond, time.Hour,
-		"Longest use of a key after it was taken away.")
+		"Longest time for which a removed API key may still be accepted.")
 	s.Duration("limits", "weights_bound", &c.WeightsBound, 8*time.Second, 100*time.Millisecond, time.Hour,
 		"Time after which declared weights must be in use.")
-	s.Float("retries", "ratio", &c.RetryRatio, 0.2, 0, 10, "Repeats per request that all gateways may send to a service.")
-	s.Float("retries", "slack", &c.RetrySlack, 100, 0, 1e6, "Repeats that all gateways may send besides.")
-	s.Duration("retries", "window", &c.RetryWindow, 10*time.Second, 100*time.Millisecond, time.Hour, "Window of both.")
+	s.Float("retries", "ratio", &c.RetryRatio, 0.2, 0, 10, "Retries per request that all gateways together may send to a service.")
+	s.Float("retries", "slack", &c.RetrySlack, 100, 0, 1e6, "Retries that all gateways together may send to a service in addition.")
+	s.Duration("retries", "window", &c.RetryWindow, 10*time.Second, 100*time.Millisecond, time.Hour, "Window in which ratio and slack apply.")
 	s.Bytes("limits", "memory", &c.Memory, 256*mib, 16*mib, 1024*gib, "Memory of the process.")
 }
--- a/internal/app/gateway/stall.go
+++ b/internal/app/gateway/stall.go
@@ -10,76 +10,77 @@
 )
 
 const (
-	// stallFactor is the part of the objective after which a request that may be
-	// sent again is taken from a target that sends nothing, as a multiple.
-	stallFactor = 3.0
-	// stallLeast is the shortest such time; a full engine takes up to a second.
-	stallLeast = 300 * time.Millisecond
-	// streamStall is the same for streams. Callers leave after 3.2 s.
-	streamStall = 1300 * time.Millisecond
+	// stallObjectiveFactor times the route's objective is the time after which an
+	// attempt at a target that sends nothing is abandoned, if the request may be retried.
+	stallObjectiveFactor = 3.0
+	// minStallTimeout is the lower bound of that time; a full engine takes up to a second.
+	minStallTimeout = 300 * time.Millisecond
+	// streamStallTimeout is the fixed time for streams, whose callers give up after 3.2 s.
+	streamStallTimeout = 1300 * time.Millisecond
 )
 
-// stall ends an attempt at a target that sends nothing. Its context ends then,
-// while that of the request goes on.
-type stall struct {
+// stallWatch cancels an attempt at a target that sends nothing. It cancels only the
+// context of the attempt, so that the request can be retried at another target.
+type stallWatch struct {
 	// start is the time at which the attempt began.
-	start  time.Time
-	after  time.Duration
-	cancel context.CancelFunc
+	start   time.Time
+	timeout time.Duration
+	cancel  context.CancelFunc
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// timer is nil if the attempt is not watched or has ended; mu guards it.
 	timer *time.Timer
 }
 
-// watchStall returns the context of one attempt. Only requests that may be sent
-// again are watched, and only while they may.
-func (c *call) watchStall(ctx context.Context) (context.Context, *stall) {
+// startStallWatch returns the context of one attempt and its watch. The watch has a
+// timer only if the request may be retried after this attempt.
+func (c *call) startStallWatch(ctx context.Context) (context.Context, *stallWatch) {
 	ctx, cancel := context.WithCancel(ctx)
-	s := &stall{start: c.g.deps.Clock.Now(), cancel: cancel}
+	s := &stallWatch{start: c.g.deps.Clock.Now(), cancel: cancel}
 	if !c.route.Repeatable() || c.runs+1 >= c.route.MaxAttempts {
 		return ctx, s
 	}
-	s.after = max(stallLeast, time.Duration(stallFactor*float64(c.route.Objective)))
+	s.timeout = max(minStallTimeout, time.Duration(stallObjectiveFactor*float64(c.route.Objective)))
 	if c.route.Kind == routes.Streaming {
-		s.after = streamStall
+		s.timeout = streamStallTimeout
 	}
-	q := c.query(s.start)
+	q := c.placementQuery(s.start)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.timer = time.AfterFunc(s.after, func() { s.expire(c.g, q) })
+	s.timer = time.AfterFunc(s.timeout, func() { s.expire(c.g, q) })
 	return ctx, s
 }
 
-// stallRetry is the pause after which a silent target is looked at again if no
-// other target has room.
-const stallRetry = 200 * time.Millisecond
+// stallRecheckDelay is the time until the next check after no other target had room
+// for the request of a stalled attempt.
+const stallRecheckDelay = 200 * time.Millisecond
 
-// expire ends the attempt if another target would take the request. Otherwise the
-// silent one may still answer, and nothing is better.
-func (s *stall) expire(g *Gateway, q placement.Query) {
+// expire cancels the attempt if another target has room for the request. Otherwise it
+// checks again later: the silent target may still respond, and a retry could not succeed.
+func (s *stallWatch) expire(g *Gateway, q placement.Query) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.timer == nil {
 		return
 	}
 	if !g.targets.Room(q, g.deps.Clock.Now()) {
-		s.timer.Reset(stallRetry)
+		s.timer.Reset(stallRecheckDelay)
 		return
 	}
 	s.cancel()
 }
 
-// progress starts the time anew.
-func (s *stall) progress() {
+// reset restarts the timer after the target has sent data.
+func (s *stallWatch) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.timer != nil {
-		s.timer.Reset(s.after)
+		s.timer.Reset(s.timeout)
 	}
 }
 
-// end stops the watch and ends the attempt.
-func (s *stall) end() {
+// stop stops the timer and cancels the context of the attempt.
+func (s *stallWatch) stop() {
 	s.mu.Lock()
 	if s.timer != nil {
 		s.timer.Stop()
--- /dev/null
+++ b/internal/app/gateway/view.go
@@ -0,0 +1,296 @@
+package gateway
+
+import (
+	"net/netip"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/masticwing/masticwing/internal/adapter/logging"
+	"github.com/masticwing/masticwing/internal/app/enroll"
+	"github.com/masticwing/masticwing/internal/app/follow"
+	"github.com/masticwing/masticwing/internal/core/feed"
+	"github.com/masticwing/masticwing/internal/core/fleet"
+	"github.com/masticwing/masticwing/internal/core/placement"
+	"github.com/masticwing/masticwing/internal/core/routes"
+	"github.com/masticwing/masticwing/internal/port"
+)
+
+// view is a gateway's copy of the operators' declarations, the targets and the other
+// gateways in the store. The atomic fields are read without a lock.
+type view struct {
+	self    port.StoredMember
+	facts   port.FactReader
+	targets *placement.Table
+	regions map[fleet.Domain]fleet.Region
+	clock   port.Clock
+	log     *logging.Logger
+
+	routeTable   atomic.Pointer[routes.Table]
+	declarations atomic.Pointer[declarations]
+	// gatewayCount is the number of gateways registered in the store, at least 1.
+	gatewayCount atomic.Int64
+	// otherGateways holds the addresses to which notices are sent.
+	otherGateways atomic.Pointer[[]netip.AddrPort]
+	// readers lists the gateways to ask for changes of the store, in order of preference.
+	readers atomic.Pointer[[]feed.Member]
+	// engineTiming is the configured speed at which engines prefill and decode.
+	engineTiming atomic.Pointer[routes.Pace]
+	// targetsListed is set after the first complete listing of the targets.
+	targetsListed atomic.Bool
+
+	mu sync.Mutex // guards the fields below
+	// operatorRevisions maps each operator key to its revision in the store.
+	operatorRevisions map[string]int64
+	members           enroll.Members
+	// instanceByKey maps the store key of each target to its instance.
+	instanceByKey map[string]fleet.Instance
+}
+
+// declarations holds what operators declare besides the configuration. It is immutable
+// once it is stored in the view.
+type declarations struct {
+	cordons map[fleet.Domain]bool
+	weights map[fleet.Model][]weightsDeclaration
+}
+
+// weightsDeclaration is a declared version of a model's weights.
+type weightsDeclaration struct {
+	version int64
+	// earliest is the earliest time at which the operators may have declared it.
+	earliest time.Time
+}
+
+func newView(s Settings, d Deps, t *placement.Table) *view {
+	v := &view{
+		self: s.storedMember(), facts: d.Facts, targets: t, regions: s.Regions, clock: d.Clock, log: d.Log,
+		operatorRevisions: map[string]int64{}, members: enroll.Members{}, instanceByKey: map[string]fleet.Instance{},
+	}
+	v.otherGateways.Store(&[]netip.AddrPort{})
+	v.readers.Store(&[]feed.Member{})
+	v.engineTiming.Store(&routes.Pace{})
+	v.gatewayCount.Store(1)
+	v.declarations.Store(&declarations{cordons: map[fleet.Domain]bool{}, weights: map[fleet.Model][]weightsDeclaration{}})
+	return v
+}
+
+// processes returns the number of gateways that send requests to the same targets.
+func (v *view) processes() float64 { return float64(max(1, v.gatewayCount.Load())) }
+
+// expectedRevisions returns the revisions of the operator keys in this view. It includes
+// the cordon key of each domain that is not cordoned, as absent.
+func (v *view) expectedRevisions(cordonKey func(fleet.Domain) string) []port.Expectation {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	var out []port.Expectation
+	for k, rev := range v.operatorRevisions {
+		out = append(out, port.Expectation{Key: k, Revision: rev})
+	}
+	for d := range v.regions {
+		if k := cordonKey(d); v.operatorRevisions[k] == 0 {
+			out = append(out, port.Expectation{Key: k})
+		}
+	}
+	return out
+}
+
+// coversConflict reports whether newer items in current account for all differences from
+// expect, so that no listing is needed. It returns false if an expected key is missing
+// from current, since removals are found by a listing, and if there is no difference.
+func (v *view) coversConflict(expect []port.Expectation, current []port.Item) bool {
+	newest := map[string]int64{}
+	for _, it := range current {
+		newest[it.Key] = it.Revision
+	}
+	differs := false
+	for _, e := range expect {
+		now := newest[e.Key]
+		if now < e.Revision {
+			return false
+		}
+		differs = differs || now > e.Revision
+	}
+	return differs
+}
+
+// applyOperatorKeys applies an event of the operator keys. earliest is the earliest time
+// at which declarations in it may have been made.
+func (v *view) applyOperatorKeys(e follow.Event, earliest time.Time) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if e.Reset {
+		clear(v.operatorRevisions)
+	}
+	next := v.declarations.Load().copy(e.Reset)
+	for _, c := range e.Changes {
+		if c.Removed {
+			delete(v.operatorRevisions, c.Key)
+		} else if c.Revision >= v.operatorRevisions[c.Key] {
+			v.operatorRevisions[c.Key] = c.Revision
+		} else {
+			continue
+		}
+		fact, err := v.facts.Read(c.Item)
+		if err != nil && c.Removed {
+			continue
+		}
+		if err != nil {
+			v.log.Fault("operator's item can't be read", err, logging.F("key", c.Key), logging.F("revision", c.Revision))
+			continue
+		}
+		v.applyFact(fact, c, next, earliest)
+	}
+	v.declarations.Store(next)
+}
+
+func (v *view) applyFact(fact port.Fact, c port.Change, next *declarations, earliest time.Time) {
+	switch f := fact.(type) {
+	case port.ConfigFact:
+		v.applyConfig(f.Config, c)
+	case port.CordonFact:
+		if c.Removed {
+			delete(next.cordons, f.Domain)
+		} else {
+			next.cordons[f.Domain] = true
+		}
+		v.log.State("cordon", logging.F("domain", string(f.Domain)), logging.F("cordoned", !c.Removed), logging.F("revision", c.Revision))
+	case port.WeightsFact:
+		next.weights[f.Model] = appendDeclaration(next.weights[f.Model], weightsDeclaration{f.Number, earliest})
+		v.log.State("weights declared", logging.F("model", string(f.Model)), logging.F("number", f.Number), logging.F("revision", c.Revision))
+	}
+}
+
+func (v *view) applyConfig(c routes.Config, from port.Change) {
+	if from.Removed {
+		return
+	}
+	current := v.routeTable.Load()
+	if current != nil && c.Version < current.Version {
+		v.log.Fault("older configuration ignored", nil, logging.F("version", c.Version), logging.F("held", current.Version))
+		return
+	}
+	t := routes.Compile(c)
+	for i := range t.Services {
+		if e := t.Services[i].Engine; e != nil {
+			v.engineTiming.Store(&e.Pace)
+		}
+	}
+	v.routeTable.Store(t)
+	v.log.State("configuration in force", logging.F("version", c.Version), logging.F("revision", from.Revision),
+		logging.F("routes", len(c.Routes)), logging.F("accounts", len(c.Accounts)))
+}
+
+// copy returns a copy that can be changed. With reset, after a new listing of the
+// operator keys, it has no cordons: the listing contains all that exist.
+func (d *declarations) copy(reset bool) *declarations {
+	next := &declarations{cordons: map[fleet.Domain]bool{}, weights: map[fleet.Model][]weightsDeclaration{}}
+	if !reset {
+		for k, v := range d.cordons {
+			next.cordons[k] = v
+		}
+	}
+	for k, v := range d.weights {
+		next.weights[k] = v
+	}
+	return next
+}
+
+// appendDeclaration returns ds with d appended, unless ds already has that version or a
+// newer one.
+func appendDeclaration(ds []weightsDeclaration, d weightsDeclaration) []weightsDeclaration {
+	if len(ds) > 0 && ds[len(ds)-1].version >= d.version {
+		return ds
+	}
+	const maxDeclarations = 8 // more than operators declare within WeightsBound
+	out := append([]weightsDeclaration(nil), ds...)
+	out = append(out, d)
+	return out[max(0, len(out)-maxDeclarations):]
+}
+
+// minWeightsVersion returns the oldest version of a model's weights that may serve
+// requests at now, or zero for any. Declared weights must be in use after bound.
+func (d *declarations) minWeightsVersion(m fleet.Model, bound time.Duration, now time.Time) int64 {
+	oldest := int64(0)
+	for _, w := range d.weights[m] {
+		if now.Sub(w.earliest) >= bound {
+			oldest = w.version
+		}
+	}
+	return oldest
+}
+
+// applyTargets updates the table of targets from an event.
+func (v *view) applyTargets(e follow.Event) {
+	now := v.clock.Now()
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	keep := map[fleet.Instance]bool{}
+	if e.Reset {
+		clear(v.instanceByKey)
+	}
+	for _, c := range e.Changes {
+		if c.Removed {
+			if id, ok := v.instanceByKey[c.Key]; ok {
+				delete(v.instanceByKey, c.Key)
+				v.targets.Remove(id)
+				v.log.State("target gone", logging.F("target", string(id)), logging.F("revision", c.Revision))
+			}
+			continue
+		}
+		fact, err := v.facts.Read(c.Item)
+		if err != nil {
+			v.log.Fault("entry of a target can't be read", err, logging.F("key", c.Key), logging.F("revision", c.Revision))
+			v.removeTarget(c.Key)
+			continue
+		}
+		if f, ok := fact.(port.TargetFact); ok {
+			keep[f.Target.Instance] = true
+			v.setTarget(c, f.Target, now)
+		}
+	}
+	if e.Reset {
+		v.targets.Retain(keep)
+		v.targetsListed.Store(true)
+	}
+}
+
+func (v *view) removeTarget(key string) {
+	if id, ok := v.instanceByKey[key]; ok {
+		delete(v.instanceByKey, key)
+		v.targets.Remove(id)
+	}
+}
+
+func (v *view) setTarget(c port.Change, r port.TargetRecord, now time.Time) {
+	t := placement.Target{
+		Instance: r.Instance, Service: r.Service, Address: r.Address, Domain: r.Domain, Region: v.regions[r.Domain],
+		Places: r.Places, Draining: r.Draining, Started: r.Started,
+	}
+	if r.ColdLeft > 0 {
+		t.ColdUntil = now.Add(r.ColdLeft)
+	}
+	for _, h := range r.Held {
+		t.Weights = max(t.Weights, h.Number)
+	}
+	v.instanceByKey[c.Key] = r.Instance
+	v.targets.Set(t)
+	v.log.State("target", logging.F("target", string(t.Instance)), logging.F("service", string(t.Service)),
+		logging.F("address", string(t.Address)), logging.F("domain", string(t.Domain)), logging.F("draining", t.Draining),
+		logging.Millis("cold_ms", r.ColdLeft), logging.F("weights", t.Weights), logging.F("revision", c.Revision))
+}
+
+// applyMembers updates the gateway count, the notice addresses and the readers from an
+// event of the registered processes.
+func (v *view) applyMembers(e follow.Event) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.members.Apply(e, v.facts, v.log)
+	count, otherGateways := v.members.Gateways(v.self.ID)
+	readers := v.members.Readers(v.self)
+	v.readers.Store(&readers)
+	n := int64(count)
+	v.otherGateways.Store(&otherGateways)
+	if old := v.gatewayCount.Swap(max(1, n)); old != max(1, n) {
+		v.log.State("number of gateways changed", logging.F("count", n))
+	}
+}
