--- a/internal/adapter/enginehttp/enginehttp_test.go
+++ b/internal/adapter/enginehttp/enginehttp_test.go
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	_, err = c.Generate(context.Background(), port.EngineRequest{ID: "r", Version: "v1"})
-	if e := verdict.Of(err); e.Verdict != verdict.NotRun || e.Code != verdict.CodeVersionNotServing {
+	if e := verdict.FromError(err); e.Verdict != verdict.NotRun || e.Code != verdict.CodeVersionNotServing {
 		t.Fatalf("got %v without the version", err)
 	}
 }
@@ -108,7 +108,7 @@
 	h.Close()
 	// A client without a kept connection cannot have sent anything.
 	_, err := New(fleet.Address(h.Listener.Addr().String())).Generate(context.Background(), port.EngineRequest{ID: "r", Version: "v1"})
-	if verdict.Of(err).Verdict != verdict.NotRun {
+	if verdict.FromError(err).Verdict != verdict.NotRun {
 		t.Fatalf("got %v from an engine that has gone", err)
 	}
 }
@@ -153,7 +153,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = b.Close() }()
-	if _, err := c.Generate(context.Background(), r); verdict.Of(err).Verdict != verdict.MayHaveRun {
+	if _, err := c.Generate(context.Background(), r); verdict.FromError(err).Verdict != verdict.MayHaveRun {
 		t.Fatalf("got %v over the limit", err)
 	}
 	if n := counts(t, h)["overload"]; n != 1 {
--- a/internal/adapter/enginehttp/fuzz_test.go
+++ b/internal/adapter/enginehttp/fuzz_test.go
@@ -36,7 +36,7 @@
 			}
 			return
 		}
-		if verdict.Of(err).Verdict == verdict.NotRun {
+		if verdict.FromError(err).Verdict == verdict.NotRun {
 			t.Fatalf("verdict of a broken answer: %v", err)
 		}
 	})
--- a/internal/adapter/enginehttp/identity_test.go
+++ b/internal/adapter/enginehttp/identity_test.go
@@ -54,7 +54,7 @@
 		post(t, h.URL+path)
 		_, err = c.Generate(context.Background(), r)
 		var changed *port.EngineChanged
-		if e := verdict.Of(err); e.Verdict != verdict.NotRun || e.Code != verdict.CodeTargetWarming || !errors.As(err, &changed) {
+		if e := verdict.FromError(err); e.Verdict != verdict.NotRun || e.Code != verdict.CodeTargetWarming || !errors.As(err, &changed) {
 			t.Fatalf("got %v after %s", err, path)
 		}
 		if now := status().EngineIdentity; changed.Now != now || now == before.EngineIdentity {
@@ -87,7 +87,7 @@
 		t.Fatalf("status %+v, %v with a tag that the HTTP server made", st, err)
 	}
 	_, err := c.Generate(context.Background(), port.EngineRequest{ID: "r"})
-	if verdict.Of(err).Verdict != verdict.MayHaveRun {
+	if verdict.FromError(err).Verdict != verdict.MayHaveRun {
 		t.Fatalf("got %v for a request without a precondition", err)
 	}
 }
--- a/internal/adapter/httpapi/callers.go
+++ b/internal/adapter/httpapi/callers.go
@@ -66,7 +66,7 @@
 func (s *callers) takeBody(c *caller, n int64) error {
 	for {
 		err := s.bytes.Take(c.customer, n, c.maxBytes)
-		if err == nil || !s.endSlowest(c, verdict.Of(err).Code) {
+		if err == nil || !s.endSlowest(c, verdict.FromError(err).Code) {
 			return err
 		}
 	}
@@ -105,7 +105,7 @@
 		if err == nil {
 			return nil
 		}
-		code := verdict.Of(err).Code
+		code := verdict.FromError(err).Code
 		if s.endSlowest(c, code) {
 			continue
 		}
--- a/internal/adapter/httpapi/errors.go
+++ b/internal/adapter/httpapi/errors.go
@@ -17,35 +17,35 @@
 
 // statuses maps codes to HTTP statuses. Codes that are not listed become 500.
 var statuses = map[verdict.Code]int{
-	verdict.CodeBadRequest:        http.StatusBadRequest,
-	verdict.CodeTooLarge:          http.StatusRequestEntityTooLarge,
-	verdict.CodeUnknownCustomer:   http.StatusForbidden,
-	verdict.CodeUnknownGroup:      http.StatusNotFound,
-	verdict.CodeUnknownService:    http.StatusNotFound,
-	verdict.CodeKeyRequired:       http.StatusBadRequest,
-	verdict.CodeKeyExpired:        http.StatusConflict,
-	verdict.CodeKeyReused:         http.StatusUnprocessableEntity,
-	verdict.CodeNoConfiguration:   http.StatusServiceUnavailable,
-	verdict.CodeCustomerLimit:     http.StatusTooManyRequests,
-	verdict.CodeOverloaded:        http.StatusServiceUnavailable,
-	verdict.CodeNoTarget:          http.StatusServiceUnavailable,
-	verdict.CodeTargetFull:        http.StatusServiceUnavailable,
-	verdict.CodeTargetWarming:     http.StatusServiceUnavailable,
-	verdict.CodeTargetCordoned:    http.StatusServiceUnavailable,
-	verdict.CodeTargetLeaving:     http.StatusServiceUnavailable,
-	verdict.CodeVersionNotServing: http.StatusServiceUnavailable,
-	verdict.CodeLedgerUnavailable: http.StatusServiceUnavailable,
-	verdict.CodeDuplicate:         http.StatusConflict,
-	verdict.CodeInProgress:        http.StatusConflict,
-	verdict.CodeDeadline:          http.StatusGatewayTimeout,
-	verdict.CodeCanceled:          statusClientClosed,
-	verdict.CodeTargetLost:        http.StatusBadGateway,
-	verdict.CodeBrokenAnswer:      http.StatusBadGateway,
-	verdict.CodeVersionMismatch:   http.StatusBadGateway,
-	verdict.CodeSlowCaller:        http.StatusServiceUnavailable,
-	verdict.CodeTargetError:       http.StatusBadGateway,
-	verdict.CodeShuttingDown:      http.StatusServiceUnavailable,
-	verdict.CodeStalePicture:      http.StatusServiceUnavailable,
+	verdict.CodeBadRequest:         http.StatusBadRequest,
+	verdict.CodeTooLarge:           http.StatusRequestEntityTooLarge,
+	verdict.CodeUnknownCustomer:    http.StatusForbidden,
+	verdict.CodeUnknownGroup:       http.StatusNotFound,
+	verdict.CodeUnknownService:     http.StatusNotFound,
+	verdict.CodeKeyRequired:        http.StatusBadRequest,
+	verdict.CodeKeyExpired:         http.StatusConflict,
+	verdict.CodeKeyReused:          http.StatusUnprocessableEntity,
+	verdict.CodeNoConfiguration:    http.StatusServiceUnavailable,
+	verdict.CodeCustomerLimit:      http.StatusTooManyRequests,
+	verdict.CodeOverloaded:         http.StatusServiceUnavailable,
+	verdict.CodeNoTarget:           http.StatusServiceUnavailable,
+	verdict.CodeTargetFull:         http.StatusServiceUnavailable,
+	verdict.CodeTargetWarming:      http.StatusServiceUnavailable,
+	verdict.CodeTargetCordoned:     http.StatusServiceUnavailable,
+	verdict.CodeTargetLeaving:      http.StatusServiceUnavailable,
+	verdict.CodeVersionNotServing:  http.StatusServiceUnavailable,
+	verdict.CodeLedgerUnavailable:  http.StatusServiceUnavailable,
+	verdict.CodeDuplicate:          http.StatusConflict,
+	verdict.CodeInProgress:         http.StatusConflict,
+	verdict.CodeDeadline:           http.StatusGatewayTimeout,
+	verdict.CodeCanceled:           statusClientClosed,
+	verdict.CodeTargetLost:         http.StatusBadGateway,
+	verdict.CodeBrokenAnswer:       http.StatusBadGateway,
+	verdict.CodeVersionMismatch:    http.StatusBadGateway,
+	verdict.CodeSlowCaller:         http.StatusServiceUnavailable,
+	verdict.CodeTargetError:        http.StatusBadGateway,
+	verdict.CodeShuttingDown:       http.StatusServiceUnavailable,
+	verdict.CodeStaleConfiguration: http.StatusServiceUnavailable,
 }
 
 // Status returns the HTTP status of a code.
@@ -83,7 +83,7 @@
 
 // shuttingDown is the error of a request that comes after the drain began.
 func shuttingDown() *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeShuttingDown, "entry is shutting down").After(time.Second)
+	return verdict.New(verdict.NotRun, verdict.CodeShuttingDown, "entry is shutting down").WithRetryAfter(time.Second)
 }
 
 // errorHeaders sets the headers of an answer whose body is errorJSON.
--- a/internal/adapter/httpapi/exchange.go
+++ b/internal/adapter/httpapi/exchange.go
@@ -37,7 +37,7 @@
 
 // fail answers a request before the first byte.
 func (x *exchange) fail(err error) {
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	x.finish(e.Verdict, e.Code)
 	if x.caller != nil && x.caller.refused {
 		// An idle connection would keep its buffers.
@@ -79,7 +79,7 @@
 		frame, err = a.Next()
 	}
 	if !errors.Is(err, io.EOF) {
-		x.failLate(verdict.Of(err))
+		x.failLate(verdict.FromError(err))
 		return
 	}
 	x.end(a.Head())
@@ -135,7 +135,7 @@
 // cut closes the connection of a caller that did not take the answer. Nothing
 // more can be sent: a part of a frame may be in the connection.
 func (x *exchange) cut(err error) {
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	x.finish(e.Verdict, e.Code)
 	panic(http.ErrAbortHandler)
 }
--- a/internal/adapter/httpapi/httpapi.go
+++ b/internal/adapter/httpapi/httpapi.go
@@ -256,7 +256,7 @@
 	if hr.Context().Err() == nil {
 		return err
 	}
-	return verdict.Wrap(err, verdict.Of(err).Verdict, verdict.CodeCanceled, "caller left")
+	return verdict.Wrap(err, verdict.FromError(err).Verdict, verdict.CodeCanceled, "caller left")
 }
 
 // open reads the body and asks the backend for the answer. The body of a
--- a/internal/adapter/inifile/inifile_test.go
+++ b/internal/adapter/inifile/inifile_test.go
@@ -53,7 +53,7 @@
 	if a.Group != "summaries" || string(a.Version) != digest || a.Fencing != declare.FencingChecked {
 		t.Errorf("assignment = %+v", a)
 	}
-	if !d.Services["status"].Calls["log"].Once || d.Services["status"].Calls["read"].Once {
+	if !d.Services["status"].Calls["log"].AtMostOnce || d.Services["status"].Calls["read"].AtMostOnce {
 		t.Errorf("calls = %+v", d.Services["status"].Calls)
 	}
 	if d.Customers["resort-north"].Share != 3 {
--- a/internal/adapter/inifile/sections.go
+++ b/internal/adapter/inifile/sections.go
@@ -40,17 +40,17 @@
 
 func readDomain(p *parser, r *reader, name string) {
 	p.decl.Domains[fleet.Domain(name)] = declare.Domain{
-		Region: fleet.Region(r.text("region")),
-		Labels: r.labels(),
-		Out:    r.choice("out", "false", "true") == 1,
+		Region:       fleet.Region(r.text("region")),
+		Labels:       r.labels(),
+		OutOfService: r.choice("out", "false", "true") == 1,
 	}
 	r.done()
 }
 
 func readVM(p *parser, r *reader, name string) {
 	p.decl.VMs[fleet.VM(name)] = declare.VM{
-		Labels: r.labels(),
-		Out:    r.choice("out", "false", "true") == 1,
+		Labels:       r.labels(),
+		OutOfService: r.choice("out", "false", "true") == 1,
 	}
 	r.done()
 }
@@ -95,7 +95,7 @@
 	r.prefixed("call.", func(key, n, v string) {
 		switch v {
 		case "once", "repeatable":
-			s.Calls[n] = declare.Call{Once: v == "once"}
+			s.Calls[n] = declare.Call{AtMostOnce: v == "once"}
 		default:
 			r.fault(key, "must be once or repeatable")
 		}
--- a/internal/adapter/originhttp/fuzz_test.go
+++ b/internal/adapter/originhttp/fuzz_test.go
@@ -24,7 +24,7 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		body = s
 		m, err := c.Manifest(context.Background(), "v")
-		if err != nil || m.Check(m.Version()) != nil {
+		if err != nil || m.Validate(m.Version()) != nil {
 			return
 		}
 		if n := m.Bytes(); n <= 0 || n > manifest.MaxChunkBytes*int64(len(m.Chunks)) {
--- a/internal/adapter/rpc/agent_server.go
+++ b/internal/adapter/rpc/agent_server.go
@@ -20,8 +20,8 @@
 
 // Serve implements the generated interface.
 func (s *agentServer) Serve(in *pb.ServeRequest, stream pb.DRPCAgent_ServeStream) error {
-	s.answers.Enter()
-	defer s.answers.Leave()
+	s.answers.Start()
+	defer s.answers.Done()
 	r := requestFromPB(in)
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
@@ -121,7 +121,7 @@
 		end := &pb.End{Frames: s.frames, Version: string(s.head.Version)}
 		return s.sendLocked(&pb.ServeReply{Part: &pb.ServeReply_End{End: end}})
 	}
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	if s.head == nil && e.Verdict == verdict.NotRun {
 		return s.sendLocked(&pb.ServeReply{Part: &pb.ServeReply_Refused{Refused: errorToPB(e)}, Load: loadToPB(l)})
 	}
--- a/internal/adapter/rpc/convert.go
+++ b/internal/adapter/rpc/convert.go
@@ -21,7 +21,7 @@
 
 func errorFromPB(e *pb.Error) *verdict.Error {
 	err := verdict.New(verdictFromPB(e.GetVerdict()), verdict.Code(e.GetCode()), "%s", e.GetMessage())
-	return err.After(time.Duration(e.GetRetryAfterMs()) * time.Millisecond)
+	return err.WithRetryAfter(time.Duration(e.GetRetryAfterMs()) * time.Millisecond)
 }
 
 func verdictToPB(v verdict.Verdict) pb.Verdict {
--- a/internal/adapter/rpc/rpc_test.go
+++ b/internal/adapter/rpc/rpc_test.go
@@ -114,7 +114,7 @@
 
 // TestVerdicts guards against a failure that claims too much or too little.
 func TestVerdicts(t *testing.T) {
-	refuse := verdict.New(verdict.NotRun, verdict.CodeTargetFull, "4 of 4").After(time.Second)
+	refuse := verdict.New(verdict.NotRun, verdict.CodeTargetFull, "4 of 4").WithRetryAfter(time.Second)
 	cases := map[string]struct {
 		serve func(context.Context, port.ServeRequest, port.AnswerSink) error
 		want  verdict.Verdict
@@ -140,7 +140,7 @@
 				_, err = readAll(a)
 				_ = a.Close()
 			}
-			e := verdict.Of(err)
+			e := verdict.FromError(err)
 			if e.Verdict != tc.want || e.Code != tc.code {
 				t.Fatalf("error = %v, want %v %v", err, tc.want, tc.code)
 			}
@@ -158,7 +158,7 @@
 	addr := fleet.Address(lis.Addr().String())
 	_ = lis.Close()
 	_, err = NewClient().Serve(context.Background(), addr, port.ServeRequest{ID: "r"}, nil)
-	if verdict.Of(err).Verdict != verdict.NotRun {
+	if verdict.FromError(err).Verdict != verdict.NotRun {
 		t.Fatalf("err = %v, want not-run", err)
 	}
 }
@@ -191,7 +191,7 @@
 	start := time.Now()
 	addr := fleet.Address(lis.Addr().String())
 	_, err = NewClient().Serve(context.Background(), addr, port.ServeRequest{ID: "r"}, nil)
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	if e.Verdict != verdict.MayHaveRun || e.Code != verdict.CodeTargetLost {
 		t.Fatalf("err = %v", err)
 	}
--- a/internal/adapter/rpc/serve_test.go
+++ b/internal/adapter/rpc/serve_test.go
@@ -97,7 +97,7 @@
 			for i := range 200 {
 				id := fmt.Sprint(w, "-", i)
 				got, err := ask(c, addr, id)
-				if err != nil && verdict.Of(err).Code != verdict.CodeTargetFull {
+				if err != nil && verdict.FromError(err).Code != verdict.CodeTargetFull {
 					t.Errorf("request failed: %v", err)
 				}
 				if err == nil && got != id {
--- a/internal/adapter/rpc/server.go
+++ b/internal/adapter/rpc/server.go
@@ -71,7 +71,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Wrap(ctx.Err(), "waiting for answers in progress")
-		case <-s.answers.Left():
+		case <-s.answers.IdleSignal():
 		}
 	}
 	return nil
--- a/internal/adapter/servicehttp/servicehttp_test.go
+++ b/internal/adapter/servicehttp/servicehttp_test.go
@@ -41,7 +41,7 @@
 		}
 		_ = a.Close()
 		_, err = c.Call(context.Background(), r)
-		if e := verdict.Of(err); e.Verdict != verdict.MayHaveRun || e.Code != verdict.CodeTargetLost {
+		if e := verdict.FromError(err); e.Verdict != verdict.MayHaveRun || e.Code != verdict.CodeTargetLost {
 			t.Fatalf("got %v for a lost connection", err)
 		}
 		if n := calls.Load(); n != 2 {
@@ -79,11 +79,11 @@
 	for err == nil {
 		_, err = a.Next()
 	}
-	if e := verdict.Of(err); err == io.EOF || e.Verdict != verdict.MayHaveRun {
+	if e := verdict.FromError(err); err == io.EOF || e.Verdict != verdict.MayHaveRun {
 		t.Fatalf("a cut answer ended with %v", err)
 	}
 	_ = lis.Close()
-	if _, err := c.Call(context.Background(), port.ServiceRequest{Call: "read"}); verdict.Of(err).Verdict != verdict.NotRun {
+	if _, err := c.Call(context.Background(), port.ServiceRequest{Call: "read"}); verdict.FromError(err).Verdict != verdict.NotRun {
 		t.Fatalf("got %v without a service", err)
 	}
 	slow := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -94,7 +94,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	_, err = New(fleet.Address(slow.Listener.Addr().String())).Call(ctx, port.ServiceRequest{Call: "read"})
-	if e := verdict.Of(err); e.Verdict != verdict.MayHaveRun || e.Code != verdict.CodeDeadline {
+	if e := verdict.FromError(err); e.Verdict != verdict.MayHaveRun || e.Code != verdict.CodeDeadline {
 		t.Fatalf("got %v after the deadline", err)
 	}
 }
--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -157,7 +157,7 @@
 	<-a.d.Clock.After(min(drainNotice, timeout))
 	for !a.serving.Idle() {
 		select {
-		case <-a.serving.Left():
+		case <-a.serving.IdleSignal():
 		case <-end:
 			return a.serving.Idle()
 		}
--- a/internal/app/agent/confirm_test.go
+++ b/internal/app/agent/confirm_test.go
@@ -240,7 +240,7 @@
 	const waiting = 4
 	for i := range waiting {
 		wg.Go(func() {
-			if e := verdict.Of(w.ask(fmt.Sprint("after", i))); e.Code != verdict.CodeTargetWarming {
+			if e := verdict.FromError(w.ask(fmt.Sprint("after", i))); e.Code != verdict.CodeTargetWarming {
 				t.Errorf("after the change: %v", e)
 			}
 		})
--- a/internal/app/agent/harness_test.go
+++ b/internal/app/agent/harness_test.go
@@ -90,7 +90,7 @@
 		Models:   map[fleet.Model]declare.Model{"m": {Versions: map[string]fleet.Version{"now": v}}},
 		Rules:    []declare.Rule{{Name: "r", Version: "now"}},
 		Services: map[fleet.Service]declare.Service{"s": {VMs: svc, Limits: bedLimits, Calls: map[string]declare.Call{
-			"read": {}, "log": {Once: true},
+			"read": {}, "log": {AtMostOnce: true},
 		}}},
 	}
 }
--- a/internal/app/agent/life_test.go
+++ b/internal/app/agent/life_test.go
@@ -156,7 +156,7 @@
 	r := port.ServeRequest{ID: "r1", Service: "s", Call: "log", Customer: "c", Body: []byte("x"), IdempotencyKey: "k1", Timeout: 5 * time.Second}
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := b.client.Serve(ctx, b.addr, r, nil); verdict.Of(err).Verdict != verdict.MayHaveRun {
+	if _, err := b.client.Serve(ctx, b.addr, r, nil); verdict.FromError(err).Verdict != verdict.MayHaveRun {
 		t.Fatalf("got %v for a caller that gave up", err)
 	}
 	b.eventually("call done", func() bool { return b.ledger.Settled.Load() == 1 })
--- a/internal/app/agent/serve.go
+++ b/internal/app/agent/serve.go
@@ -31,8 +31,8 @@
 
 // Serve implements port.AgentHandler.
 func (a *Agent) Serve(ctx context.Context, r port.ServeRequest, sink port.AnswerSink) error {
-	a.serving.Enter()
-	defer a.serving.Leave()
+	a.serving.Start()
+	defer a.serving.Done()
 	if r.Timeout <= 0 || r.Timeout > longestRequest {
 		r.Timeout = longestRequest
 	}
@@ -87,7 +87,7 @@
 	switch {
 	case err == nil && !s.replayed:
 		o = admission.Succeeded
-	case s.replayed || verdict.Of(err).Verdict == verdict.NotRun:
+	case s.replayed || verdict.FromError(err).Verdict == verdict.NotRun:
 		o = admission.Unused
 	}
 	s.permit.Release(o, s.a.d.Clock.Now())
@@ -133,9 +133,9 @@
 		if n > 0 && errors.As(err, &changed) {
 			return broke
 		}
-		if n > 0 && verdict.Of(err).Verdict == verdict.NotRun {
+		if n > 0 && verdict.FromError(err).Verdict == verdict.NotRun {
 			// An engine that refuses to resume has already run a part.
-			err = verdict.Of(err).WithVerdict(verdict.MayHaveRun)
+			err = verdict.FromError(err).WithVerdict(verdict.MayHaveRun)
 		}
 		if n == maxResumes || !s.resumable(ctx, err) {
 			return err
@@ -151,7 +151,7 @@
 // at an engine that has restarted meanwhile: all requests of the warm engine
 // would start at a cold one at once.
 func (s *serving) resumable(ctx context.Context, err error) bool {
-	if !s.headed || verdict.Of(err).Code != verdict.CodeTargetError {
+	if !s.headed || verdict.FromError(err).Code != verdict.CodeTargetError {
 		return false
 	}
 	select {
@@ -192,7 +192,7 @@
 	if err == nil {
 		return false
 	}
-	v := verdict.Of(err)
+	v := verdict.FromError(err)
 	return v.Verdict == verdict.MayHaveRun && v.Code != verdict.CodeTargetError
 }
 
@@ -285,7 +285,7 @@
 		m.Count("agent_verdicts", 1, port.Attr{Key: "verdict", Value: verdict.Ran.String()})
 		return
 	}
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	m.Count("agent_verdicts", 1, port.Attr{Key: "verdict", Value: e.Verdict.String()})
 	if !s.headed && e.Verdict == verdict.NotRun {
 		m.Count("agent_refusals", 1, port.Attr{Key: "code", Value: string(e.Code)})
--- a/internal/app/agent/serve_test.go
+++ b/internal/app/agent/serve_test.go
@@ -24,7 +24,7 @@
 
 func wantError(t *testing.T, err error, v verdict.Verdict, c verdict.Code) {
 	t.Helper()
-	if e := verdict.Of(err); err == nil || e.Verdict != v || e.Code != c {
+	if e := verdict.FromError(err); err == nil || e.Verdict != v || e.Code != c {
 		t.Fatalf("got %v, want %s with %s", err, c, v)
 	}
 }
@@ -217,7 +217,7 @@
 					_, _, err := b.serve(b.request(fmt.Sprint(w, "-", i), "x"))
 					if err == nil {
 						done.Add(1)
-					} else if verdict.Of(err).Verdict != verdict.NotRun {
+					} else if verdict.FromError(err).Verdict != verdict.NotRun {
 						t.Errorf("request failed: %v", err)
 					}
 				}
@@ -331,7 +331,7 @@
 	b := newBed(t, "engine", engine.Options{})
 	a := New(b.agent.id, b.agent.d)
 	a.d.Clock = heldClock{a.d.Clock}
-	a.serving.Enter()
+	a.serving.Start()
 	drained := make(chan bool, 1)
 	var wg conc.WaitGroup
 	wg.Go(func() { drained <- a.Drain(time.Minute) })
@@ -340,7 +340,7 @@
 		t.Fatal("drain did not wait for the request")
 	case <-time.After(2 * drainNotice):
 	}
-	a.serving.Leave()
+	a.serving.Done()
 	select {
 	case whole := <-drained:
 		if !whole {
--- a/internal/app/agent/service.go
+++ b/internal/app/agent/service.go
@@ -23,14 +23,14 @@
 	switch {
 	case !ok:
 		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, "service %q has no call %q", s.r.Service, s.r.Call)
-	case call.Once && s.r.IdempotencyKey == "":
+	case call.AtMostOnce && s.r.IdempotencyKey == "":
 		return verdict.New(verdict.NotRun, verdict.CodeKeyRequired, "call %q needs an idempotency key", s.r.Call)
 	}
 	if err := s.admit(ctx); err != nil {
 		return err
 	}
 	var err error
-	if call.Once {
+	if call.AtMostOnce {
 		err = s.callOnce(ctx)
 	} else {
 		err = s.callRepeatable(ctx)
@@ -58,7 +58,7 @@
 // lost takes a connection lost before or within the answer as a sign that the
 // service restarted, since a plain service reports no boot identity.
 func (s *serving) lost(err error) {
-	switch verdict.Of(err).Code {
+	switch verdict.FromError(err).Code {
 	case verdict.CodeTargetLost:
 		s.a.adm.Cool(s.a.target, s.a.d.Clock.Now())
 		signal(s.a.probes)
@@ -156,14 +156,14 @@
 		t.Done(nil)
 	}
 	if sendErr != nil {
-		return verdict.Of(sendErr).WithVerdict(verdict.Ran)
+		return verdict.FromError(sendErr).WithVerdict(verdict.Ran)
 	}
 	return nil
 }
 
 // settle records a call that failed.
 func settle(t port.LedgerTicket, err error) error {
-	switch verdict.Of(err).Verdict {
+	switch verdict.FromError(err).Verdict {
 	case verdict.NotRun:
 		t.NotRun()
 	case verdict.Ran:
--- a/internal/app/chunks/chunks.go
+++ b/internal/app/chunks/chunks.go
@@ -14,7 +14,7 @@
 	"github.com/masticwing/masticwing/internal/core/chain"
 	"github.com/masticwing/masticwing/internal/core/fleet"
 	"github.com/masticwing/masticwing/internal/core/manifest"
-	"github.com/masticwing/masticwing/internal/core/pace"
+	"github.com/masticwing/masticwing/internal/core/ratelimit"
 	"github.com/masticwing/masticwing/internal/core/shard"
 	"github.com/masticwing/masticwing/internal/port"
 )
@@ -73,7 +73,7 @@
 type Fetcher struct {
 	set   Settings
 	deps  Deps
-	link  pace.Link
+	link  ratelimit.Link
 	slots chan struct{}
 	wake  chan struct{}
 
@@ -105,7 +105,7 @@
 // New returns a fetcher that wants nothing.
 func New(s Settings, d Deps) *Fetcher {
 	return &Fetcher{
-		set: s, deps: d, link: pace.NewLink(s.InRate, s.OutRate, d.Clock.Now()),
+		set: s, deps: d, link: ratelimit.NewLink(s.InRate, s.OutRate, d.Clock.Now()),
 		slots: make(chan struct{}, uploads), wake: make(chan struct{}, 1), wanted: make(chan struct{}),
 	}
 }
@@ -169,7 +169,7 @@
 // Add keeps a chunk that was found elsewhere, if it is intact.
 func (f *Fetcher) Add(id fleet.Version, i int, data []byte) bool {
 	v := f.find(id)
-	if v == nil || v.man.Verify(i, data) != nil {
+	if v == nil || v.man.VerifyChunk(i, data) != nil {
 		return false
 	}
 	v.table.Hold(i)
@@ -267,7 +267,7 @@
 	switch {
 	case err == nil && job.Ask:
 		outcome = chain.Announced
-	case err == nil && v.man.Verify(job.Chunk, data) == nil:
+	case err == nil && v.man.VerifyChunk(job.Chunk, data) == nil:
 		outcome = chain.Got
 		v.store(job.Chunk, data)
 	case errors.Is(err, port.ErrPeerBusy):
@@ -407,7 +407,7 @@
 	if err != nil {
 		return manifest.Manifest{}, err
 	}
-	return man, man.Check(man.Version())
+	return man, man.Validate(man.Version())
 }
 
 // errNoWatch is returned to a member of another kind of deployment.
--- a/internal/app/chunks/chunks_test.go
+++ b/internal/app/chunks/chunks_test.go
@@ -144,7 +144,7 @@
 			t.Fatalf("%s is not complete", b.members[i].VM)
 		}
 		for c := range b.man.Chunks {
-			if data, ok := f.Chunk(id, c); !ok || b.man.Verify(c, data) != nil {
+			if data, ok := f.Chunk(id, c); !ok || b.man.VerifyChunk(c, data) != nil {
 				t.Fatalf("%s: chunk %d", b.members[i].VM, c)
 			}
 		}
--- a/internal/app/ctl/change.go
+++ b/internal/app/ctl/change.go
@@ -65,7 +65,7 @@
 			string(c.Machine.VM), string(c.Machine.Domain), c.Old.String(), c.New.String(),
 		})
 	}
-	out.Refused = append(out.Refused, declare.Refuse(before, after, ms)...)
+	out.Refused = append(out.Refused, declare.RejectionReasons(before, after, ms)...)
 	return out, nil
 }
 
--- a/internal/app/entry/attempt.go
+++ b/internal/app/entry/attempt.go
@@ -33,14 +33,14 @@
 			return a, nil
 		}
 		last = err
-		if v := verdict.Of(err); fullCode(v.Code) && v.Verdict == verdict.NotRun {
+		if v := verdict.FromError(err); fullCode(v.Code) && v.Verdict == verdict.NotRun {
 			full++
 			e.countRetry(r, err)
 			continue
 		}
 		tried[c.VM] = true
-		mayHaveRun = mayHaveRun || verdict.Of(err).Verdict != verdict.NotRun
-		if n >= routing.MaxRetries || !retryable(ctx, verdict.Of(err), !p.once(r)) || !e.budget.Spend(p.pool) {
+		mayHaveRun = mayHaveRun || verdict.FromError(err).Verdict != verdict.NotRun
+		if n >= routing.MaxRetries || !retryable(ctx, verdict.FromError(err), !p.once(r)) || !e.budget.Spend(p.pool) {
 			break
 		}
 		n++
@@ -52,13 +52,13 @@
 func (e *Entry) countRetry(r *port.ServeRequest, err error) {
 	e.Metrics.Count("masticwing_entry_retries_total", 1,
 		port.Attr{Key: "class", Value: r.Class.String()},
-		port.Attr{Key: "code", Value: string(verdict.Of(err).Code)})
+		port.Attr{Key: "code", Value: string(verdict.FromError(err).Code)})
 }
 
 // overall returns the error of a request. A refusal by the last target does not
 // undo that an earlier one may have run the request.
 func overall(err error, mayHaveRun bool) error {
-	v := verdict.Of(err)
+	v := verdict.FromError(err)
 	if mayHaveRun && v.Verdict == verdict.NotRun {
 		return v.WithVerdict(verdict.MayHaveRun)
 	}
@@ -99,7 +99,7 @@
 	}
 	switch {
 	case load == nil:
-	case err != nil && fullCode(verdict.Of(err).Code):
+	case err != nil && fullCode(verdict.FromError(err).Code):
 		e.table.Full(c.VM, load.InFlight, load.Limit, e.Clock.Now())
 	default:
 		e.table.Load(c.VM, load.InFlight, load.Limit)
--- a/internal/app/entry/choose.go
+++ b/internal/app/entry/choose.go
@@ -39,7 +39,7 @@
 		}
 		if out == routing.NoTarget && (len(tried) > 0 || waited >= noTargetWait) {
 			e.stop(w)
-			return c, verdict.New(verdict.NotRun, verdict.CodeNoTarget, "no target takes work").After(time.Second)
+			return c, verdict.New(verdict.NotRun, verdict.CodeNoTarget, "no target takes work").WithRetryAfter(time.Second)
 		}
 		if w == nil {
 			w = e.table.Wait(p.pool, r.Class)
--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -59,7 +59,7 @@
 	d, _ := e.Directory.Declaration()
 	if d == nil {
 		return httpapi.Bounds{}, verdict.New(verdict.NotRun, verdict.CodeNoConfiguration,
-			"no configuration is known yet").After(time.Second)
+			"no configuration is known yet").WithRetryAfter(time.Second)
 	}
 	c, ok := d.Customers[r.Customer]
 	if !ok {
@@ -141,7 +141,7 @@
 }
 
 func (e *Entry) countShed(r *port.ServeRequest, err error) {
-	attrs := append(requestAttrs(r), port.Attr{Key: "code", Value: string(verdict.Of(err).Code)})
+	attrs := append(requestAttrs(r), port.Attr{Key: "code", Value: string(verdict.FromError(err).Code)})
 	e.Metrics.Count("masticwing_entry_sheds_total", 1, attrs...)
 }
 
--- a/internal/app/entry/entry_test.go
+++ b/internal/app/entry/entry_test.go
@@ -107,7 +107,7 @@
 		}},
 		Rules: []declare.Rule{{Name: "main", Version: "now"}},
 		Services: map[fleet.Service]declare.Service{"status": {
-			VMs: sel("status"), Calls: map[string]declare.Call{"read": {}, "log": {Once: true}},
+			VMs: sel("status"), Calls: map[string]declare.Call{"read": {}, "log": {AtMostOnce: true}},
 		}},
 	}
 }
--- a/internal/app/entry/plan.go
+++ b/internal/app/entry/plan.go
@@ -81,7 +81,7 @@
 	if !ok {
 		return verdict.New(verdict.NotRun, verdict.CodeUnknownService, "call is not declared for the service")
 	}
-	if call.Once && r.IdempotencyKey == "" {
+	if call.AtMostOnce && r.IdempotencyKey == "" {
 		return verdict.New(verdict.NotRun, verdict.CodeKeyRequired, "this call needs an Idempotency-Key, a UUID of version 7")
 	}
 	return nil
@@ -89,7 +89,7 @@
 
 // once reports whether the request may run at most once.
 func (p *plan) once(r *port.ServeRequest) bool {
-	return r.Service != "" && p.decl.Services[r.Service].Calls[r.Call].Once
+	return r.Service != "" && p.decl.Services[r.Service].Calls[r.Call].AtMostOnce
 }
 
 // assigned caches the assignment of one agent.
--- a/internal/app/entry/resume.go
+++ b/internal/app/entry/resume.go
@@ -63,7 +63,7 @@
 // mayResume reports whether another target may continue after err. Resumes
 // have the bounds of retries.
 func (a *resumable) mayResume(err error) bool {
-	switch verdict.Of(err).Code {
+	switch verdict.FromError(err).Code {
 	case verdict.CodeTargetLost, verdict.CodeTargetError:
 	default:
 		return false
--- a/internal/app/entry/serve_test.go
+++ b/internal/app/entry/serve_test.go
@@ -99,7 +99,7 @@
 			w := newWorld(t, "status", 3)
 			w.change(func(_ int, a *fakeAgent) { a.serve = failing(c.fail, verdict.CodeTargetError) })
 			_, err := w.ask(c.r)
-			if v := verdict.Of(err).Verdict; v != c.fail {
+			if v := verdict.FromError(err).Verdict; v != c.fail {
 				t.Errorf("verdict %v, want %v: %v", v, c.fail, err)
 			}
 			if w.calls() != c.calls {
@@ -141,7 +141,7 @@
 				return verdict.New(v, verdict.CodeTargetError, "as told")
 			}
 		})
-		if _, err := w.ask(call("read")); verdict.Of(err).Verdict != verdict.MayHaveRun {
+		if _, err := w.ask(call("read")); verdict.FromError(err).Verdict != verdict.MayHaveRun {
 			t.Errorf("error %v, want may-have-run", err)
 		}
 	})
@@ -244,7 +244,7 @@
 		}
 	})
 	got, err := w.ask(generate())
-	if got != "half" || verdict.Of(err).Code != verdict.CodeTargetLost || w.calls() != 1 {
+	if got != "half" || verdict.FromError(err).Code != verdict.CodeTargetLost || w.calls() != 1 {
 		t.Fatalf("answer %q, error %v, %d calls", got, err, w.calls())
 	}
 }
@@ -292,7 +292,7 @@
 			return serve(ctx, r, sink)
 		}
 	})
-	if got, err := w.ask(r); got != "one\n" || verdict.Of(err).Code != verdict.CodeTargetLost {
+	if got, err := w.ask(r); got != "one\n" || verdict.FromError(err).Code != verdict.CodeTargetLost {
 		t.Errorf("answer %q, error %v from two versions", got, err)
 	}
 	for _, s := range w.entry.table.Snapshot(time.Now()) {
--- a/internal/app/gateway/attempt.go
+++ b/internal/app/gateway/attempt.go
@@ -86,9 +86,9 @@
 		v = verdict.MayHaveRun
 	}
 	if out == placement.AllFull {
-		return verdict.New(v, verdict.CodeOverloaded, "all targets of the service are full").After(overloadRetry)
+		return verdict.New(v, verdict.CodeOverloaded, "all targets of the service are full").WithRetryAfter(overloadRetry)
 	}
-	return verdict.New(v, verdict.CodeNoTarget, "no target of the service takes requests").After(overloadRetry)
+	return verdict.New(v, verdict.CodeNoTarget, "no target of the service takes requests").WithRetryAfter(overloadRetry)
 }
 
 // again reports whether the request is sent once more after err.
@@ -138,7 +138,7 @@
 	defer watch.end()
 	ans, err := c.g.deps.Targets.Forward(sendCtx, choice.Address, f)
 	if err != nil {
-		return c.sendFailed(ctx, choice, verdict.Of(err))
+		return c.sendFailed(ctx, choice, verdict.FromError(err))
 	}
 	defer func() { _ = ans.Body.Close() }()
 	c.runs++
@@ -187,7 +187,7 @@
 	default:
 		c.g.targets.Busy(choice.Instance, now)
 	}
-	return err.After(overloadRetry)
+	return err.WithRetryAfter(overloadRetry)
 }
 
 // maxWholeBytes bounds an answer that is read before it is passed on.
@@ -247,8 +247,8 @@
 // stream passes the events of a stream on as they come. Only whole events are
 // passed on, so that the stream can go on at another target.
 func (c *call) stream(ctx context.Context, choice placement.Choice, ans *port.ForwardAnswer, watch *stall) *verdict.Error {
-	c.relay.events.Discard()
-	first, before := true, c.relay.events.Events()
+	c.relay.events.DiscardPartial()
+	first, before := true, c.relay.events.EventCount()
 	buf := make([]byte, streamBytes)
 	for {
 		n, err := ans.Body.Read(buf)
@@ -257,13 +257,13 @@
 			if e := c.pass(ans, buf[:n]); e != nil {
 				return e
 			}
-			if first && c.relay.events.Events() > before {
+			if first && c.relay.events.EventCount() > before {
 				first = false
 				now := c.g.deps.Clock.Now()
 				c.g.targets.FirstEvent(choice.Instance, now.Sub(watch.start), choice.First, now)
 			}
 		}
-		if errors.Is(err, io.EOF) && c.relay.events.Rest() == 0 {
+		if errors.Is(err, io.EOF) && c.relay.events.PartialBytes() == 0 {
 			return c.finish(choice, ans)
 		}
 		if err != nil {
@@ -274,7 +274,7 @@
 
 // pass sends the events that are complete with b.
 func (c *call) pass(ans *port.ForwardAnswer, b []byte) *verdict.Error {
-	whole, ok := c.relay.events.Add(b)
+	whole, ok := c.relay.events.Push(b)
 	if !ok {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBrokenAnswer, "event is longer than %d bytes", eventstream.MaxEventBytes)
 	}
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -149,7 +149,7 @@
 	deadline := g.deps.Clock.After(max(0, g.set.Grace-stopMargin-g.deps.Clock.Now().Sub(start)))
 	for !g.active.Idle() {
 		select {
-		case <-g.active.Left():
+		case <-g.active.IdleSignal():
 		case <-deadline:
 			g.deps.Log.State("stopping with requests in progress")
 			return
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -39,8 +39,8 @@
 
 // Serve implements port.InboundHandler.
 func (g *Gateway) Serve(ctx context.Context, in *port.Inbound, out port.Outbound) {
-	g.active.Enter()
-	defer g.active.Leave()
+	g.active.Start()
+	defer g.active.Done()
 	c := &call{g: g, in: in, out: out, tried: map[fleet.Instance]bool{}}
 	if e := c.admit(); e != nil {
 		c.refuse(e)
@@ -65,9 +65,9 @@
 	c.table = g.picture.table.Load()
 	switch {
 	case g.refusing.Load():
-		return verdict.New(verdict.NotRun, verdict.CodeShuttingDown, "gateway is shutting down").After(retryShort)
+		return verdict.New(verdict.NotRun, verdict.CodeShuttingDown, "gateway is shutting down").WithRetryAfter(retryShort)
 	case c.table == nil:
-		return verdict.New(verdict.NotRun, verdict.CodeNoConfiguration, "no configuration is known").After(retryShort)
+		return verdict.New(verdict.NotRun, verdict.CodeNoConfiguration, "no configuration is known").WithRetryAfter(retryShort)
 	}
 	r, ok := c.table.Match(c.in.Host, c.in.Path)
 	if !ok {
@@ -82,7 +82,7 @@
 		c.service, ok = c.table.Service(name)
 	}
 	if !ok {
-		return verdict.New(verdict.NotRun, verdict.CodeNoTarget, "route has no service").After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.CodeNoTarget, "route has no service").WithRetryAfter(time.Second)
 	}
 	patience := c.in.Patience
 	if patience == 0 {
@@ -102,8 +102,8 @@
 		return nil
 	}
 	if age := c.g.pictureAge(); c.g.confirmed.Load() == 0 || age > c.g.set.KeyBound-keyMargin {
-		return verdict.New(verdict.NotRun, verdict.CodeStalePicture, "keys were last confirmed %v ago", age.Round(time.Millisecond)).
-			After(retryShort)
+		return verdict.New(verdict.NotRun, verdict.CodeStaleConfiguration, "keys were last confirmed %v ago", age.Round(time.Millisecond)).
+			WithRetryAfter(retryShort)
 	}
 	a, ok := c.table.Account(c.in.Key)
 	if !ok {
@@ -233,7 +233,7 @@
 		fs = append(fs, logging.F("target", string(c.last.Instance)), logging.F("target_domain", string(c.last.Domain)),
 			logging.F("target_load", c.last.Estimate), logging.Millis("predicted_first_ms", c.last.First), logging.Millis("load_age_ms", c.last.LoadAge))
 	}
-	if n := c.relay.events.Events(); n > 0 {
+	if n := c.relay.events.EventCount(); n > 0 {
 		fs = append(fs, logging.F("events", n), logging.Millis("first_ms", c.relay.first),
 			logging.Millis("longest_gap_ms", c.relay.gap), logging.Millis("objective_ms", c.route.Objective),
 			logging.F("prompt_tokens", c.in.Work.PromptTokens), logging.F("expected_tokens", c.in.Work.ExpectedTokens))
--- a/internal/app/gateway/serve_test.go
+++ b/internal/app/gateway/serve_test.go
@@ -164,8 +164,8 @@
 		{"known, 4 s old", route, "k", 4 * time.Second, ""},
 		{"unknown", route, "x", 0, verdict.CodeUnknownCustomer},
 		{"none", route, "", 0, verdict.CodeUnknownCustomer},
-		{"known, 5 s old", route, "k", 5 * time.Second, verdict.CodeStalePicture},
-		{"unknown, 5 s old", route, "x", 5 * time.Second, verdict.CodeStalePicture},
+		{"known, 5 s old", route, "k", 5 * time.Second, verdict.CodeStaleConfiguration},
+		{"unknown, 5 s old", route, "x", 5 * time.Second, verdict.CodeStaleConfiguration},
 		{"anonymous, 5 s old", anonymous, "", 5 * time.Second, ""},
 	} {
 		b := newBed(t, c.r)
--- a/internal/app/ledger/history_test.go
+++ b/internal/app/ledger/history_test.go
@@ -210,7 +210,7 @@
 	tk, _, err := l.Begin(ctx, port.LedgerKey{Service: "nursery", Customer: "c", Key: key}, port.CallContent{})
 	switch {
 	case err != nil:
-		return verdict.Of(err).Verdict
+		return verdict.FromError(err).Verdict
 	case tk == nil:
 		return verdict.Ran
 	case rnd.IntN(8) == 0:
--- a/internal/app/ledger/ledger_test.go
+++ b/internal/app/ledger/ledger_test.go
@@ -57,7 +57,7 @@
 	if err == nil {
 		t.Fatalf("Begin: no error, want %s (%s)", c, v)
 	}
-	if e := verdict.Of(err); e.Verdict != v || e.Code != c {
+	if e := verdict.FromError(err); e.Verdict != v || e.Code != c {
 		t.Fatalf("Begin: %v, want %s (%s)", err, c, v)
 	}
 }
@@ -87,14 +87,14 @@
 	w.faults(t, platform.Faults{Hang: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	if _, _, err := l.Begin(ctx, k, port.CallContent{}); verdict.Of(err).Verdict != verdict.NotRun {
+	if _, _, err := l.Begin(ctx, k, port.CallContent{}); verdict.FromError(err).Verdict != verdict.NotRun {
 		t.Errorf("a platform that hangs: %v", err)
 	}
 	w.faults(t, platform.Faults{})
 	// A call that joins a read which still hangs is refused with it.
 	tk, _, err := l.Begin(t.Context(), k, port.CallContent{})
 	for end := time.Now().Add(4 * time.Second); err != nil && time.Now().Before(end); {
-		if verdict.Of(err).Verdict != verdict.NotRun {
+		if verdict.FromError(err).Verdict != verdict.NotRun {
 			t.Fatalf("after the outage: %v", err)
 		}
 		tk, _, err = l.Begin(t.Context(), k, port.CallContent{})
@@ -177,7 +177,7 @@
 	want(t, l, large, verdict.Ran, verdict.CodeDuplicate)
 	// A key that was used for another content must not get that call's answer.
 	tk, a, err = l.Begin(t.Context(), small, port.CallContent{1})
-	if e := verdict.Of(err); tk != nil || a != nil || err == nil || e.Code != verdict.CodeKeyReused || e.Verdict != verdict.NotRun {
+	if e := verdict.FromError(err); tk != nil || a != nil || err == nil || e.Code != verdict.CodeKeyReused || e.Verdict != verdict.NotRun {
 		t.Errorf("a reused key = %v, %+v, %v", tk, a, err)
 	}
 	other := small
--- a/internal/app/ledger/run.go
+++ b/internal/app/ledger/run.go
@@ -78,7 +78,7 @@
 	l.flush(l.table.Marks())
 	for !l.workers.Idle() {
 		select {
-		case <-l.workers.Left():
+		case <-l.workers.IdleSignal():
 		case <-end:
 			return false
 		}
--- a/internal/app/ledger/worker.go
+++ b/internal/app/ledger/worker.go
@@ -23,9 +23,9 @@
 	if l.ended {
 		return
 	}
-	l.workers.Enter()
+	l.workers.Start()
 	l.wg.Go(func() {
-		defer l.workers.Leave()
+		defer l.workers.Done()
 		w := worker{l: l, name: name, backoff: minBackoff}
 		for w.step() {
 		}
--- a/internal/app/loader/converge.go
+++ b/internal/app/loader/converge.go
@@ -208,7 +208,7 @@
 			if err != nil {
 				return err
 			}
-			if v.man.Verify(i, b) == nil {
+			if v.man.VerifyChunk(i, b) == nil {
 				break
 			}
 			if n == tries {
--- a/internal/app/loader/view.go
+++ b/internal/app/loader/view.go
@@ -305,7 +305,7 @@
 			continue
 		}
 		id := man.Version()
-		if man.Check(id) == nil && seen[id] {
+		if man.Validate(id) == nil && seen[id] {
 			return man, nil
 		}
 		seen[id] = true
--- a/internal/app/weights/fetch.go
+++ b/internal/app/weights/fetch.go
@@ -210,7 +210,7 @@
 
 // accept verifies a chunk and keeps it.
 func (v *version) accept(b *body, ch spread.Choice, data []byte) {
-	if err := b.man.Verify(ch.Chunk, data); err != nil {
+	if err := b.man.VerifyChunk(ch.Chunk, data); err != nil {
 		v.m.counters.corruptedChunk()
 		if !ch.Origin {
 			b.table.Corrupted(ch.From, v.m.deps.Clock.Now())
--- a/internal/app/weights/manager.go
+++ b/internal/app/weights/manager.go
@@ -13,7 +13,7 @@
 	"github.com/sourcegraph/conc"
 
 	"github.com/masticwing/masticwing/internal/core/fleet"
-	"github.com/masticwing/masticwing/internal/core/pace"
+	"github.com/masticwing/masticwing/internal/core/ratelimit"
 	"github.com/masticwing/masticwing/internal/core/shard"
 	"github.com/masticwing/masticwing/internal/core/spread"
 	"github.com/masticwing/masticwing/internal/port"
@@ -63,7 +63,7 @@
 type Manager struct {
 	set      Settings
 	deps     Deps
-	link     pace.Link
+	link     ratelimit.Link
 	slots    *spread.Slots
 	versions *shard.Map[fleet.Version, *version]
 	counters counters
@@ -85,7 +85,7 @@
 	m := &Manager{
 		set:      s.withDefaults(),
 		deps:     d,
-		link:     pace.NewLink(s.InRate, s.OutRate, d.Clock.Now()),
+		link:     ratelimit.NewLink(s.InRate, s.OutRate, d.Clock.Now()),
 		slots:    spread.NewSlots(spread.MaxUploads),
 		versions: shard.New[fleet.Version, *version](0),
 		changed:  make(chan struct{}, 1),
--- a/internal/app/weights/peers.go
+++ b/internal/app/weights/peers.go
@@ -74,7 +74,7 @@
 		step := time.Duration(min(max(0, rank-manifestFirst+1), manifestSteps)) * spread.OriginStep
 		if v.m.deps.Clock.Now().Sub(start) >= step {
 			man, err := v.m.deps.Origin.Manifest(v.ctx, v.id)
-			if err == nil && man.Check(v.id) == nil {
+			if err == nil && man.Validate(v.id) == nil {
 				return man, true
 			}
 			v.setReason(manifestReason(err))
@@ -106,7 +106,7 @@
 			at = v.m.rand(len(others))
 		}
 		man, err := v.m.deps.Peers.Manifest(v.ctx, others[at].Address, v.id)
-		if err == nil && man.Check(v.id) == nil {
+		if err == nil && man.Validate(v.id) == nil {
 			return man, true
 		}
 	}
--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -199,15 +199,15 @@
 	case r.cordoned:
 		return verdict.New(verdict.NotRun, verdict.CodeTargetCordoned, "target is cordoned")
 	case !r.ready:
-		return verdict.New(verdict.NotRun, verdict.CodeVersionNotServing, "target serves no complete version").After(retryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeVersionNotServing, "target serves no complete version").WithRetryAfter(retryAfter)
 	case r.limits.MaxBytes > 0 && n > r.limits.MaxBytes:
 		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "request has %d bytes, target takes %d", n, r.limits.MaxBytes)
 	case r.inFlight >= r.limit && r.limit < r.limits.MaxRequests:
-		return verdict.New(verdict.NotRun, verdict.CodeTargetWarming, "target is warming up at %d requests", r.limit).After(retryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeTargetWarming, "target is warming up at %d requests", r.limit).WithRetryAfter(retryAfter)
 	case r.inFlight >= r.limit:
-		return verdict.New(verdict.NotRun, verdict.CodeTargetFull, "target holds %d requests", r.inFlight).After(retryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeTargetFull, "target holds %d requests", r.inFlight).WithRetryAfter(retryAfter)
 	case r.limits.MaxBytes > 0 && r.bytes+n > r.limits.MaxBytes:
-		return verdict.New(verdict.NotRun, verdict.CodeTargetFull, "target holds %d bytes", r.bytes).After(retryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeTargetFull, "target holds %d bytes", r.bytes).WithRetryAfter(retryAfter)
 	default:
 		return nil
 	}
--- a/internal/core/declare/declare.go
+++ b/internal/core/declare/declare.go
@@ -46,15 +46,15 @@
 type Domain struct {
 	Region fleet.Region
 	Labels Labels
-	// Out takes the domain out of service.
-	Out bool
+	// OutOfService takes the domain out of service.
+	OutOfService bool
 }
 
 // VM adds labels to one VM, beside those in the settings of its agent.
 type VM struct {
 	Labels Labels
-	// Out takes the VM out of service.
-	Out bool
+	// OutOfService takes the VM out of service.
+	OutOfService bool
 }
 
 // Limits is what a target bears.
@@ -126,9 +126,9 @@
 
 // Call is one kind of call of a plain service.
 type Call struct {
-	// Once marks a call that is not idempotent and may run at most once for an
+	// AtMostOnce marks a call that is not idempotent and may run at most once for an
 	// idempotency key.
-	Once bool
+	AtMostOnce bool
 }
 
 // Cordons lists what operators took out of service by command, beside the Out
@@ -147,7 +147,7 @@
 
 // Cordoned reports whether the domain or the VM is out of service.
 func (d *Declaration) Cordoned(dom fleet.Domain, vm fleet.VM) bool {
-	if d.Domains[dom].Out || d.VMs[vm].Out {
+	if d.Domains[dom].OutOfService || d.VMs[vm].OutOfService {
 		return true
 	}
 	return d.Cordons.Domains[dom] || d.Cordons.VMs[vm]
--- a/internal/core/declare/declare_test.go
+++ b/internal/core/declare/declare_test.go
@@ -121,17 +121,17 @@
 		{VM: "s1", Domain: "a", Labels: Labels{"pool": "status"}},
 	}
 	before, after := valid(), valid()
-	after.VMs["w1"] = VM{Out: true}
+	after.VMs["w1"] = VM{OutOfService: true}
 	diff := Diff(before, after, ms)
 	if len(diff) != 1 || diff[0].Machine.VM != "w1" || !diff[0].New.Cordoned {
 		t.Errorf("diff = %+v", diff)
 	}
-	if r := Refuse(before, after, ms); len(r) != 0 {
+	if r := RejectionReasons(before, after, ms); len(r) != 0 {
 		t.Errorf("refused: %v", r)
 	}
-	after.VMs["w2"], after.VMs["s1"] = VM{Out: true}, VM{Out: true}
+	after.VMs["w2"], after.VMs["s1"] = VM{OutOfService: true}, VM{OutOfService: true}
 	after.Rules = nil
-	if r := Refuse(before, after, ms); len(r) != 3 {
+	if r := RejectionReasons(before, after, ms); len(r) != 3 {
 		t.Errorf("refused for %v, want 3 reasons", r)
 	}
 	if len(Diff(nil, before, ms)) != 3 {
--- a/internal/core/declare/diff.go
+++ b/internal/core/declare/diff.go
@@ -59,11 +59,11 @@
 	return s
 }
 
-// Refuse returns why the change from before to after must not be applied: a
+// RejectionReasons returns why the change from before to after must not be applied: a
 // group or service that has machines in service would have none, or a group
 // that has a version would have none. A group that had no machine before is no
 // reason, so that a group can be declared before its machines exist.
-func Refuse(before, after *Declaration, machines []Machine) []string {
+func RejectionReasons(before, after *Declaration, machines []Machine) []string {
 	if before == nil {
 		return nil
 	}
--- a/internal/core/eventstream/eventstream.go
+++ b/internal/core/eventstream/eventstream.go
@@ -15,10 +15,10 @@
 	events  int
 }
 
-// Add takes the next bytes and returns all events that are complete with them.
+// Push takes the next bytes and returns all events that are complete with them.
 // The result is valid until the next call. It returns false if an event is
 // longer than MaxEventBytes.
-func (s *Splitter) Add(b []byte) ([]byte, bool) {
+func (s *Splitter) Push(b []byte) ([]byte, bool) {
 	s.pending = append(s.pending, b...)
 	end := lastEnd(s.pending)
 	if end == 0 {
@@ -30,17 +30,17 @@
 	return whole, true
 }
 
-// Rest returns the number of bytes of an event that is not complete.
-func (s *Splitter) Rest() int { return len(s.pending) }
+// PartialBytes returns the number of bytes of an event that is not complete.
+func (s *Splitter) PartialBytes() int { return len(s.pending) }
 
-// Discard drops the bytes of an event that is not complete.
-func (s *Splitter) Discard() { s.pending = nil }
+// DiscardPartial drops the bytes of an event that is not complete.
+func (s *Splitter) DiscardPartial() { s.pending = nil }
 
 // LastID returns the id of the last whole event, or an empty text.
 func (s *Splitter) LastID() string { return s.lastID }
 
-// Events returns the number of whole events.
-func (s *Splitter) Events() int { return s.events }
+// EventCount returns the number of whole events.
+func (s *Splitter) EventCount() int { return s.events }
 
 // lastEnd returns the offset behind the last blank line.
 func lastEnd(b []byte) int {
--- a/internal/core/eventstream/eventstream_test.go
+++ b/internal/core/eventstream/eventstream_test.go
@@ -23,15 +23,15 @@
 		var out strings.Builder
 		for len(in) > 0 {
 			k := rapid.IntRange(1, len(in)).Draw(t, "piece")
-			b, ok := s.Add([]byte(in[:k]))
+			b, ok := s.Push([]byte(in[:k]))
 			if !ok {
 				t.Fatal("events are too long")
 			}
 			out.Write(b)
 			in = in[k:]
 		}
-		if out.String() != all.String() || s.Rest() != len(tail) || s.Events() != n {
-			t.Fatalf("passed %q of %q, rest %d, %d events", out.String(), all.String(), s.Rest(), s.Events())
+		if out.String() != all.String() || s.PartialBytes() != len(tail) || s.EventCount() != n {
+			t.Fatalf("passed %q of %q, rest %d, %d events", out.String(), all.String(), s.PartialBytes(), s.EventCount())
 		}
 		want := ""
 		if n > 0 {
@@ -47,9 +47,9 @@
 // answer of another target.
 func TestDiscard(t *testing.T) {
 	var s Splitter
-	s.Add([]byte("id: 1\n\nid: 2\nda"))
-	s.Discard()
-	b, _ := s.Add([]byte("id: 2\n\n"))
+	s.Push([]byte("id: 1\n\nid: 2\nda"))
+	s.DiscardPartial()
+	b, _ := s.Push([]byte("id: 2\n\n"))
 	if string(b) != "id: 2\n\n" || s.LastID() != "2" {
 		t.Errorf("passed %q, last id %q", b, s.LastID())
 	}
@@ -58,7 +58,7 @@
 // TestLongEvent guards against a target that sends an event without end.
 func TestLongEvent(t *testing.T) {
 	var s Splitter
-	if _, ok := s.Add(make([]byte, MaxEventBytes+1)); ok {
+	if _, ok := s.Push(make([]byte, MaxEventBytes+1)); ok {
 		t.Error("an event longer than the bound is kept")
 	}
 }
--- a/internal/core/inflight/inflight.go
+++ b/internal/core/inflight/inflight.go
@@ -12,11 +12,11 @@
 // New returns a counter at zero.
 func New() *Counter { return &Counter{idle: make(chan struct{}, 1)} }
 
-// Enter counts the start of one piece of work.
-func (c *Counter) Enter() { c.n.Add(1) }
+// Start counts the start of one piece of work.
+func (c *Counter) Start() { c.n.Add(1) }
 
-// Leave counts the end of one piece of work.
-func (c *Counter) Leave() {
+// Done counts the end of one piece of work.
+func (c *Counter) Done() {
 	if c.n.Add(-1) > 0 {
 		return
 	}
@@ -32,6 +32,6 @@
 // Count returns the work in progress.
 func (c *Counter) Count() int64 { return c.n.Load() }
 
-// Left receives after the last piece of work has ended. The signal may be of an
+// IdleSignal receives after the last piece of work has ended. The signal may be of an
 // earlier end, and work may have started since, so the receiver asks Idle again.
-func (c *Counter) Left() <-chan struct{} { return c.idle }
+func (c *Counter) IdleSignal() <-chan struct{} { return c.idle }
--- a/internal/core/inflight/inflight_test.go
+++ b/internal/core/inflight/inflight_test.go
@@ -12,19 +12,19 @@
 func TestLeftWakes(t *testing.T) {
 	for range 200 {
 		c := New()
-		c.Enter()
-		c.Leave() // leaves an old signal behind
+		c.Start()
+		c.Done() // leaves an old signal behind
 		const works = 8
 		for range works {
-			c.Enter()
+			c.Start()
 		}
 		var wg conc.WaitGroup
 		for range works {
-			wg.Go(c.Leave)
+			wg.Go(c.Done)
 		}
 		for !c.Idle() {
 			select {
-			case <-c.Left():
+			case <-c.IdleSignal():
 			case <-time.After(10 * time.Second):
 				t.Fatal("the end of the last piece of work woke nobody")
 			}
--- a/internal/core/ledger/record.go
+++ b/internal/core/ledger/record.go
@@ -93,7 +93,7 @@
 	case Queued, Run:
 		return nil
 	case InProgress:
-		return verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "a call with this key is in progress").After(retryAfter)
+		return verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "a call with this key is in progress").WithRetryAfter(retryAfter)
 	case MayHaveRun:
 		return verdict.New(verdict.MayHaveRun, verdict.CodeDuplicate, "a call with this key was started and its end is not recorded")
 	case AlreadyRan:
@@ -103,6 +103,6 @@
 	case Full:
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many calls with keys of the same minute")
 	default:
-		return verdict.New(verdict.NotRun, verdict.CodeLedgerUnavailable, "the call could not be recorded").After(retryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeLedgerUnavailable, "the call could not be recorded").WithRetryAfter(retryAfter)
 	}
 }
--- a/internal/core/manifest/manifest.go
+++ b/internal/core/manifest/manifest.go
@@ -24,9 +24,9 @@
 
 // Errors of verification.
 var (
-	ErrCorrupted = errors.New("chunk does not match its digest")
-	ErrManifest  = errors.New("manifest does not match its version")
-	ErrShape     = errors.New("manifest has an impossible size")
+	ErrCorrupted       = errors.New("chunk does not match its digest")
+	ErrVersionMismatch = errors.New("manifest does not match its version")
+	ErrInvalidSize     = errors.New("manifest has an impossible size")
 )
 
 // Chunk is one part of the weights.
@@ -60,26 +60,26 @@
 	return n
 }
 
-// Check returns an error unless m is well formed and is the version v.
-func (m Manifest) Check(v fleet.Version) error {
+// Validate returns an error unless m is well formed and is the version v.
+func (m Manifest) Validate(v fleet.Version) error {
 	if len(m.Chunks) == 0 || len(m.Chunks) > MaxChunks {
-		return errors.Wrapf(ErrShape, "%d chunks", len(m.Chunks))
+		return errors.Wrapf(ErrInvalidSize, "%d chunks", len(m.Chunks))
 	}
 	for i, c := range m.Chunks {
 		if c.Bytes <= 0 || c.Bytes > MaxChunkBytes {
-			return errors.Wrapf(ErrShape, "chunk %d has %d bytes", i, c.Bytes)
+			return errors.Wrapf(ErrInvalidSize, "chunk %d has %d bytes", i, c.Bytes)
 		}
 	}
 	if m.Version() != v {
-		return ErrManifest
+		return ErrVersionMismatch
 	}
 	return nil
 }
 
-// Verify returns ErrCorrupted unless data is chunk i.
-func (m Manifest) Verify(i int, data []byte) error {
+// VerifyChunk returns ErrCorrupted unless data is chunk i.
+func (m Manifest) VerifyChunk(i int, data []byte) error {
 	if i < 0 || i >= len(m.Chunks) {
-		return errors.Wrapf(ErrShape, "no chunk %d", i)
+		return errors.Wrapf(ErrInvalidSize, "no chunk %d", i)
 	}
 	if int64(len(data)) != m.Chunks[i].Bytes || sha256.Sum256(data) != m.Chunks[i].Digest {
 		return errors.Wrapf(ErrCorrupted, "chunk %d", i)
--- a/internal/core/pace/pace.go
+++ b/internal/core/ratelimit/bucket.go
@@ -1,7 +1,7 @@
 // Package pace limits the use of a link with token buckets. Live traffic is
 // charged without waiting and may leave a debt; transfers of weights wait
 // until the debt is paid. Waits are computed, so callers sleep once.
-package pace
+package ratelimit
 
 import (
 	"sync"
@@ -58,9 +58,9 @@
 	b.tokens -= float64(n)
 }
 
-// Take takes n bytes if the bucket holds at least one, and reports whether it
+// TryTake takes n bytes if the bucket holds at least one, and reports whether it
 // did. It is for traffic that is dropped rather than delayed.
-func (b *Bucket) Take(now time.Time, n int) bool {
+func (b *Bucket) TryTake(now time.Time, n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.rate <= 0 {
--- a/internal/core/pace/pace_test.go
+++ b/internal/core/ratelimit/bucket_test.go
@@ -1,4 +1,4 @@
-package pace
+package ratelimit
 
 import (
 	"testing"
--- a/internal/core/revision/revision.go
+++ b/internal/core/revision/revision.go
@@ -15,26 +15,26 @@
 // Unconfirmed is the age of a declaration that the platform never confirmed.
 const Unconfirmed = time.Duration(-1)
 
-// Held is a declaration with its stored form.
-type Held struct {
+// Snapshot is a declaration with its stored form.
+type Snapshot struct {
 	Declaration *declare.Declaration
-	// Stored is the document as the platform stores it; it is passed on
+	// Encoded is the document as the platform stores it; it is passed on
 	// unchanged and must not be modified.
-	Stored []byte
+	Encoded []byte
 }
 
 // Store holds the newest declaration. The zero value holds none. One lock
 // covers the pointer and its age, which change together.
 type Store struct {
 	mu        sync.Mutex
-	held      Held
+	held      Snapshot
 	confirmed time.Time
 }
 
 // Accept takes h if its revision is higher than the one held, and reports
 // whether it did. age is the time since the platform confirmed it, or
 // negative; an equal revision only lowers the age.
-func (s *Store) Accept(h Held, age time.Duration, now time.Time) bool {
+func (s *Store) Accept(h Snapshot, age time.Duration, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if h.Declaration.Revision <= s.revisionLocked() {
@@ -77,9 +77,9 @@
 	return s.revisionLocked()
 }
 
-// Held returns what is held and its age, Unconfirmed if it was never
+// Current returns what is held and its age, Unconfirmed if it was never
 // confirmed. The declaration is nil if none is known.
-func (s *Store) Held(now time.Time) (Held, time.Duration) {
+func (s *Store) Current(now time.Time) (Snapshot, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.confirmed.IsZero() {
--- a/internal/core/schedule/bytes.go
+++ b/internal/core/schedule/bytes.go
@@ -27,7 +27,7 @@
 	if b.total.Add(n) > b.max {
 		b.total.Add(-n)
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded,
-			"entry holds its limit of %d bytes", b.max).After(retryAfter)
+			"entry holds its limit of %d bytes", b.max).WithRetryAfter(retryAfter)
 	}
 	over := false
 	b.customers.Update(c, func(v int64, _ bool) (int64, bool) {
@@ -39,7 +39,7 @@
 	if over {
 		b.total.Add(-n)
 		return verdict.New(verdict.NotRun, verdict.CodeCustomerLimit,
-			"customer holds its limit of %d bytes at this entry", customerMax).After(retryAfter)
+			"customer holds its limit of %d bytes at this entry", customerMax).WithRetryAfter(retryAfter)
 	}
 	return nil
 }
--- a/internal/core/schedule/pool.go
+++ b/internal/core/schedule/pool.go
@@ -62,11 +62,11 @@
 	}
 	wait := p.estimate(r)
 	if p.queued() >= maxQueued {
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "queue is full").After(max(wait, retryAfter))
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "queue is full").WithRetryAfter(max(wait, retryAfter))
 	}
 	if now.Add(wait).After(r.Deadline) {
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded,
-			"expected wait of %v passes the deadline", wait).After(max(wait, retryAfter))
+			"expected wait of %v passes the deadline", wait).WithRetryAfter(max(wait, retryAfter))
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 		if p.late(t, now) {
 			t.state = ended
 			t.grant <- verdict.New(verdict.NotRun, verdict.CodeOverloaded,
-				"deadline cannot be met after waiting").After(retryAfter)
+				"deadline cannot be met after waiting").WithRetryAfter(retryAfter)
 			continue
 		}
 		p.count(c)
--- a/internal/core/schedule/schedule.go
+++ b/internal/core/schedule/schedule.go
@@ -86,7 +86,7 @@
 	t := &Ticket{req: r, grant: make(chan error, 1)}
 	if !q.countCustomer(r) {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeCustomerLimit,
-			"customer has %d requests waiting at this entry", r.MaxQueued).After(retryAfter)
+			"customer has %d requests waiting at this entry", r.MaxQueued).WithRetryAfter(retryAfter)
 	}
 	t.counted = true
 	var err error
--- a/internal/core/schedule/schedule_test.go
+++ b/internal/core/schedule/schedule_test.go
@@ -131,7 +131,7 @@
 				r.Deadline = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
 				if x, err := q.Enter(r, now); err == nil {
 					open = append(open, x)
-				} else if verdict.Of(err).Verdict != verdict.NotRun {
+				} else if verdict.FromError(err).Verdict != verdict.NotRun {
 					t.Fatalf("refusal %v", err)
 				}
 			},
@@ -173,7 +173,7 @@
 		t.Fatalf("shed although a permit is free: %v", err)
 	}
 	_, err := q.Enter(short, start)
-	if e := verdict.Of(err); err == nil || e.Code != verdict.CodeOverloaded || e.RetryAfter <= 0 {
+	if e := verdict.FromError(err); err == nil || e.Code != verdict.CodeOverloaded || e.RetryAfter <= 0 {
 		t.Errorf("error %v, want overloaded with a retry time", err)
 	}
 }
@@ -186,7 +186,7 @@
 	r.MaxQueued = 2
 	first := enter(t, q, r)
 	enter(t, q, r)
-	if _, err := q.Enter(r, start); verdict.Of(err).Code != verdict.CodeCustomerLimit {
+	if _, err := q.Enter(r, start); verdict.FromError(err).Code != verdict.CodeCustomerLimit {
 		t.Errorf("third request: %v", err)
 	}
 	q.Started(first)
@@ -199,7 +199,7 @@
 		code     verdict.Code
 	}{{"a", 60, 70, ""}, {"a", 20, 70, verdict.CodeCustomerLimit}, {"b", 50, 0, verdict.CodeOverloaded}, {"b", 40, 0, ""}} {
 		err := b.Take(c.customer, c.n, c.max)
-		if (err == nil) != (c.code == "") || err != nil && verdict.Of(err).Code != c.code {
+		if (err == nil) != (c.code == "") || err != nil && verdict.FromError(err).Code != c.code {
 			t.Error(fmt.Errorf("take %d: %w", i, err))
 		}
 	}
--- a/internal/core/spread/uploads.go
+++ b/internal/core/spread/uploads.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/masticwing/masticwing/internal/core/fleet"
-	"github.com/masticwing/masticwing/internal/core/pace"
+	"github.com/masticwing/masticwing/internal/core/ratelimit"
 	"github.com/masticwing/masticwing/internal/core/shard"
 )
 
@@ -40,7 +40,7 @@
 type Credit struct {
 	bytes int64
 	given *shard.Map[int, int]
-	extra *pace.Bucket
+	extra *ratelimit.Bucket
 
 	mu    sync.Mutex
 	taken int64
@@ -50,7 +50,7 @@
 // NewCredit returns the credit of a version with the given size.
 func NewCredit(bytes int64, now time.Time) *Credit {
 	rate := max(1, bytes/extraSeconds)
-	return &Credit{bytes: bytes, given: shard.New[int, int](0), extra: pace.NewBucket(rate, now)}
+	return &Credit{bytes: bytes, given: shard.New[int, int](0), extra: ratelimit.NewBucket(rate, now)}
 }
 
 // Took records bytes that the agent received.
@@ -70,7 +70,7 @@
 	case copies >= copiesPerChunk:
 		slack = idleSlackPercent
 	}
-	if !c.within(slack) && !c.extra.Take(now, int(n)) {
+	if !c.within(slack) && !c.extra.TryTake(now, int(n)) {
 		return false
 	}
 	c.given.Update(i, func(k int, _ bool) (int, bool) { return k + 1, true })
--- a/internal/core/verdict/verdict.go
+++ b/internal/core/verdict/verdict.go
@@ -50,36 +50,36 @@
 // Codes of errors that callers can see. docs/http.md lists the HTTP status of
 // each.
 const (
-	CodeBadRequest        Code = "bad_request"
-	CodeTooLarge          Code = "too_large"
-	CodeUnknownCustomer   Code = "unknown_customer"
-	CodeUnknownGroup      Code = "unknown_group"
-	CodeUnknownService    Code = "unknown_service"
-	CodeKeyRequired       Code = "idempotency_key_required"
-	CodeKeyExpired        Code = "idempotency_key_expired"
-	CodeKeyReused         Code = "idempotency_key_reused"
-	CodeNoConfiguration   Code = "no_configuration"
-	CodeCustomerLimit     Code = "customer_limit"
-	CodeOverloaded        Code = "overloaded"
-	CodeNoTarget          Code = "no_target"
-	CodeTargetFull        Code = "target_full"
-	CodeTargetWarming     Code = "target_warming"
-	CodeTargetCordoned    Code = "target_cordoned"
-	CodeTargetLeaving     Code = "target_leaving"
-	CodeVersionNotServing Code = "version_not_serving"
-	CodeLedgerUnavailable Code = "ledger_unavailable"
-	CodeDuplicate         Code = "duplicate"
-	CodeInProgress        Code = "in_progress"
-	CodeDeadline          Code = "deadline_exceeded"
-	CodeCanceled          Code = "canceled"
-	CodeTargetLost        Code = "target_lost"
-	CodeBrokenAnswer      Code = "broken_answer"
-	CodeVersionMismatch   Code = "version_mismatch"
-	CodeSlowCaller        Code = "slow_caller"
-	CodeTargetError       Code = "target_error"
-	CodeShuttingDown      Code = "shutting_down"
-	CodeInternal          Code = "internal"
-	CodeStalePicture      Code = "configuration_stale"
+	CodeBadRequest         Code = "bad_request"
+	CodeTooLarge           Code = "too_large"
+	CodeUnknownCustomer    Code = "unknown_customer"
+	CodeUnknownGroup       Code = "unknown_group"
+	CodeUnknownService     Code = "unknown_service"
+	CodeKeyRequired        Code = "idempotency_key_required"
+	CodeKeyExpired         Code = "idempotency_key_expired"
+	CodeKeyReused          Code = "idempotency_key_reused"
+	CodeNoConfiguration    Code = "no_configuration"
+	CodeCustomerLimit      Code = "customer_limit"
+	CodeOverloaded         Code = "overloaded"
+	CodeNoTarget           Code = "no_target"
+	CodeTargetFull         Code = "target_full"
+	CodeTargetWarming      Code = "target_warming"
+	CodeTargetCordoned     Code = "target_cordoned"
+	CodeTargetLeaving      Code = "target_leaving"
+	CodeVersionNotServing  Code = "version_not_serving"
+	CodeLedgerUnavailable  Code = "ledger_unavailable"
+	CodeDuplicate          Code = "duplicate"
+	CodeInProgress         Code = "in_progress"
+	CodeDeadline           Code = "deadline_exceeded"
+	CodeCanceled           Code = "canceled"
+	CodeTargetLost         Code = "target_lost"
+	CodeBrokenAnswer       Code = "broken_answer"
+	CodeVersionMismatch    Code = "version_mismatch"
+	CodeSlowCaller         Code = "slow_caller"
+	CodeTargetError        Code = "target_error"
+	CodeShuttingDown       Code = "shutting_down"
+	CodeInternal           Code = "internal"
+	CodeStaleConfiguration Code = "configuration_stale"
 )
 
 // Error is a typed error with a verdict.
@@ -103,8 +103,8 @@
 	return e
 }
 
-// After returns a copy of e that tells the caller when to try again.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e that tells the caller when to try again.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
@@ -128,9 +128,9 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Of returns the *Error in err's chain. Any other error becomes CodeInternal
+// FromError returns the *Error in err's chain. Any other error becomes CodeInternal
 // with MayHaveRun, since nothing is known about it.
-func Of(err error) *Error {
+func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
--- a/internal/core/verdict/verdict_test.go
+++ b/internal/core/verdict/verdict_test.go
@@ -9,7 +9,7 @@
 // TestUnknownErrorsMayHaveRun guards against reporting a request as not run
 // when nothing is known about it.
 func TestUnknownErrorsMayHaveRun(t *testing.T) {
-	if v := Of(errors.New("connection reset")).Verdict; v != MayHaveRun {
+	if v := FromError(errors.New("connection reset")).Verdict; v != MayHaveRun {
 		t.Fatalf("verdict = %v, want %v", v, MayHaveRun)
 	}
 	if v := Parse("garbage"); v != MayHaveRun {
@@ -21,7 +21,7 @@
 // caller adds context.
 func TestWrappedErrorKeepsVerdict(t *testing.T) {
 	err := errors.Wrap(New(NotRun, CodeTargetFull, "10 of 10 requests"), "opening stream")
-	e := Of(err)
+	e := FromError(err)
 	if e.Verdict != NotRun || e.Code != CodeTargetFull {
 		t.Fatalf("Of = %v %v, want not-run target_full", e.Verdict, e.Code)
 	}
--- a/internal/standin/origin/origin_test.go
+++ b/internal/standin/origin/origin_test.go
@@ -41,7 +41,7 @@
 	base := s.URL + "/v1/versions/" + string(m.Version())
 	start := time.Now()
 	for i := range m.Chunks {
-		if err := m.Verify(i, get(t, fmt.Sprintf("%s/chunks/%d", base, i))); err != nil {
+		if err := m.VerifyChunk(i, get(t, fmt.Sprintf("%s/chunks/%d", base, i))); err != nil {
 			t.Error(err)
 		}
 	}
@@ -51,7 +51,7 @@
 	if _, err := http.Post(s.URL+"/faults", "application/json", strings.NewReader(`{"corrupt":1,"rate":100000000}`)); err != nil {
 		t.Fatal(err)
 	}
-	if m.Verify(0, get(t, base+"/chunks/0")) == nil {
+	if m.VerifyChunk(0, get(t, base+"/chunks/0")) == nil {
 		t.Error("the chunk is not corrupted")
 	}
 	var c Counts
--- a/test/bench/spread/cluster/links.go
+++ b/test/bench/spread/cluster/links.go
@@ -11,7 +11,7 @@
 
 	"github.com/masticwing/masticwing/internal/core/fleet"
 	"github.com/masticwing/masticwing/internal/core/manifest"
-	"github.com/masticwing/masticwing/internal/core/pace"
+	"github.com/masticwing/masticwing/internal/core/ratelimit"
 	"github.com/masticwing/masticwing/internal/port"
 )
 
@@ -21,12 +21,12 @@
 // RegionLink is the link of a region to everything outside it.
 type RegionLink struct {
 	name    fleet.Region
-	link    pace.Link
+	link    ratelimit.Link
 	in, out atomic.Int64
 }
 
 func newRegionLink(name fleet.Region, rate int64) *RegionLink {
-	return &RegionLink{name: name, link: pace.NewLink(rate, rate, time.Now())}
+	return &RegionLink{name: name, link: ratelimit.NewLink(rate, rate, time.Now())}
 }
 
 // gate blocks a machine's traffic while it is frozen.
--- a/test/docs/http_test.go
+++ b/test/docs/http_test.go
@@ -138,7 +138,7 @@
 	if err == nil {
 		t.Fatal("a ledger that has stopped accepts a call")
 	}
-	return append(out, verdict.Of(err))
+	return append(out, verdict.FromError(err))
 }
 
 // TestIdempotencyTable guards against a page that tells callers another code,
