--- a/internal/app/gateway/attempt.go
+++ b/internal/app/gateway/attempt.go
@@ -90,9 +90,9 @@
 		v = verdict.MayHaveRun
 	}
 	if out == placement.AllFull {
-		return verdict.New(v, verdict.CodeOverloaded, "all targets of the service are full").After(overloadRetryAfter)
+		return verdict.New(v, verdict.CodeOverloaded, "all targets of the service are full").WithRetryAfter(overloadRetryAfter)
 	}
-	return verdict.New(v, verdict.CodeNoTarget, "no target of the service takes requests").After(overloadRetryAfter)
+	return verdict.New(v, verdict.CodeNoTarget, "no target of the service takes requests").WithRetryAfter(overloadRetryAfter)
 }
 
 // shouldRetry reports whether to send the request again after err. If it returns true, it
@@ -144,7 +144,7 @@
 	defer watch.stop()
 	ans, err := c.g.deps.Targets.Forward(sendCtx, choice.Address, f)
 	if err != nil {
-		return c.recordSendFailure(ctx, choice, verdict.Of(err))
+		return c.recordSendFailure(ctx, choice, verdict.FromError(err))
 	}
 	defer func() { _ = ans.Body.Close() }()
 	c.runs++
@@ -193,7 +193,7 @@
 	default:
 		c.g.targets.Busy(choice.Instance, now)
 	}
-	return err.After(overloadRetryAfter)
+	return err.WithRetryAfter(overloadRetryAfter)
 }
 
 // maxBufferedBytes bounds a response that is read completely before it is delivered.
@@ -254,8 +254,8 @@
 // relayStream sends the events of a stream to the caller as they arrive. It sends only
 // complete events, so that the stream can resume at another target.
 func (c *call) relayStream(ctx context.Context, choice placement.Choice, ans *port.ForwardAnswer, watch *stallWatch) *verdict.Error {
-	c.relay.events.Discard()
-	first, eventsBefore := true, c.relay.events.Events()
+	c.relay.events.DiscardPartial()
+	first, eventsBefore := true, c.relay.events.EventCount()
 	buf := make([]byte, streamReadBytes)
 	for {
 		n, err := ans.Body.Read(buf)
@@ -264,13 +264,13 @@
 			if e := c.relayEvents(ans, buf[:n]); e != nil {
 				return e
 			}
-			if first && c.relay.events.Events() > eventsBefore {
+			if first && c.relay.events.EventCount() > eventsBefore {
 				first = false
 				now := c.g.deps.Clock.Now()
 				c.g.targets.FirstEvent(choice.Instance, now.Sub(watch.start), choice.First, now)
 			}
 		}
-		if errors.Is(err, io.EOF) && c.relay.events.Rest() == 0 {
+		if errors.Is(err, io.EOF) && c.relay.events.PartialBytes() == 0 {
 			return c.finishStream(choice, ans)
 		}
 		if err != nil {
@@ -281,7 +281,7 @@
 
 // relayEvents sends the events that b completes.
 func (c *call) relayEvents(ans *port.ForwardAnswer, b []byte) *verdict.Error {
-	complete, ok := c.relay.events.Add(b)
+	complete, ok := c.relay.events.Push(b)
 	if !ok {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBrokenAnswer, "event is longer than %d bytes", eventstream.MaxEventBytes)
 	}
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -39,8 +39,8 @@
 
 // Serve answers a caller's request. It implements port.InboundHandler.
 func (g *Gateway) Serve(ctx context.Context, in *port.Inbound, out port.Outbound) {
-	g.active.Enter()
-	defer g.active.Leave()
+	g.active.Start()
+	defer g.active.Done()
 	c := &call{g: g, in: in, out: out, tried: map[fleet.Instance]bool{}}
 	if e := c.resolve(); e != nil {
 		c.refuse(e)
@@ -65,9 +65,9 @@
 	c.routeTable = g.view.routeTable.Load()
 	switch {
 	case g.refusing.Load():
-		return verdict.New(verdict.NotRun, verdict.CodeShuttingDown, "gateway is shutting down").After(localRetryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeShuttingDown, "gateway is shutting down").WithRetryAfter(localRetryAfter)
 	case c.routeTable == nil:
-		return verdict.New(verdict.NotRun, verdict.CodeNoConfiguration, "no configuration is known").After(localRetryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeNoConfiguration, "no configuration is known").WithRetryAfter(localRetryAfter)
 	}
 	r, ok := c.routeTable.Match(c.in.Host, c.in.Path)
 	if !ok {
@@ -82,7 +82,7 @@
 		c.service, ok = c.routeTable.Service(name)
 	}
 	if !ok {
-		return verdict.New(verdict.NotRun, verdict.CodeNoTarget, "route has no service").After(time.Second)
+		return verdict.New(verdict.NotRun, verdict.CodeNoTarget, "route has no service").WithRetryAfter(time.Second)
 	}
 	timeout := c.in.Patience
 	if timeout == 0 {
@@ -102,8 +102,8 @@
 		return nil
 	}
 	if age := c.g.viewAge(); c.g.confirmedAt.Load() == 0 || age > c.g.settings.KeyBound-keyBoundMargin {
-		return verdict.New(verdict.NotRun, verdict.CodeStalePicture, "API keys were last confirmed %v ago", age.Round(time.Millisecond)).
-			After(localRetryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeStaleConfiguration, "API keys were last confirmed %v ago", age.Round(time.Millisecond)).
+			WithRetryAfter(localRetryAfter)
 	}
 	a, ok := c.routeTable.Account(c.in.Key)
 	if !ok {
@@ -236,7 +236,7 @@
 		fs = append(fs, logging.F("target", string(c.lastChoice.Instance)), logging.F("target_domain", string(c.lastChoice.Domain)),
 			logging.F("target_load", c.lastChoice.Estimate), logging.Millis("predicted_first_ms", c.lastChoice.First), logging.Millis("load_age_ms", c.lastChoice.LoadAge))
 	}
-	if n := c.relay.events.Events(); n > 0 {
+	if n := c.relay.events.EventCount(); n > 0 {
 		fs = append(fs, logging.F("events", n), logging.Millis("first_ms", c.relay.firstEventAfter),
 			logging.Millis("longest_gap_ms", c.relay.longestGap), logging.Millis("objective_ms", c.route.Objective),
 			logging.F("prompt_tokens", c.in.Work.PromptTokens), logging.F("expected_tokens", c.in.Work.ExpectedTokens))
