--- a/internal/app/gateway/follow.go
+++ b/internal/app/gateway/follow.go
@@ -68,7 +68,7 @@
 
 // publishThenApply registers the follower's prefix in the hub and returns a function that
 // publishes an event there and then calls apply. Publishing comes first because other
-// gateways adopt the confirmations of this one: they must not get an event later.
+// processes adopt the confirmations of this one: they must not get an event later.
 func (g *Gateway) publishThenApply(f *follow.Follower, apply func(follow.Event)) func(follow.Event) {
 	publish, markSeen := g.hub.Serve(f.Prefix, func() bool { return !g.closing.Load() && g.source.Direct(f.Prefix) })
 	f.Applied = func(at int64) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// serveFeed serves changes of the store to the gateways that follow this one. It listens
+// serveFeed serves changes of the store to the processes that follow this one. It listens
 // again after an error.
 func (g *Gateway) serveFeed(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -112,7 +112,7 @@
 	// A gateway that follows another one normally adopts its confirmations before the
 	// interval ends.
 	confirmInterval = 1500 * time.Millisecond
-	// readerConfirmInterval is the same for a gateway that others follow.
+	// readerConfirmInterval is the same for a gateway that other processes follow.
 	readerConfirmInterval = 600 * time.Millisecond
 	// confirmRetryDelay is the pause after a call that did not confirm the view.
 	confirmRetryDelay = 300 * time.Millisecond
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -51,8 +51,8 @@
 	source           *feed.Source
 	hub              *feed.Hub
 	operatorFollower *follow.Follower
-	// applyOperatorKeys publishes changes of the operator keys to other gateways and
-	// applies them to the view.
+	// applyOperatorKeys publishes changes of the operator keys, which are the store's keys
+	// that operators write, to other processes and applies them to the view.
 	applyOperatorKeys func(follow.Event)
 	noticeSender      atomic.Pointer[loadcast.Sender]
 }
@@ -89,7 +89,7 @@
 }
 
 // Run keeps the view of the store and the load of targets up to date, and serves
-// the feed of store changes to other gateways, until ctx ends.
+// the feed of store changes to other processes, until ctx ends.
 func (g *Gateway) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -108,7 +108,8 @@
 	wg.Go(func() { e.Run(ctx) })
 }
 
-// Ready implements port.InboundHandler.
+// Ready reports whether the gateway accepts connections, or why not. It implements
+// port.InboundHandler.
 func (g *Gateway) Ready() (bool, string) {
 	switch {
 	case g.closing.Load():
@@ -121,7 +122,8 @@
 	return true, ""
 }
 
-// Bounds implements port.InboundHandler.
+// Bounds returns the configured limits for callers, or none before a configuration is
+// known. It implements port.InboundHandler.
 func (g *Gateway) Bounds() port.CallerBounds {
 	t := g.view.routeTable.Load()
 	if t == nil {
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -214,7 +214,7 @@
 }
 
 // logRequest writes the log line and the metrics of a request that has ended. status is
-// zero if no response was sent.
+// that of the target's response, or zero if none was passed to the caller.
 func (c *call) logRequest(outcome string, e *verdict.Error, status int) {
 	g := c.g
 	now := g.deps.Clock.Now()
