--- a/internal/app/chunks/chunks.go
+++ b/internal/app/chunks/chunks.go
@@ -1,5 +1,6 @@
-// Package chunks fetches the chunks of one version at a time from other members
-// and the origin, along the chains of package chain, and serves them to others.
+// Package chunks fetches the chunks of a version of the weights from other members
+// and the origin, in the order that package chain decides, and serves them to other
+// members.
 package chunks
 
 import (
@@ -20,39 +21,43 @@
 )
 
 const (
-	// asks is the number of chunks that other members are asked for at a time.
-	// Most of them are on their way there, and are told of as soon as they come.
-	asks = 32
-	// transfers is the number of chunks that arrive at a time. More of them fill a
-	// link that is narrower than declared for seconds; with fewer the link is idle
-	// between two chunks.
-	transfers = 6
-	// askTimeout bounds a question, which a live member answers within twice
-	// holdTime. Others wait for the chunks of a member that is gone.
-	askTimeout = 800 * time.Millisecond
-	// fetchTimeout bounds the transfer of a chunk from a member. It covers slotTime,
-	// and the transfer over links that several share.
-	fetchTimeout = 1500 * time.Millisecond
-	// recheck bounds the time until a pause of the table has passed.
-	recheck = 20 * time.Millisecond
-	// holdTime is the time for which a member that asks for a chunk that is on
-	// its way is kept waiting.
-	holdTime = 300 * time.Millisecond
-	// slotTime is the time for which it waits for a slot after that.
-	slotTime = 600 * time.Millisecond
-	// writeBytes is the most that is written before the link's budget is
-	// consulted. 8 KiB take 9 ms on the link of an engine's VM, by which they
-	// delay the events of the engine's streams.
-	writeBytes = 8 << 10
-	// uploads bounds the chunks sent at a time. A chunk that is sent alone arrives
-	// earlier and is passed on earlier.
-	uploads = 3
+	// maxAnnounceRequests bounds the announce-only requests in flight. Most of them
+	// are for chunks that the other member is still fetching; it responds as soon as
+	// it has the chunk.
+	maxAnnounceRequests = 32
+	// maxTransfers bounds the chunks received at a time. More would fill a link that
+	// is slower than declared for seconds; with fewer the link would be idle between
+	// two chunks.
+	maxTransfers = 6
+	// announceTimeout bounds an announce-only request, to which a live member
+	// responds within twice longPollTime. Until the timeout, other members wait for
+	// the chunks that this one expects from a member that is gone.
+	announceTimeout = 800 * time.Millisecond
+	// transferTimeout bounds a request for the data of a chunk. It covers slotWait
+	// and a transfer over shared links.
+	transferTimeout = 1500 * time.Millisecond
+	// recheckInterval bounds how late the end of a pause in the chunk table is
+	// noticed.
+	recheckInterval = 20 * time.Millisecond
+	// longPollTime is how long a request waits for a version or chunk that this
+	// member does not have yet.
+	longPollTime = 300 * time.Millisecond
+	// slotWait is how long a request then waits for an upload slot.
+	slotWait = 600 * time.Millisecond
+	// maxWriteBytes bounds a write between two reservations of the link's rate
+	// limit. 8 KiB take 9 ms on the link of an engine's VM and delay the events of
+	// the engine's streams by as much.
+	maxWriteBytes = 8 << 10
+	// maxUploads bounds the chunks sent at a time. With fewer at a time, each chunk
+	// arrives earlier and is passed on earlier.
+	maxUploads = 3
 )
 
 // Settings of a Fetcher.
 type Settings struct {
 	Self chain.Member
-	// InRate and OutRate limit the link in bytes per second; 0 means no limit.
+	// InRate and OutRate limit the use of the link in bytes per second; 0 means no
+	// limit.
 	InRate, OutRate int64
 }
 
@@ -62,82 +67,83 @@
 	Origin  port.Origin
 	Clock   port.Clock
 	Metrics port.Metrics
-	// OriginRate returns the speed of the origin's link in bytes per second, or zero
+	// OriginRate returns the capacity of the origin's link in bytes per second, or 0
 	// if it is not known.
 	OriginRate func() int64
 	// Members returns the members that may hold or fetch versions.
 	Members func() []chain.Member
 }
 
-// Fetcher implements port.PeerHandler.
+// Fetcher fetches the current version and serves the current and the previous one.
+// It implements port.PeerHandler.
 type Fetcher struct {
-	set   Settings
-	deps  Deps
-	link  ratelimit.Link
-	slots chan struct{}
-	wake  chan struct{}
+	settings    Settings
+	deps        Deps
+	link        ratelimit.Link
+	uploadSlots chan struct{}
+	wake        chan struct{}
 
 	mu      sync.Mutex // guards the following
 	current *version
-	// previous stays available to members that still fetch it.
+	// previous is kept for members that still fetch it.
 	previous *version
-	// wanted is closed and replaced with each version that is wanted.
-	wanted chan struct{}
+	// versionChanged is closed and replaced when current changes.
+	versionChanged chan struct{}
 }
 
 // version is one version, complete or not.
 type version struct {
 	id fleet.Version
-	// name is what members call the version before they know its digest.
+	// name identifies the version to members that do not know its digest yet.
 	name   fleet.Version
 	man    manifest.Manifest
 	table  *chain.Table
 	chunks *shard.Map[int, []byte]
 	cancel context.CancelFunc
-	// arrived is closed and replaced with each chunk that arrives.
-	mu      sync.Mutex
-	arrived chan struct{}
-	done    chan struct{}
+	// chunkStored is closed and replaced with each stored chunk; mu guards it.
+	mu          sync.Mutex
+	chunkStored chan struct{}
+	completed   chan struct{}
 }
 
 var _ port.PeerHandler = (*Fetcher)(nil)
 
-// New returns a fetcher that wants nothing.
+// New returns a fetcher without a version.
 func New(s Settings, d Deps) *Fetcher {
 	return &Fetcher{
-		set: s, deps: d, link: ratelimit.NewLink(s.InRate, s.OutRate, d.Clock.Now()),
-		slots: make(chan struct{}, uploads), wake: make(chan struct{}, 1), wanted: make(chan struct{}),
+		settings: s, deps: d, link: ratelimit.NewLink(s.InRate, s.OutRate, d.Clock.Now()),
+		uploadSlots: make(chan struct{}, maxUploads), wake: make(chan struct{}, 1), versionChanged: make(chan struct{}),
 	}
 }
 
-// Want makes the fetcher work towards a version. Members that do not know its
-// digest yet find its manifest by the name.
-func (f *Fetcher) Want(name, id fleet.Version, man manifest.Manifest) {
+// SetVersion makes a version the current one, which Run fetches. Members that do
+// not know its digest yet can find its manifest by name.
+func (f *Fetcher) SetVersion(name, id fleet.Version, man manifest.Manifest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.current != nil && f.current.id == id {
 		return
 	}
-	// The fetch of the version before goes on: it is mostly done, and may be needed
-	// before the new one is complete.
+	// The fetch of the replaced version continues: most of it is usually done, and
+	// the version may be needed before the new one is complete.
 	if f.previous != nil && f.previous.cancel != nil {
 		f.previous.cancel()
 	}
 	f.previous = f.current
-	table := chain.NewTable(len(man.Chunks), f.set.Self, f.deps.Members())
+	table := chain.NewTable(len(man.Chunks), f.settings.Self, f.deps.Members())
 	if rate := f.deps.OriginRate(); rate > 0 && len(man.Chunks) > 0 {
 		table.SpaceOrigin(time.Duration(man.Chunks[0].Bytes)*time.Second/time.Duration(rate), f.deps.Clock.Now())
 	}
 	f.current = &version{
 		id: id, name: name, man: man, table: table,
-		chunks: shard.New[int, []byte](8), arrived: make(chan struct{}), done: make(chan struct{}),
+		chunks: shard.New[int, []byte](8), chunkStored: make(chan struct{}), completed: make(chan struct{}),
 	}
-	close(f.wanted)
-	f.wanted = make(chan struct{})
+	close(f.versionChanged)
+	f.versionChanged = make(chan struct{})
 	signal(f.wake)
 }
 
-func (f *Fetcher) find(id fleet.Version) *version {
+func (f *Fetcher) findVersion(id fleet.Version) *version {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, v := range []*version{f.current, f.previous} {
@@ -148,27 +154,28 @@
 	return nil
 }
 
-// Complete returns a channel that is closed once the version is complete. It
-// returns nil for a version that is not wanted.
-func (f *Fetcher) Complete(id fleet.Version) <-chan struct{} {
-	if v := f.find(id); v != nil {
-		return v.done
+// Completed returns a channel that is closed once all chunks of the version are
+// held. It returns nil for an unknown version.
+func (f *Fetcher) Completed(id fleet.Version) <-chan struct{} {
+	if v := f.findVersion(id); v != nil {
+		return v.completed
 	}
 	return nil
 }
 
-// Chunk returns a verified chunk.
+// Chunk returns a verified chunk, or false if it is not held.
 func (f *Fetcher) Chunk(id fleet.Version, i int) ([]byte, bool) {
-	v := f.find(id)
+	v := f.findVersion(id)
 	if v == nil {
 		return nil, false
 	}
 	return v.chunks.Get(i)
 }
 
-// Add keeps a chunk that was found elsewhere, if it is intact.
-func (f *Fetcher) Add(id fleet.Version, i int, data []byte) bool {
-	v := f.find(id)
+// AddChunk stores a chunk that the caller obtained elsewhere. It returns false if
+// the version is unknown or the chunk does not match its digest.
+func (f *Fetcher) AddChunk(id fleet.Version, i int, data []byte) bool {
+	v := f.findVersion(id)
 	if v == nil || v.man.VerifyChunk(i, data) != nil {
 		return false
 	}
@@ -177,7 +184,7 @@
 	return true
 }
 
-// Run fetches what is wanted until ctx ends.
+// Run fetches the versions given to SetVersion until ctx ends.
 func (f *Fetcher) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -190,7 +197,7 @@
 		}
 		f.mu.Unlock()
 		if vctx != nil {
-			wg.Go(func() { f.fetch(vctx, v) })
+			wg.Go(func() { f.fetchVersion(vctx, v) })
 		}
 		select {
 		case <-ctx.Done():
@@ -199,45 +206,45 @@
 	}
 }
 
-// fetch starts fetches until the version is complete or ctx ends.
-func (f *Fetcher) fetch(ctx context.Context, v *version) {
+// fetchVersion starts chunk fetches until the version is complete or ctx ends.
+func (f *Fetcher) fetchVersion(ctx context.Context, v *version) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	run := &round{asks: newLimit(asks), transfers: newLimit(transfers), ended: make(chan struct{}, 1)}
-	members := f.deps.Clock.Now()
+	state := &fetchState{announcements: newLimiter(maxAnnounceRequests), transfers: newLimiter(maxTransfers), fetchEnded: make(chan struct{}, 1)}
+	refreshed := f.deps.Clock.Now()
 	for ctx.Err() == nil {
 		if v.table.Missing() == 0 {
-			close(v.done)
+			close(v.completed)
 			return
 		}
 		now := f.deps.Clock.Now()
-		if now.Sub(members) >= membersEvery {
-			members = now
-			v.table.SetMembers(f.set.Self, f.deps.Members())
+		if now.Sub(refreshed) >= memberRefreshInterval {
+			refreshed = now
+			v.table.SetMembers(f.settings.Self, f.deps.Members())
 		}
-		job, ok := v.table.Next(chain.Room{Ask: run.asks.free(), Data: run.transfers.free()}, now)
+		job, ok := v.table.Next(chain.Room{Ask: state.announcements.available(), Data: state.transfers.available()}, now)
 		if !ok {
-			f.pause(ctx, v, run)
+			f.waitForWork(ctx, v, state)
 			continue
 		}
-		limit := run.transfers
+		limit := state.transfers
 		if job.Ask {
-			limit = run.asks
+			limit = state.announcements
 		}
-		limit.take()
+		limit.acquire()
 		wg.Go(func() {
-			f.one(ctx, v, job, run)
-			limit.give()
-			signal(run.ended)
+			f.fetchChunk(ctx, v, job, state)
+			limit.release()
+			signal(state.fetchEnded)
 		})
 	}
 }
 
-// round is the state of the fetches of one version.
-type round struct {
-	asks, transfers *limit
-	// ended receives after a fetch has ended.
-	ended chan struct{}
+// fetchState is the state of the chunk fetches of one version.
+type fetchState struct {
+	announcements, transfers *limiter
+	// fetchEnded receives a value after a chunk fetch has ended.
+	fetchEnded chan struct{}
 }
 
 func signal(c chan struct{}) {
@@ -247,22 +254,22 @@
 	}
 }
 
-// membersEvery is the time between two looks at the members.
-const membersEvery = 500 * time.Millisecond
+// memberRefreshInterval is the time between two updates of the table's members.
+const memberRefreshInterval = 500 * time.Millisecond
 
-// pause waits for a fetch to end, or for pauses of the table to pass.
-func (f *Fetcher) pause(ctx context.Context, v *version, run *round) {
+// waitForWork waits until the table may have another fetch to start.
+func (f *Fetcher) waitForWork(ctx context.Context, v *version, state *fetchState) {
 	select {
 	case <-ctx.Done():
-	case <-run.ended:
-	case <-v.next():
-	case <-f.deps.Clock.After(recheck):
+	case <-state.fetchEnded:
+	case <-v.chunkAdded():
+	case <-f.deps.Clock.After(recheckInterval):
 	}
 }
 
-// one makes one fetch.
-func (f *Fetcher) one(ctx context.Context, v *version, job chain.Fetch, run *round) {
-	data, err := f.receive(ctx, v, job, run.transfers)
+// fetchChunk makes one fetch and records its outcome in the table and the metrics.
+func (f *Fetcher) fetchChunk(ctx context.Context, v *version, job chain.Fetch, state *fetchState) {
+	data, err := f.requestChunk(ctx, v, job, state.transfers)
 	outcome := chain.Failed
 	switch {
 	case err == nil && job.Ask:
@@ -278,34 +285,34 @@
 	source := "origin"
 	if !job.Origin {
 		source = "other_region"
-		if job.From.Region == f.set.Self.Region {
+		if job.From.Region == f.settings.Self.Region {
 			source = "own_region"
 		}
 	}
 	f.deps.Metrics.Count("chunk_fetches_total", 1, port.Attr{Key: "source", Value: source},
-		port.Attr{Key: "outcome", Value: outcomes[outcome]})
+		port.Attr{Key: "outcome", Value: outcomeLabels[outcome]})
 	v.table.Done(job, outcome, f.deps.Clock.Now())
 }
 
-var outcomes = map[chain.Outcome]string{
+var outcomeLabels = map[chain.Outcome]string{
 	chain.Got: "got", chain.Pending: "pending", chain.Idle: "idle",
 	chain.Announced: "announced", chain.Failed: "failed",
 }
 
-func (f *Fetcher) receive(ctx context.Context, v *version, job chain.Fetch, transfers *limit) ([]byte, error) {
+func (f *Fetcher) requestChunk(ctx context.Context, v *version, job chain.Fetch, transfers *limiter) ([]byte, error) {
 	var rc io.ReadCloser
 	var err error
 	if job.Origin {
 		rc, err = f.deps.Origin.Chunk(ctx, v.id, job.Chunk)
 	} else {
 		var cancel context.CancelFunc
-		timeout := fetchTimeout
+		timeout := transferTimeout
 		if job.Ask {
-			timeout = askTimeout
+			timeout = announceTimeout
 		}
 		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
-		self := f.set.Self
+		self := f.settings.Self
 		r := port.ChunkRequest{Version: v.id, Index: job.Chunk, From: self.VM, FromRegion: self.Region, AnnounceOnly: job.Ask}
 		rc, err = f.deps.Peers.FetchChunk(ctx, job.From.Address, r)
 	}
@@ -328,7 +335,7 @@
 	}
 	data := append(first, rest...)
 	now := f.deps.Clock.Now()
-	transfers.arrived(len(data), now.Sub(start), f.set.InRate, now)
+	transfers.recordTransfer(len(data), now.Sub(start), f.settings.InRate, now)
 	return data, f.sleep(ctx, f.link.In.Reserve(f.deps.Clock.Now(), len(data)))
 }
 
@@ -344,22 +351,23 @@
 	}
 }
 
-func (v *version) next() <-chan struct{} {
+// chunkAdded returns a channel that is closed when the next chunk is stored.
+func (v *version) chunkAdded() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.arrived
+	return v.chunkStored
 }
 
 func (v *version) store(i int, data []byte) {
 	v.chunks.Put(i, data)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	close(v.arrived)
-	v.arrived = make(chan struct{})
+	close(v.chunkStored)
+	v.chunkStored = make(chan struct{})
 }
 
-// Manifest implements port.PeerHandler. A member that asks is kept waiting for a
-// moment, since members learn of a version some milliseconds apart.
+// Manifest implements port.PeerHandler. It waits up to longPollTime for an unknown
+// version, since members learn of a version some milliseconds apart.
 func (f *Fetcher) Manifest(id fleet.Version) (manifest.Manifest, bool) {
 	v := f.awaitVersion(context.Background(), id)
 	if v == nil {
@@ -369,38 +377,39 @@
 }
 
 const (
-	// manifestSources bounds the members that are asked for a manifest.
-	manifestSources = 2
-	// manifestPatience is the time for which members that can be reached are asked
-	// again. The first one draws two manifests from the origin meanwhile; if all did,
-	// these would take half a second of the origin's link.
-	manifestPatience = 1500 * time.Millisecond
-	// manifestTimeout bounds one question, which is kept for holdTime.
-	manifestTimeout = holdTime + 250*time.Millisecond
+	// maxManifestSources bounds the members that are asked for a manifest.
+	maxManifestSources = 2
+	// manifestRetryTime is how long reachable members are asked again. Meanwhile the
+	// first member requests two manifests from the origin; if all members did, the
+	// manifests would take half a second of the origin's link.
+	manifestRetryTime = 1500 * time.Millisecond
+	// manifestTimeout bounds one request, which the other member may hold for
+	// longPollTime.
+	manifestTimeout = longPollTime + 250*time.Millisecond
 )
 
-// Resolve asks other members for the manifest of a named version. It returns
-// false if this member has to ask the origin.
-func (f *Fetcher) Resolve(ctx context.Context, name fleet.Version) (manifest.Manifest, bool) {
-	end := f.deps.Clock.Now().Add(manifestPatience)
-	for ctx.Err() == nil && f.deps.Clock.Now().Before(end) {
-		sources := chain.Before(f.set.Self, f.deps.Members())
-		waiting := false
-		for _, m := range sources[:min(manifestSources, len(sources))] {
-			man, err := f.ask(ctx, m, name)
+// FindManifest asks other members for the manifest of a version by its name. It
+// returns false if the caller has to ask the origin.
+func (f *Fetcher) FindManifest(ctx context.Context, name fleet.Version) (manifest.Manifest, bool) {
+	deadline := f.deps.Clock.Now().Add(manifestRetryTime)
+	for ctx.Err() == nil && f.deps.Clock.Now().Before(deadline) {
+		sources := chain.Before(f.settings.Self, f.deps.Members())
+		pending := false
+		for _, m := range sources[:min(maxManifestSources, len(sources))] {
+			man, err := f.requestManifest(ctx, m, name)
 			if err == nil {
 				return man, true
 			}
-			waiting = waiting || errors.Is(err, port.ErrManifestUnknown)
+			pending = pending || errors.Is(err, port.ErrManifestUnknown)
 		}
-		if !waiting {
+		if !pending {
 			break
 		}
 	}
 	return manifest.Manifest{}, false
 }
 
-func (f *Fetcher) ask(ctx context.Context, m chain.Member, name fleet.Version) (manifest.Manifest, error) {
+func (f *Fetcher) requestManifest(ctx context.Context, m chain.Member, name fleet.Version) (manifest.Manifest, error) {
 	ctx, cancel := context.WithTimeout(ctx, manifestTimeout)
 	defer cancel()
 	man, err := f.deps.Peers.Manifest(ctx, m.Address, name)
@@ -410,23 +419,25 @@
 	return man, man.Validate(man.Version())
 }
 
-// errNoWatch is returned to a member of another kind of deployment.
-var errNoWatch = errors.New("chunks are not announced")
+// errWatchUnsupported is returned to a member whose deployment uses streams of
+// chunk announcements.
+var errWatchUnsupported = errors.New("streams of chunk announcements are not supported")
 
-// WatchChunks implements port.PeerHandler.
+// WatchChunks implements port.PeerHandler. It always fails: members of this
+// deployment use announce-only requests instead.
 func (f *Fetcher) WatchChunks(context.Context, fleet.Version, fleet.VM, func(port.ChunkUpdate) error) error {
-	return errNoWatch
+	return errWatchUnsupported
 }
 
-// SendChunk implements port.PeerHandler. A member that works towards the version
-// keeps the caller waiting for a moment before it says that the chunk is still
-// on its way.
+// SendChunk implements port.PeerHandler. It waits up to longPollTime for a version
+// or chunk that is not held yet. It then returns port.ErrChunkMissing if the
+// version is unknown and port.ErrPeerBusy if only the chunk is missing.
 func (f *Fetcher) SendChunk(ctx context.Context, r port.ChunkRequest, w io.Writer) error {
 	v := f.awaitVersion(ctx, r.Version)
 	if v == nil {
 		return port.ErrChunkMissing
 	}
-	data, ok := f.await(ctx, v, r.Index)
+	data, ok := f.awaitChunk(ctx, v, r.Index)
 	if !ok {
 		return port.ErrPeerBusy
 	}
@@ -434,15 +445,15 @@
 		return nil
 	}
 	select {
-	case f.slots <- struct{}{}:
-	case <-f.deps.Clock.After(slotTime):
+	case f.uploadSlots <- struct{}{}:
+	case <-f.deps.Clock.After(slotWait):
 		return port.ErrPeerBusy
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-f.slots }()
+	defer func() { <-f.uploadSlots }()
 	for len(data) > 0 {
-		n := min(writeBytes, len(data))
+		n := min(maxWriteBytes, len(data))
 		if err := f.sleep(ctx, f.link.Out.Reserve(f.deps.Clock.Now(), n)); err != nil {
 			return err
 		}
@@ -454,20 +465,20 @@
 	return nil
 }
 
-// awaitVersion returns a version once this member wants it, or nil after a
-// moment. Members learn of a version some milliseconds apart.
+// awaitVersion returns a version once SetVersion was called for it, or nil after
+// longPollTime.
 func (f *Fetcher) awaitVersion(ctx context.Context, id fleet.Version) *version {
-	late := f.deps.Clock.After(holdTime)
+	timeout := f.deps.Clock.After(longPollTime)
 	for {
 		f.mu.Lock()
-		next := f.wanted
+		versionChanged := f.versionChanged
 		f.mu.Unlock()
-		if v := f.find(id); v != nil {
+		if v := f.findVersion(id); v != nil {
 			return v
 		}
 		select {
-		case <-next:
-		case <-late:
+		case <-versionChanged:
+		case <-timeout:
 			return nil
 		case <-ctx.Done():
 			return nil
@@ -475,17 +486,17 @@
 	}
 }
 
-// await returns a chunk once it is there, or false after a moment.
-func (f *Fetcher) await(ctx context.Context, v *version, i int) ([]byte, bool) {
-	late := f.deps.Clock.After(holdTime)
+// awaitChunk returns a chunk once it is held, or false after longPollTime.
+func (f *Fetcher) awaitChunk(ctx context.Context, v *version, i int) ([]byte, bool) {
+	timeout := f.deps.Clock.After(longPollTime)
 	for {
-		next := v.next()
+		chunkAdded := v.chunkAdded()
 		if data, ok := v.chunks.Get(i); ok {
 			return data, true
 		}
 		select {
-		case <-next:
-		case <-late:
+		case <-chunkAdded:
+		case <-timeout:
 			return nil, false
 		case <-ctx.Done():
 			return nil, false
--- a/internal/app/chunks/chunks_test.go
+++ b/internal/app/chunks/chunks_test.go
@@ -26,60 +26,60 @@
 func (noMetrics) Seconds(string, time.Duration, ...port.Attr) {}
 func (noMetrics) Gauge(string, float64, ...port.Attr)         {}
 
-// bed is a set of fetchers that reach each other in memory, and an origin.
-type bed struct {
-	members  []chain.Member
-	fetchers map[fleet.Address]*Fetcher
-	weights  []byte
-	man      manifest.Manifest
-	drawn    atomic.Int64
-	rate     int64
-	// spoilt makes that many chunks of peers wrong.
-	spoilt atomic.Int64
-	mu     sync.Mutex
-	dead   map[fleet.Address]bool
+// testCluster is a set of fetchers that reach each other in memory, and an origin.
+type testCluster struct {
+	members       []chain.Member
+	fetchers      map[fleet.Address]*Fetcher
+	weights       []byte
+	man           manifest.Manifest
+	originFetches atomic.Int64
+	originRate    int64
+	// corruptions is the number of chunks sent by peers that are still to be corrupted.
+	corruptions atomic.Int64
+	mu          sync.Mutex
+	down        map[fleet.Address]bool
 }
 
 const chunkBytes = 1 << 10
 
-func newBed(regions, each int) *bed {
-	b := &bed{fetchers: map[fleet.Address]*Fetcher{}, weights: make([]byte, 64*chunkBytes), dead: map[fleet.Address]bool{}}
-	for i := range b.weights {
-		b.weights[i] = byte(i * 7 / 5)
+func newTestCluster(regions, perRegion int) *testCluster {
+	tc := &testCluster{fetchers: map[fleet.Address]*Fetcher{}, weights: make([]byte, 64*chunkBytes), down: map[fleet.Address]bool{}}
+	for i := range tc.weights {
+		tc.weights[i] = byte(i * 7 / 5)
 	}
-	b.man = manifest.Split("m", b.weights, chunkBytes)
+	tc.man = manifest.Split("m", tc.weights, chunkBytes)
 	for r := range regions {
-		for i := range each {
+		for i := range perRegion {
 			vm := fmt.Sprintf("r%d-%d", r, i)
-			b.members = append(b.members, chain.Member{VM: fleet.VM(vm), Region: fleet.Region(fmt.Sprint(r)), Address: fleet.Address(vm)})
+			tc.members = append(tc.members, chain.Member{VM: fleet.VM(vm), Region: fleet.Region(fmt.Sprint(r)), Address: fleet.Address(vm)})
 		}
 	}
-	for _, m := range b.members {
-		b.fetchers[m.Address] = New(Settings{Self: m}, Deps{
-			Peers: b, Origin: originOnly{b}, Clock: sysclock.Clock{}, Metrics: noMetrics{},
-			Members: func() []chain.Member { return b.members }, OriginRate: func() int64 { return b.rate },
+	for _, m := range tc.members {
+		tc.fetchers[m.Address] = New(Settings{Self: m}, Deps{
+			Peers: tc, Origin: clusterOrigin{tc}, Clock: sysclock.Clock{}, Metrics: noMetrics{},
+			Members: func() []chain.Member { return tc.members }, OriginRate: func() int64 { return tc.originRate },
 		})
 	}
-	return b
+	return tc
 }
 
-func (b *bed) kill(a fleet.Address) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.dead[a] = true
+func (tc *testCluster) stop(a fleet.Address) {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	tc.down[a] = true
 }
 
-func (b *bed) peer(a fleet.Address) (*Fetcher, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.dead[a] {
-		return nil, errors.New("no answer")
+func (tc *testCluster) peer(a fleet.Address) (*Fetcher, error) {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	if tc.down[a] {
+		return nil, errors.New("member is down")
 	}
-	return b.fetchers[a], nil
+	return tc.fetchers[a], nil
 }
 
-func (b *bed) Manifest(_ context.Context, a fleet.Address, v fleet.Version) (manifest.Manifest, error) {
-	p, err := b.peer(a)
+func (tc *testCluster) Manifest(_ context.Context, a fleet.Address, v fleet.Version) (manifest.Manifest, error) {
+	p, err := tc.peer(a)
 	if err != nil {
 		return manifest.Manifest{}, err
 	}
@@ -89,12 +89,12 @@
 	return manifest.Manifest{}, port.ErrManifestUnknown
 }
 
-func (b *bed) WatchChunks(context.Context, fleet.Address, fleet.Version, fleet.VM) (port.ChunkStream, error) {
+func (tc *testCluster) WatchChunks(context.Context, fleet.Address, fleet.Version, fleet.VM) (port.ChunkStream, error) {
 	return nil, errors.New("not used")
 }
 
-func (b *bed) FetchChunk(ctx context.Context, a fleet.Address, r port.ChunkRequest) (io.ReadCloser, error) {
-	p, err := b.peer(a)
+func (tc *testCluster) FetchChunk(ctx context.Context, a fleet.Address, r port.ChunkRequest) (io.ReadCloser, error) {
+	p, err := tc.peer(a)
 	if err != nil {
 		return nil, err
 	}
@@ -103,55 +103,55 @@
 		return nil, err
 	}
 	data := bytes.Clone(out.Bytes())
-	if len(data) > 0 && b.spoilt.Add(-1) >= 0 {
+	if len(data) > 0 && tc.corruptions.Add(-1) >= 0 {
 		data[0]++
 	}
 	return io.NopCloser(bytes.NewReader(data)), nil
 }
 
-// Chunk returns a chunk of the origin.
-func (b *bed) Chunk(_ context.Context, _ fleet.Version, i int) (io.ReadCloser, error) {
-	b.drawn.Add(1)
-	return io.NopCloser(bytes.NewReader(b.weights[i*chunkBytes : (i+1)*chunkBytes])), nil
+// Chunk returns a chunk from the origin.
+func (tc *testCluster) Chunk(_ context.Context, _ fleet.Version, i int) (io.ReadCloser, error) {
+	tc.originFetches.Add(1)
+	return io.NopCloser(bytes.NewReader(tc.weights[i*chunkBytes : (i+1)*chunkBytes])), nil
 }
 
-// originOnly implements port.Origin.
-type originOnly struct{ *bed }
+// clusterOrigin implements port.Origin.
+type clusterOrigin struct{ *testCluster }
 
-func (o originOnly) Manifest(context.Context, fleet.Version) (manifest.Manifest, error) {
+func (o clusterOrigin) Manifest(context.Context, fleet.Version) (manifest.Manifest, error) {
 	return o.man, nil
 }
 
-// run makes the members with the given indexes fetch, and returns once all are
-// complete.
-func (b *bed) run(t *testing.T, who ...int) {
+// fetch runs the members with the given indexes and returns once all of them have
+// the complete version.
+func (tc *testCluster) fetch(t *testing.T, indexes ...int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	id := b.man.Version()
-	for _, i := range who {
-		f := b.fetchers[b.members[i].Address]
+	id := tc.man.Version()
+	for _, i := range indexes {
+		f := tc.fetchers[tc.members[i].Address]
 		wg.Go(func() { f.Run(ctx) })
-		f.Want("m@1", id, b.man)
+		f.SetVersion("m@1", id, tc.man)
 	}
-	for _, i := range who {
-		f := b.fetchers[b.members[i].Address]
+	for _, i := range indexes {
+		f := tc.fetchers[tc.members[i].Address]
 		select {
-		case <-f.Complete(id):
+		case <-f.Completed(id):
 		case <-ctx.Done():
-			t.Fatalf("%s is not complete", b.members[i].VM)
+			t.Fatalf("%s does not have the complete version", tc.members[i].VM)
 		}
-		for c := range b.man.Chunks {
-			if data, ok := f.Chunk(id, c); !ok || b.man.VerifyChunk(c, data) != nil {
-				t.Fatalf("%s: chunk %d", b.members[i].VM, c)
+		for c := range tc.man.Chunks {
+			if data, ok := f.Chunk(id, c); !ok || tc.man.VerifyChunk(c, data) != nil {
+				t.Fatalf("%s: chunk %d is missing or corrupted", tc.members[i].VM, c)
 			}
 		}
 	}
 }
 
-func all(n int) []int {
+func firstIndexes(n int) []int {
 	out := make([]int, n)
 	for i := range out {
 		out[i] = i
@@ -159,94 +159,95 @@
 	return out
 }
 
-// TestOneCopyFromTheOrigin guards against more than one copy from the origin,
-// whose link is the bottleneck of a new version.
-func TestOneCopyFromTheOrigin(t *testing.T) {
-	b := newBed(3, 4)
-	b.run(t, all(12)...)
-	if n := b.drawn.Load(); n > 70 {
-		t.Errorf("%d chunks of 64 left the origin", n)
+// TestOneCopyFromOrigin guards against more than one copy being fetched from the
+// origin, whose link is the bottleneck when a new version is distributed.
+func TestOneCopyFromOrigin(t *testing.T) {
+	tc := newTestCluster(3, 4)
+	tc.fetch(t, firstIndexes(12)...)
+	if n := tc.originFetches.Load(); n > 70 {
+		t.Errorf("%d chunks were fetched from the origin, want about 64", n)
 	}
 }
 
-// TestDeadMembersAreSkipped guards against members that never complete because
-// one that they wait for is gone.
+// TestDeadMembersAreSkipped guards against members that never have all chunks
+// because they wait for a member that is gone.
 func TestDeadMembersAreSkipped(t *testing.T) {
-	b := newBed(2, 4)
-	b.kill("r0-0")
-	b.kill("r1-2")
-	b.run(t, 1, 2, 3, 4, 5, 7)
-}
-
-// TestSpoiltChunks guards against a chunk that was spoilt on the way and is kept.
-func TestSpoiltChunks(t *testing.T) {
-	b := newBed(1, 3)
-	b.spoilt.Store(5)
-	b.run(t, all(3)...)
-}
-
-// TestHeldChunks guards against a fetch of chunks that are in the engine's area
-// already, and against one that has gone bad there.
-func TestHeldChunks(t *testing.T) {
-	b := newBed(1, 1)
-	f := b.fetchers[b.members[0].Address]
-	f.Want("m@1", b.man.Version(), b.man)
-	for i := range b.man.Chunks {
-		data := bytes.Clone(b.weights[i*chunkBytes : (i+1)*chunkBytes])
+	tc := newTestCluster(2, 4)
+	tc.stop("r0-0")
+	tc.stop("r1-2")
+	tc.fetch(t, 1, 2, 3, 4, 5, 7)
+}
+
+// TestCorruptedChunks guards against storing a chunk that was corrupted in transit.
+func TestCorruptedChunks(t *testing.T) {
+	tc := newTestCluster(1, 3)
+	tc.corruptions.Store(5)
+	tc.fetch(t, firstIndexes(3)...)
+}
+
+// TestAddChunk guards against fetching chunks that are in the engine's staging area
+// already, and against accepting one that was corrupted there.
+func TestAddChunk(t *testing.T) {
+	tc := newTestCluster(1, 1)
+	f := tc.fetchers[tc.members[0].Address]
+	f.SetVersion("m@1", tc.man.Version(), tc.man)
+	for i := range tc.man.Chunks {
+		data := bytes.Clone(tc.weights[i*chunkBytes : (i+1)*chunkBytes])
 		if i == 3 {
 			data[7]++
 		}
-		if ok := f.Add(b.man.Version(), i, data); ok != (i != 3) {
-			t.Errorf("chunk %d kept: %v", i, ok)
+		if ok := f.AddChunk(tc.man.Version(), i, data); ok != (i != 3) {
+			t.Errorf("chunk %d accepted: %v", i, ok)
 		}
 	}
-	b.run(t, 0)
-	if n := b.drawn.Load(); n != 1 {
+	tc.fetch(t, 0)
+	if n := tc.originFetches.Load(); n != 1 {
 		t.Errorf("%d chunks were fetched, want 1", n)
 	}
 }
 
-// TestNamedManifest guards against a member that asks the origin for a manifest
+// TestFindManifestByName guards against a member that asks the origin for a manifest
 // that another member of its region has.
-func TestNamedManifest(t *testing.T) {
-	b := newBed(1, 3)
-	first, last := b.fetchers["r0-0"], b.fetchers["r0-2"]
-	if _, ok := first.Resolve(context.Background(), "m@1"); ok {
-		t.Error("the first of the chain asks nobody")
-	}
-	time.AfterFunc(50*time.Millisecond, func() { first.Want("m@1", b.man.Version(), b.man) })
-	man, ok := last.Resolve(context.Background(), "m@1")
-	if !ok || man.Version() != b.man.Version() {
-		t.Errorf("manifest found: %v", ok)
-	}
-}
-
-// TestManifestIsWaitedFor guards against dozens of members that each draw a
-// manifest from the origin because the first one needs longer than a question is
-// kept for, and against one that waits for members that are gone.
-func TestManifestIsWaitedFor(t *testing.T) {
-	b := newBed(1, 3)
-	first, last := b.fetchers["r0-0"], b.fetchers["r0-2"]
-	time.AfterFunc(2*holdTime, func() { first.Want("m@1", b.man.Version(), b.man) })
-	if _, ok := last.Resolve(context.Background(), "m@1"); !ok {
-		t.Error("the manifest was not waited for")
-	}
-	b.kill("r0-0")
-	b.kill("r0-1")
+func TestFindManifestByName(t *testing.T) {
+	tc := newTestCluster(1, 3)
+	first, last := tc.fetchers["r0-0"], tc.fetchers["r0-2"]
+	if _, ok := first.FindManifest(context.Background(), "m@1"); ok {
+		t.Error("a manifest was found, but the first member has no member to ask")
+	}
+	time.AfterFunc(50*time.Millisecond, func() { first.SetVersion("m@1", tc.man.Version(), tc.man) })
+	man, ok := last.FindManifest(context.Background(), "m@1")
+	if !ok || man.Version() != tc.man.Version() {
+		t.Errorf("manifest found: %v, or another version", ok)
+	}
+}
+
+// TestFindManifestRetries guards against dozens of members that each fetch a
+// manifest from the origin because the first member needs longer than longPollTime
+// to get it, and against a member that waits for members that are gone.
+func TestFindManifestRetries(t *testing.T) {
+	tc := newTestCluster(1, 3)
+	first, last := tc.fetchers["r0-0"], tc.fetchers["r0-2"]
+	time.AfterFunc(2*longPollTime, func() { first.SetVersion("m@1", tc.man.Version(), tc.man) })
+	if _, ok := last.FindManifest(context.Background(), "m@1"); !ok {
+		t.Error("the manifest was not found")
+	}
+	tc.stop("r0-0")
+	tc.stop("r0-1")
 	start := time.Now()
-	if _, ok := last.Resolve(context.Background(), "m@2"); ok || time.Since(start) > manifestPatience/2 {
+	if _, ok := last.FindManifest(context.Background(), "m@2"); ok || time.Since(start) > manifestRetryTime/2 {
 		t.Errorf("found %v after %v", ok, time.Since(start))
 	}
 }
 
-// TestOriginInTurn guards against members that all fetch from the origin at a
-// time: they share its link, and nothing is there to pass on before the end.
-func TestOriginInTurn(t *testing.T) {
-	b := newBed(1, 64)
-	b.rate = 64 * chunkBytes // a chunk takes 1/64 s
+// TestOriginFetchesAreSpaced guards against members that all fetch from the origin
+// at the same time: their fetches share its link, so that hardly any chunk is
+// complete and can be passed on before the end.
+func TestOriginFetchesAreSpaced(t *testing.T) {
+	tc := newTestCluster(1, 64)
+	tc.originRate = 64 * chunkBytes // a chunk takes 1/64 s
 	start := time.Now()
-	b.run(t, all(64)...)
+	tc.fetch(t, firstIndexes(64)...)
 	if d := time.Since(start); d < 700*time.Millisecond {
-		t.Errorf("64 chunks were drawn within %v, the link takes a second", d)
+		t.Errorf("64 chunks were fetched from the origin within %v; its link takes a second", d)
 	}
 }
--- a/internal/app/chunks/limit.go
+++ b/internal/app/chunks/limit.go
@@ -6,73 +6,77 @@
 )
 
 const (
-	// slowTransfer is the time of a transfer, from its first byte to its last, from
-	// which the link may be narrower than it is declared. On an idle link a chunk
-	// takes 35 ms, and with all others of a member at once 0.8 s.
-	slowTransfer = 250 * time.Millisecond
-	// slowShare is the part of the declared rate below which a link with slow
-	// transfers counts as narrow.
-	slowShare = 0.4
-	// leastParallel is the number of transfers on a narrow link. More of them delay
-	// the requests and events of the engine.
-	leastParallel = 1
-	// rateWindow is the time over which the rate of a link is measured.
+	// slowTransferTime is the transfer time, first byte to last, from which the
+	// link may be slower than declared. A chunk takes 35 ms on an idle link, and
+	// 0.8 s while it shares the link with all other chunks of a member.
+	slowTransferTime = 250 * time.Millisecond
+	// slowRateFraction is the fraction of the declared rate below which a link with
+	// slow transfers counts as slow.
+	slowRateFraction = 0.4
+	// minParallel is the number of parallel transfers on a slow link. More would
+	// delay the engine's requests and events.
+	minParallel = 1
+	// rateWindow is the minimum time over which the rate of a link is measured.
 	rateWindow = 500 * time.Millisecond
 )
 
-// limit bounds the fetches in progress. It falls when the link is narrow, and
-// rises again one by one. One goroutine takes places; any may give them back.
-type limit struct {
-	most int
+// limiter bounds the fetches in flight. It halves its limit while the link is slow
+// and then raises it by one per transfer. Only one goroutine calls acquire; any
+// goroutine may call release.
+type limiter struct {
+	maxAllowed int
 
-	mu      sync.Mutex // guards the following
-	allowed int
-	used    int
-	// since is the start of the window in which bytes arrived.
-	since time.Time
-	bytes int
+	mu       sync.Mutex // guards the following
+	allowed  int
+	inFlight int
+	// windowStart is the start of the window in which windowBytes arrived.
+	windowStart time.Time
+	windowBytes int
 }
 
-func newLimit(most int) *limit { return &limit{most: most, allowed: most} }
+func newLimiter(maxAllowed int) *limiter {
+	return &limiter{maxAllowed: maxAllowed, allowed: maxAllowed}
+}
 
-// free reports whether there is a place.
-func (l *limit) free() bool {
+// available reports whether another fetch may start.
+func (l *limiter) available() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.used < l.allowed
+	return l.inFlight < l.allowed
 }
 
-func (l *limit) take() {
+func (l *limiter) acquire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.used++
+	l.inFlight++
 }
 
-func (l *limit) give() {
+func (l *limiter) release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.used--
+	l.inFlight--
 }
 
-// arrived records a chunk that took a time from its first byte to its last. rate
-// is the declared one in bytes per second; 0 means that it is not known.
-func (l *limit) arrived(n int, took time.Duration, rate int64, now time.Time) {
+// recordTransfer records a chunk of n bytes, received within took from the first
+// byte to the last. rate is the declared rate of the link in bytes per second, or
+// 0 if unknown.
+func (l *limiter) recordTransfer(n int, took time.Duration, rate int64, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.since) > 2*rateWindow {
-		l.since, l.bytes = now, 0
+	if now.Sub(l.windowStart) > 2*rateWindow {
+		l.windowStart, l.windowBytes = now, 0
 		return
 	}
-	l.bytes += n
-	window := now.Sub(l.since)
-	if took < slowTransfer || rate <= 0 {
-		l.allowed = min(l.most, l.allowed+1)
+	l.windowBytes += n
+	elapsed := now.Sub(l.windowStart)
+	if took < slowTransferTime || rate <= 0 {
+		l.allowed = min(l.maxAllowed, l.allowed+1)
 		return
 	}
-	if window >= rateWindow {
-		if float64(l.bytes) < slowShare*float64(rate)*window.Seconds() {
-			l.allowed = max(leastParallel, l.allowed/2)
+	if elapsed >= rateWindow {
+		if float64(l.windowBytes) < slowRateFraction*float64(rate)*elapsed.Seconds() {
+			l.allowed = max(minParallel, l.allowed/2)
 		}
-		l.since, l.bytes = now, 0
+		l.windowStart, l.windowBytes = now, 0
 	}
 }
--- a/internal/app/loader/converge.go
+++ b/internal/app/loader/converge.go
@@ -81,7 +81,7 @@
 // want resolves a version and starts to fetch it.
 func (l *Loader) want(ctx context.Context, g goal) error {
 	name := versionName(g.HeldWeights)
-	man, ok := l.chunks.Resolve(ctx, name)
+	man, ok := l.chunks.FindManifest(ctx, name)
 	if !ok {
 		var err error
 		if man, err = l.origin.resolve(ctx, g.HeldWeights); err != nil {
@@ -90,7 +90,7 @@
 	}
 	id := man.Version()
 	l.origin.remember(namedVersion{g.HeldWeights, id, man})
-	l.chunks.Want(name, id, man)
+	l.chunks.SetVersion(name, id, man)
 	if g.staged && l.seen.get() != nil {
 		l.reuse(ctx, g, id)
 	}
@@ -135,7 +135,7 @@
 // complete reports whether all chunks of a version are there.
 func (l *Loader) complete(id fleet.Version) bool {
 	select {
-	case <-l.chunks.Complete(id):
+	case <-l.chunks.Completed(id):
 		return true
 	default:
 		return false
@@ -176,7 +176,7 @@
 	kept := 0
 	for _, i := range staged {
 		b, err := l.deps.Engine.ReadChunk(ctx, g.Model, i)
-		if err == nil && l.chunks.Add(id, i, b) {
+		if err == nil && l.chunks.AddChunk(id, i, b) {
 			kept++
 		}
 	}
