--- a/internal/adapter/httpapi/callers.go
+++ b/internal/adapter/httpapi/callers.go
@@ -51,28 +51,28 @@
 // callers counts the memory held for callers and ends the slowest when a bound
 // is passed.
 type callers struct {
-	bytes *schedule.Bytes
+	bytes *schedule.ByteLimiter
 	open  *shard.Map[fleet.RequestID, hold]
 	// waiting counts the requests in beginAnswer.
 	waiting atomic.Int64
 }
 
 func newCallers(limit int64) *callers {
-	return &callers{bytes: schedule.NewBytes(limit), open: shard.New[fleet.RequestID, hold](0)}
+	return &callers{bytes: schedule.NewByteLimiter(limit), open: shard.New[fleet.RequestID, hold](0)}
 }
 
 // takeBody counts n bytes of a request body, or returns the error for the
 // caller. Slow callers make way for new requests.
 func (s *callers) takeBody(c *caller, n int64) error {
 	for {
-		err := s.bytes.Take(c.customer, n, c.maxBytes)
+		err := s.bytes.Reserve(c.customer, n, c.maxBytes)
 		if err == nil || !s.endSlowest(c, verdict.FromError(err).Code) {
 			return err
 		}
 	}
 }
 
-func (s *callers) giveBody(c *caller, n int64) { s.bytes.Give(c.customer, n) }
+func (s *callers) giveBody(c *caller, n int64) { s.bytes.Release(c.customer, n) }
 
 // beginAnswer counts an answer that is about to be opened. The request has not
 // been sent on, so a failure means that it did not run. It waits only for the
@@ -101,7 +101,7 @@
 // allows it for the code of the error.
 func (s *callers) wait(ctx context.Context, c *caller, n int64, patient func(verdict.Code) bool) error {
 	for try := 0; ; {
-		err := s.bytes.Take(c.customer, n, c.maxBytes)
+		err := s.bytes.Reserve(c.customer, n, c.maxBytes)
 		if err == nil {
 			return nil
 		}
@@ -138,7 +138,7 @@
 		return h, ok
 	})
 	if !held {
-		s.bytes.Give(c.customer, size)
+		s.bytes.Release(c.customer, size)
 		return verdict.New(verdict.MayHaveRun, verdict.CodeSlowCaller, "answer holds no memory")
 	}
 	return nil
@@ -152,7 +152,7 @@
 		return h, ok
 	})
 	if size > 0 {
-		s.bytes.Give(c.customer, size)
+		s.bytes.Release(c.customer, size)
 	}
 }
 
@@ -166,7 +166,7 @@
 		return v, false
 	})
 	if found {
-		s.bytes.Give(h.caller.customer, openBytes+h.frame)
+		s.bytes.Release(h.caller.customer, openBytes+h.frame)
 	}
 	return found
 }
--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -92,7 +92,7 @@
 		id:       id,
 		d:        d,
 		target:   string(id.VM),
-		adm:      admission.New(),
+		adm:      admission.NewTable(),
 		roll:     rollout.NewTable(),
 		views:    shard.New[string, view](1),
 		watchers: shard.New[uint64, chan struct{}](0),
--- a/internal/app/agent/confirm.go
+++ b/internal/app/agent/confirm.go
@@ -32,7 +32,7 @@
 }
 
 func observation(st port.EngineStatus, asked time.Time) admission.Observation {
-	return admission.Observation{EngineIdentity: st.EngineIdentity, Checks: st.ChecksIdentity, Asked: asked}
+	return admission.Observation{EngineIdentity: st.EngineIdentity, ChecksIdentity: st.ChecksIdentity, AskedAt: asked}
 }
 
 // refused learns from an engine that is not the one the request expected.
@@ -40,9 +40,9 @@
 	var c *port.EngineChanged
 	switch {
 	case !errors.As(err, &c):
-	case c.Now != fleet.EngineIdentity{} && c.Now != p.Expect():
-		a.observeEngine(admission.Observation{EngineIdentity: c.Now, Checks: true, Asked: asked})
-	case p.Changed(a.d.Clock.Now()):
+	case c.Now != fleet.EngineIdentity{} && c.Now != p.ExpectedIdentity():
+		a.observeEngine(admission.Observation{EngineIdentity: c.Now, ChecksIdentity: true, AskedAt: asked})
+	case p.RecordEngineChange(a.d.Clock.Now()):
 		a.becameCold()
 	}
 }
--- a/internal/app/agent/controller.go
+++ b/internal/app/agent/controller.go
@@ -248,7 +248,7 @@
 func (c *controller) busy() []rollout.Event {
 	var es []rollout.Event
 	for _, v := range c.loaded {
-		es = append(es, rollout.Busy(v, c.a.adm.Pinned(c.a.target, v)))
+		es = append(es, rollout.Busy(v, c.a.adm.PinnedRequests(c.a.target, v)))
 	}
 	return es
 }
--- a/internal/app/agent/serve.go
+++ b/internal/app/agent/serve.go
@@ -121,7 +121,7 @@
 		Body:     s.r.Body,
 		Priority: int(s.r.Class),
 		Resume:   s.r.Resume,
-		Expect:   s.permit.Expect(),
+		Expect:   s.permit.ExpectedIdentity(),
 	}
 	var broke error
 	for n := 0; ; n++ {
@@ -165,7 +165,7 @@
 		return false
 	}
 	s.a.observeEngine(observation(st, asked))
-	return s.permit.Current()
+	return s.permit.IsCurrent()
 }
 
 // stream passes one stream of the engine on, from the frame that r.Resume
@@ -269,7 +269,7 @@
 	s.first = true
 	now := s.a.d.Clock.Now()
 	s.a.d.Metrics.Seconds("agent_first_byte_seconds", now.Sub(s.start), s.attrs()...)
-	if !s.sent.IsZero() && s.permit.FirstToken(now.Sub(s.sent), now) {
+	if !s.sent.IsZero() && s.permit.RecordFirstToken(now.Sub(s.sent), now) {
 		s.a.d.Metrics.Count("agent_cold_restarts", 1)
 	}
 }
--- a/internal/app/agent/service.go
+++ b/internal/app/agent/service.go
@@ -60,7 +60,7 @@
 func (s *serving) lost(err error) {
 	switch verdict.FromError(err).Code {
 	case verdict.CodeTargetLost:
-		s.a.adm.Cool(s.a.target, s.a.d.Clock.Now())
+		s.a.adm.ResetToCold(s.a.target, s.a.d.Clock.Now())
 		signal(s.a.probes)
 	case verdict.CodeTargetError:
 		signal(s.a.probes)
--- a/internal/app/entry/attempt.go
+++ b/internal/app/entry/attempt.go
@@ -40,7 +40,7 @@
 		}
 		tried[c.VM] = true
 		mayHaveRun = mayHaveRun || verdict.FromError(err).Verdict != verdict.NotRun
-		if n >= routing.MaxRetries || !retryable(ctx, verdict.FromError(err), !p.once(r)) || !e.budget.Spend(p.pool) {
+		if n >= routing.MaxRetries || !retryable(ctx, verdict.FromError(err), !p.once(r)) || !e.budget.TryWithdraw(p.pool) {
 			break
 		}
 		n++
@@ -88,27 +88,27 @@
 	q.Revision, q.FromDomain = e.revision(), e.Domain
 	if d, ok := ctx.Deadline(); ok {
 		if q.Timeout = d.Sub(e.Clock.Now()); q.Timeout <= 0 {
-			e.table.Done(c.VM)
+			e.table.Release(c.VM)
 			return nil, verdict.New(verdict.NotRun, verdict.CodeDeadline, "deadline passed")
 		}
 	}
 	var load *port.Load
 	src, err := e.Agents.Serve(ctx, c.Address, q, func(l port.Load) { load = &l })
 	if err != nil {
-		e.table.Done(c.VM)
+		e.table.Release(c.VM)
 	}
 	switch {
 	case load == nil:
 	case err != nil && fullCode(verdict.FromError(err).Code):
-		e.table.Full(c.VM, load.InFlight, load.Limit, e.Clock.Now())
+		e.table.RecordFull(c.VM, load.InFlight, load.Limit, e.Clock.Now())
 	default:
-		e.table.Load(c.VM, load.InFlight, load.Limit)
+		e.table.RecordLoad(c.VM, load.InFlight, load.Limit)
 		e.lendCapacity(poolOf(r))
 	}
 	if err != nil {
 		return nil, err
 	}
-	a := &answer{src: src, done: func() { e.table.Done(c.VM) }}
+	a := &answer{src: src, done: func() { e.table.Release(c.VM) }}
 	if err := a.prefetch(&q); err != nil {
 		_ = a.Close()
 		return nil, err
--- a/internal/app/entry/choose.go
+++ b/internal/app/entry/choose.go
@@ -33,7 +33,7 @@
 	for {
 		waited := e.Clock.Now().Sub(start)
 		c, out := e.choose(r, p, tried, waited >= probeAfter)
-		if out == routing.Chosen && e.table.Start(c.VM) {
+		if out == routing.Chosen && e.table.Reserve(c.VM) {
 			e.stop(w)
 			return c, nil
 		}
@@ -42,11 +42,11 @@
 			return c, verdict.New(verdict.NotRun, verdict.CodeNoTarget, "no target takes work").WithRetryAfter(time.Second)
 		}
 		if w == nil {
-			w = e.table.Wait(p.pool, r.Class)
+			w = e.table.AddWaiter(p.pool, r.Class)
 			continue
 		}
 		if p.once(r) || len(tried) > 0 || out == routing.NoTarget {
-			e.table.Pass(w) // another request may have other targets
+			e.table.WakeNext(w) // another request may have other targets
 		}
 		select {
 		case <-ctx.Done():
@@ -60,7 +60,7 @@
 
 func (e *Entry) stop(w *routing.Waiter) {
 	if w != nil {
-		e.table.Stop(w)
+		e.table.RemoveWaiter(w)
 	}
 }
 
@@ -88,9 +88,9 @@
 	}
 	size, _ := e.sizes.Get(p.pool)
 	return e.table.Choose(routing.Query{
-		Pool: p.pool, Version: p.version, Older: p.older, Own: e.Domain,
-		Prefix: r.PrefixHash, Cordoned: d.Cordoned, Tried: tried,
-		Watchers: size.watchers(), Probe: probe,
+		Pool: p.pool, Version: p.version, OlderVersions: p.older, OwnDomain: e.Domain,
+		PrefixHash: r.PrefixHash, Cordoned: d.Cordoned, Tried: tried,
+		EntriesPerTarget: size.watchers(), Probe: probe,
 	}, e.Clock.Now(), e.Rand.IntN)
 }
 
@@ -102,12 +102,12 @@
 	order := e.onceOrder(p, r)
 	now := e.Clock.Now()
 	for _, c := range order {
-		usable, fresh := e.table.Known(c.VM, now)
-		unwatched := !fresh && len(order) > routing.MaxWatched
+		usable, fresh := e.table.CheckUsable(c.VM, now)
+		unwatched := !fresh && len(order) > routing.MaxWatchedAgents
 		if tried[c.VM] || !usable && !unwatched {
 			continue
 		}
-		if e.table.Paused(c.VM, now) {
+		if e.table.IsPaused(c.VM, now) {
 			return c, routing.AllFull
 		}
 		return c, routing.Chosen
--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -33,7 +33,7 @@
 	Deps
 	table  *routing.Table
 	queue  *schedule.Queue
-	budget *routing.Budget
+	budget *routing.RetryBudget
 	plans  *shard.Map[routing.Pool, *plan]
 	assign *shard.Map[fleet.VM, assigned]
 	sizes  *shard.Map[routing.Pool, poolSize]
@@ -47,7 +47,7 @@
 		Deps:   d,
 		table:  routing.NewTable(),
 		queue:  schedule.NewQueue(d.MaxQueued),
-		budget: routing.NewBudget(),
+		budget: routing.NewRetryBudget(),
 		plans:  shard.New[routing.Pool, *plan](0),
 		assign: shard.New[fleet.VM, assigned](0),
 		sizes:  shard.New[routing.Pool, poolSize](0),
@@ -84,18 +84,18 @@
 		return nil, err
 	}
 	if err := begin(); err != nil {
-		e.queue.Leave(t, e.Clock.Now())
+		e.queue.Release(t, e.Clock.Now())
 		e.countShed(&r, err)
 		return nil, err
 	}
-	e.budget.Earn(p.pool)
+	e.budget.Deposit(p.pool)
 	tried := map[fleet.VM]bool{}
 	a, err := e.attempts(ctx, &r, p, tried)
 	if err != nil {
-		e.queue.Leave(t, e.Clock.Now())
+		e.queue.Release(t, e.Clock.Now())
 		return nil, err
 	}
-	a.release(func() { e.queue.Leave(t, e.Clock.Now()) })
+	a.release(func() { e.queue.Release(t, e.Clock.Now()) })
 	if r.Group == "" {
 		return a, nil
 	}
@@ -110,7 +110,7 @@
 		deadline = start.Add(r.Timeout)
 	}
 	c := p.decl.Customers[r.Customer]
-	t, err := e.queue.Enter(schedule.Request{
+	t, err := e.queue.Enqueue(schedule.Request{
 		Pool: p.pool, Customer: r.Customer, Class: r.Class,
 		Share: c.Share, MaxQueued: c.MaxQueued, Deadline: deadline,
 	}, start)
@@ -123,10 +123,10 @@
 	case <-ctx.Done():
 		err = ended(ctx, verdict.NotRun)
 	}
-	e.queue.Started(t)
+	e.queue.MarkStarted(t)
 	e.Metrics.Seconds("masticwing_entry_queue_seconds", e.Clock.Now().Sub(start), requestAttrs(r)...)
 	if err != nil {
-		e.queue.Leave(t, e.Clock.Now())
+		e.queue.Release(t, e.Clock.Now())
 		return nil, err
 	}
 	return t, nil
@@ -151,10 +151,10 @@
 
 // State is the value of /status.
 type State struct {
-	Revision  uint64           `json:"revision"`
-	AgeMS     int64            `json:"age_ms"`
-	BytesHeld int64            `json:"bytes_held"`
-	Targets   []routing.Report `json:"targets"`
+	Revision  uint64                 `json:"revision"`
+	AgeMS     int64                  `json:"age_ms"`
+	BytesHeld int64                  `json:"bytes_held"`
+	Targets   []routing.TargetStatus `json:"targets"`
 }
 
 // State returns what the entry knows, for operators.
--- a/internal/app/entry/plan.go
+++ b/internal/app/entry/plan.go
@@ -141,9 +141,9 @@
 		ids = append(ids, string(a.VM))
 	}
 	slices.Sort(ids)
-	key := routing.OnceKey(r.Service, ledger.Partition(r.Customer, r.IdempotencyKey))
+	key := routing.LedgerPartitionKey(r.Service, ledger.Partition(r.Customer, r.IdempotencyKey))
 	out := make([]routing.Choice, 0, len(ids))
-	for _, id := range routing.Rank(key, ids) {
+	for _, id := range routing.RendezvousRank(key, ids) {
 		out = append(out, routing.Choice{VM: byID[id].VM, Address: byID[id].Address})
 	}
 	return out
--- a/internal/app/entry/resume.go
+++ b/internal/app/entry/resume.go
@@ -68,7 +68,7 @@
 	default:
 		return false
 	}
-	return !a.split && a.ctx.Err() == nil && a.resumes < routing.MaxRetries && a.e.budget.Spend(a.p.pool)
+	return !a.split && a.ctx.Err() == nil && a.resumes < routing.MaxRetries && a.e.budget.TryWithdraw(a.p.pool)
 }
 
 // resume replaces the answer of the lost target by the rest of it from another
--- a/internal/app/entry/serve_test.go
+++ b/internal/app/entry/serve_test.go
@@ -180,8 +180,8 @@
 // on waiting after the declaration or the members have changed.
 func TestChangesWakeWaiters(t *testing.T) {
 	w := newWorld(t, "model", 0)
-	waiter := w.entry.table.Wait(routing.Pool{Group: "summaries"}, fleet.ClassSummary)
-	defer w.entry.table.Stop(waiter)
+	waiter := w.entry.table.AddWaiter(routing.Pool{Group: "summaries"}, fleet.ClassSummary)
+	defer w.entry.table.RemoveWaiter(waiter)
 	changes := map[string]func(){
 		"declaration": func() { w.dir.Declare(declaration(), 0) },
 		"members":     func() { w.dir.SetMembers(port.MemberRecord{ID: "e2", Kind: fleet.KindEntry}) },
@@ -210,8 +210,8 @@
 		return len(s) == 1 && s[0].Version == former
 	})
 	pool := routing.Pool{Group: "summaries"}
-	behind := w.entry.table.Wait(pool, fleet.ClassDraft)
-	defer w.entry.table.Stop(behind)
+	behind := w.entry.table.AddWaiter(pool, fleet.ClassDraft)
+	defer w.entry.table.RemoveWaiter(behind)
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg conc.WaitGroup
 	r, p := generate(), &plan{pool: pool, version: "v-other"}
--- a/internal/app/entry/watch.go
+++ b/internal/app/entry/watch.go
@@ -159,12 +159,12 @@
 		if err != nil || ctx.Err() != nil {
 			return got
 		}
-		e.table.Report(report(a, &st), e.Clock.Now())
+		e.table.RecordStatus(report(a, &st), e.Clock.Now())
 	}
 }
 
-func report(a routing.Agent, s *port.AgentStatus) routing.Report {
-	return routing.Report{
+func report(a routing.Agent, s *port.AgentStatus) routing.TargetStatus {
+	return routing.TargetStatus{
 		VM: a.VM, Domain: a.Domain, Address: a.Address,
 		Pool:     routing.Pool{Group: s.Group, Service: s.Service},
 		Version:  s.Version,
@@ -221,7 +221,7 @@
 	now := e.Clock.Now()
 	size, _ := e.sizes.Get(k)
 	c := e.table.Capacity(k, now)
-	n := max(size.permits(c), c.Own+c.Free/2)
+	n := max(size.permits(c), c.OwnInFlight+c.Free/2)
 	e.queue.SetCapacity(k, n, now)
 	return n
 }
@@ -247,8 +247,8 @@
 		return 1
 	}
 	total := float64(c.Limit)
-	if s.agents > routing.MaxWatched {
-		total *= float64(s.agents) / routing.MaxWatched
+	if s.agents > routing.MaxWatchedAgents {
+		total *= float64(s.agents) / routing.MaxWatchedAgents
 	}
 	return int(math.Ceil(total / float64(s.entries)))
 }
@@ -256,10 +256,10 @@
 // watchers is the expected number of entries that watch an agent, and 0 while
 // the size is not known.
 func (s poolSize) watchers() float64 {
-	if s.agents <= routing.MaxWatched {
+	if s.agents <= routing.MaxWatchedAgents {
 		return float64(s.entries)
 	}
-	return max(1, float64(s.entries)*routing.MaxWatched/float64(s.agents))
+	return max(1, float64(s.entries)*routing.MaxWatchedAgents/float64(s.agents))
 }
 
 func pools(d *declare.Declaration) []routing.Pool {
--- a/internal/app/entry/watch_test.go
+++ b/internal/app/entry/watch_test.go
@@ -39,7 +39,7 @@
 	agent := routing.Agent{VM: w.agents[0].status.VM, Domain: "a", Address: w.agents[0].addr}
 	full := w.agents[0].state()
 	full.Load.InFlight = full.Load.Limit
-	e.table.Report(report(agent, &full), time.Now())
+	e.table.RecordStatus(report(agent, &full), time.Now())
 	e.sizes.Put(pool, poolSize{agents: 1, entries: 4})
 	if n := e.adjustCapacity(pool); n != 2 {
 		t.Fatalf("%d permits, want a quarter of 8", n)
--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -61,8 +61,8 @@
 	m *shard.Map[string, *record]
 }
 
-// New returns an empty table.
-func New() *Table { return &Table{m: shard.New[string, *record](0)} }
+// NewTable returns an empty table.
+func NewTable() *Table { return &Table{m: shard.New[string, *record](0)} }
 
 func (t *Table) with(target string, f func(r *record)) {
 	t.m.Update(target, func(r *record, ok bool) (*record, bool) {
@@ -112,10 +112,10 @@
 // Observation is what an engine stated of itself.
 type Observation struct {
 	fleet.EngineIdentity
-	// Checks means that the engine refuses requests for another identity.
-	Checks bool
-	// Asked is the time before the engine was asked.
-	Asked time.Time
+	// ChecksIdentity means that the engine refuses requests for another identity.
+	ChecksIdentity bool
+	// AskedAt is the time before the engine was asked.
+	AskedAt time.Time
 }
 
 // ObserveEngine records the identity that an engine states. It reports
@@ -129,9 +129,9 @@
 			return
 		}
 		cold = r.seen && r.identity != o.EngineIdentity
-		r.identity, r.seen, r.checks = o.EngineIdentity, true, o.Checks
-		if r.confirmed.Before(o.Asked) {
-			r.confirmed = o.Asked
+		r.identity, r.seen, r.checks = o.EngineIdentity, true, o.ChecksIdentity
+		if r.confirmed.Before(o.AskedAt) {
+			r.confirmed = o.AskedAt
 		}
 		if cold {
 			r.changedAt = now
@@ -151,7 +151,7 @@
 	case o.BootID == r.identity.BootID:
 		return o.LoadCount < r.identity.LoadCount
 	default:
-		return o.Asked.Before(r.changedAt)
+		return o.AskedAt.Before(r.changedAt)
 	}
 }
 
@@ -162,9 +162,9 @@
 	return r.seen && !r.checks && r.inFlight >= r.floor() && r.confirmed.Before(since)
 }
 
-// Cool returns the target to its cold limit, for a sign of a restart that no
+// ResetToCold returns the target to its cold limit, for a sign of a restart that no
 // engine reports.
-func (t *Table) Cool(target string, now time.Time) {
+func (t *Table) ResetToCold(target string, now time.Time) {
 	t.with(target, func(r *record) { r.cool(now) })
 }
 
@@ -251,8 +251,8 @@
 	return l
 }
 
-// Pinned returns the number of requests in progress that are pinned to v.
-func (t *Table) Pinned(target string, v fleet.Version) int {
+// PinnedRequests returns the number of requests in progress that are pinned to v.
+func (t *Table) PinnedRequests(target string, v fleet.Version) int {
 	n := 0
 	t.with(target, func(r *record) { n = r.pinned[v] })
 	return n
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -19,14 +19,14 @@
 )
 
 func ready(l declare.Limits) *Table {
-	tb := New()
+	tb := NewTable()
 	tb.Configure("t", l, t0)
 	tb.SetServing("t", true, "v1", t0)
 	return tb
 }
 
 func seen(boot string, loads int64, asked time.Time) Observation {
-	return Observation{EngineIdentity: fleet.EngineIdentity{BootID: boot, LoadCount: loads}, Asked: asked}
+	return Observation{EngineIdentity: fleet.EngineIdentity{BootID: boot, LoadCount: loads}, AskedAt: asked}
 }
 
 func mustRefuse(t *testing.T, tb *Table, n int64, now time.Time, want verdict.Code) {
@@ -39,7 +39,7 @@
 
 // TestRefusals guards against a refusal with the wrong reason or verdict.
 func TestRefusals(t *testing.T) {
-	tb := New()
+	tb := NewTable()
 	tb.Configure("t", limits, t0)
 	mustRefuse(t, tb, 1, t0, verdict.CodeVersionNotServing)
 	tb.SetServing("t", true, "v1", t0)
@@ -116,7 +116,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !p.FirstToken(3*time.Second, now) || tb.Load("t", now).Limit != 1 {
+	if !p.RecordFirstToken(3*time.Second, now) || tb.Load("t", now).Limit != 1 {
 		t.Fatal("a slow first token must make the target cold")
 	}
 }
@@ -162,7 +162,7 @@
 			"wait":    func(*rapid.T) { now = now.Add(700 * time.Millisecond) },
 			"": func(t *rapid.T) {
 				got := tb.Load("t", now)
-				if got.InFlight != len(held) || got.Bytes != bytes || tb.Pinned("t", "v1") != len(held) {
+				if got.InFlight != len(held) || got.Bytes != bytes || tb.PinnedRequests("t", "v1") != len(held) {
 					t.Fatalf("count %+v, held %d requests and %d bytes", got, len(held), bytes)
 				}
 			},
--- a/internal/core/admission/identity_test.go
+++ b/internal/core/admission/identity_test.go
@@ -63,7 +63,7 @@
 	}
 	now = now.Add(time.Second)
 	for range 2 {
-		if p := admit(now, "start"); p.Expect() != (fleet.EngineIdentity{}) {
+		if p := admit(now, "start"); p.ExpectedIdentity() != (fleet.EngineIdentity{}) {
 			t.Fatal("an engine that does not check the identity is given one")
 		}
 	}
@@ -76,13 +76,13 @@
 	admit(now.Add(time.Second), string(verdict.CodeTargetWarming))
 
 	checks := seen("b", 3, now)
-	checks.Checks = true
+	checks.ChecksIdentity = true
 	tb = ready(declare.Limits{MaxRequests: 2, ColdRequests: 1})
 	tb.ObserveEngine("t", checks, now)
 	run(t, tb, 1, Succeeded, now)
 	for range 2 {
-		if p := admit(now.Add(time.Hour), "start"); p.Expect() != checks.EngineIdentity {
-			t.Fatalf("the engine is given %+v to check", p.Expect())
+		if p := admit(now.Add(time.Hour), "start"); p.ExpectedIdentity() != checks.EngineIdentity {
+			t.Fatalf("the engine is given %+v to check", p.ExpectedIdentity())
 		}
 	}
 	admit(now, string(verdict.CodeTargetFull))
@@ -117,7 +117,7 @@
 }
 
 func (m *model) status() Observation {
-	return Observation{EngineIdentity: m.e.id, Checks: m.checks, Asked: m.now}
+	return Observation{EngineIdentity: m.e.id, ChecksIdentity: m.checks, AskedAt: m.now}
 }
 
 func (m *model) admit(t *rapid.T) {
@@ -142,8 +142,8 @@
 	if !ok {
 		return
 	}
-	if m.checks && c.p.Expect() != m.e.id {
-		m.tb.ObserveEngine("t", Observation{EngineIdentity: m.e.id, Checks: true, Asked: c.sent}, m.now)
+	if m.checks && c.p.ExpectedIdentity() != m.e.id {
+		m.tb.ObserveEngine("t", Observation{EngineIdentity: m.e.id, ChecksIdentity: true, AskedAt: c.sent}, m.now)
 		c.p.Release(Unused, m.now)
 		return
 	}
--- a/internal/core/admission/permit.go
+++ b/internal/core/admission/permit.go
@@ -35,13 +35,13 @@
 // Version returns the version pinned when the request was admitted.
 func (p *Permit) Version() fleet.Version { return p.version }
 
-// Expect returns the identity of the engine that the request was admitted for,
+// ExpectedIdentity returns the identity of the engine that the request was admitted for,
 // for the engine to check. It is zero for an engine that does not check it.
-func (p *Permit) Expect() fleet.EngineIdentity { return p.expect }
+func (p *Permit) ExpectedIdentity() fleet.EngineIdentity { return p.expect }
 
-// Changed records that the engine refused the request because it has become
+// RecordEngineChange records that the engine refused the request because it has become
 // another one, and did not say which.
-func (p *Permit) Changed(now time.Time) bool {
+func (p *Permit) RecordEngineChange(now time.Time) bool {
 	cold := false
 	p.table.with(p.target, func(r *record) {
 		if cold = r.epoch == p.epoch; cold {
@@ -51,18 +51,18 @@
 	return cold
 }
 
-// Current reports whether the target has not become cold since the request was
+// IsCurrent reports whether the target has not become cold since the request was
 // admitted. A target that has become cold may bear less than is counted in it,
 // so nothing of an older request may be sent to it again.
-func (p *Permit) Current() bool {
+func (p *Permit) IsCurrent() bool {
 	current := false
 	p.table.with(p.target, func(r *record) { current = r.epoch == p.epoch })
 	return current
 }
 
-// FirstToken records the time to the first token. It reports whether the
+// RecordFirstToken records the time to the first token. It reports whether the
 // target became cold: a slow first token shows that its caches are gone.
-func (p *Permit) FirstToken(d time.Duration, now time.Time) bool {
+func (p *Permit) RecordFirstToken(d time.Duration, now time.Time) bool {
 	cold := false
 	p.table.with(p.target, func(r *record) {
 		bound := r.limits.ColdFirstToken
--- a/internal/core/routing/budget.go
+++ b/internal/core/routing/budget.go
@@ -12,14 +12,14 @@
 	retryBurst = 10.0
 )
 
-// Budget limits retries per pool of targets with a token bucket.
-type Budget struct{ tokens *shard.Map[Pool, float64] }
+// RetryBudget limits retries per pool of targets with a token bucket.
+type RetryBudget struct{ tokens *shard.Map[Pool, float64] }
 
-// NewBudget returns a budget with a full bucket for every pool.
-func NewBudget() *Budget { return &Budget{shard.New[Pool, float64](0)} }
+// NewRetryBudget returns a budget with a full bucket for every pool.
+func NewRetryBudget() *RetryBudget { return &RetryBudget{shard.New[Pool, float64](0)} }
 
-// Earn records a first attempt.
-func (b *Budget) Earn(p Pool) {
+// Deposit records a first attempt.
+func (b *RetryBudget) Deposit(p Pool) {
 	b.tokens.Update(p, func(v float64, ok bool) (float64, bool) {
 		if !ok {
 			v = retryBurst
@@ -28,8 +28,8 @@
 	})
 }
 
-// Spend takes one retry and reports whether the budget allows it.
-func (b *Budget) Spend(p Pool) bool {
+// TryWithdraw takes one retry and reports whether the budget allows it.
+func (b *RetryBudget) TryWithdraw(p Pool) bool {
 	allowed := false
 	b.tokens.Update(p, func(v float64, ok bool) (float64, bool) {
 		if !ok {
--- a/internal/core/routing/choose.go
+++ b/internal/core/routing/choose.go
@@ -18,18 +18,18 @@
 	Pool Pool
 	// Version is the declared version; empty for services.
 	Version fleet.Version
-	// Older lists versions that may serve until the declared one is loaded.
-	Older map[fleet.Version]bool
-	// Own is the failure domain of the entry.
-	Own fleet.Domain
-	// Prefix is the hash of the prompt's prefix; zero means no affinity.
-	Prefix uint64
+	// OlderVersions lists versions that may serve until the declared one is loaded.
+	OlderVersions map[fleet.Version]bool
+	// OwnDomain is the failure domain of the entry.
+	OwnDomain fleet.Domain
+	// PrefixHash is the hash of the prompt's prefix; zero means no affinity.
+	PrefixHash uint64
 	// Cordoned says what the declaration takes out of service.
 	Cordoned func(fleet.Domain, fleet.VM) bool
 	// Tried holds the targets that the request already went to.
 	Tried map[fleet.VM]bool
-	// Watchers is the expected number of entries that share a target.
-	Watchers float64
+	// EntriesPerTarget is the expected number of entries that share a target.
+	EntriesPerTarget float64
 	// Probe also allows targets that seem full, but for those that have just
 	// refused a request. The last report may be old, and a refusal brings a new
 	// one.
@@ -44,8 +44,8 @@
 // borrowed place back to an entry that has less.
 func (q *Query) spare(v *target) bool {
 	share := 0.0
-	if q.Watchers >= 1 {
-		share = float64(v.Limit) / q.Watchers
+	if q.EntriesPerTarget >= 1 {
+		share = float64(v.Limit) / q.EntriesPerTarget
 	}
 	if v.own < int(share) {
 		return true
@@ -103,8 +103,8 @@
 		return Choice{}, NoTarget
 	}
 	tier := bestTier(all)
-	if q.Prefix != 0 {
-		if c, ok := affine(tier, q.Prefix); ok {
+	if q.PrefixHash != 0 {
+		if c, ok := affine(tier, q.PrefixHash); ok {
 			return c.Choice, Chosen
 		}
 	}
@@ -124,7 +124,7 @@
 		}
 		c := candidate{load: float64(v.estimate()) / float64(v.Limit)}
 		c.VM, c.Address = v.VM, v.Address
-		if v.Domain != q.Own {
+		if v.Domain != q.OwnDomain {
 			c.tier += tierOtherDomain
 		}
 		if v.Version != q.Version {
@@ -142,7 +142,7 @@
 	switch {
 	case t.Pool != q.Pool, !t.Usable, !t.fresh(now), q.Tried[t.VM]:
 		return false
-	case t.Version != q.Version && !q.Older[t.Version]:
+	case t.Version != q.Version && !q.OlderVersions[t.Version]:
 		return false
 	case q.Pool.Group != "" && t.Version == "":
 		return false
--- a/internal/core/routing/hash.go
+++ b/internal/core/routing/hash.go
@@ -35,9 +35,9 @@
 	return h ^ h>>33
 }
 
-// Rank returns the ids in rendezvous order for a key: each process computes
+// RendezvousRank returns the ids in rendezvous order for a key: each process computes
 // the same order, and an id that joins or leaves moves only its own share.
-func Rank(key uint64, ids []string) []string {
+func RendezvousRank(key uint64, ids []string) []string {
 	type scored struct {
 		id    string
 		score uint64
@@ -58,7 +58,7 @@
 
 func score(key uint64, id string) uint64 { return mix(key ^ Hash(id)) }
 
-// OnceKey is the rendezvous key of a service's ledger partition.
-func OnceKey(s fleet.Service, partition int) uint64 {
+// LedgerPartitionKey is the rendezvous key of a service's ledger partition.
+func LedgerPartitionKey(s fleet.Service, partition int) uint64 {
 	return mix(Hash("once", string(s)) + uint64(partition))
 }
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -30,10 +30,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfNDistinct(rapid.StringN(1, 8, -1), 2, 20, rapid.ID[string]).Draw(t, "ids")
 		key := rapid.Uint64().Draw(t, "key")
-		before := Rank(key, ids)
+		before := RendezvousRank(key, ids)
 		gone := rapid.IntRange(0, len(ids)-1).Draw(t, "gone")
 		rest := append(append([]string{}, before[:gone]...), before[gone+1:]...)
-		after := Rank(key, rest)
+		after := RendezvousRank(key, rest)
 		for i := range rest {
 			if after[i] != rest[i] {
 				t.Fatalf("order %v, without %q %v", before, before[gone], after)
@@ -60,7 +60,7 @@
 				far++
 			}
 		}
-		if len(sub) != MaxWatched || far != MaxWatched-maxOwn {
+		if len(sub) != MaxWatchedAgents || far != MaxWatchedAgents-maxOwn {
 			t.Fatalf("%d agents, %d of other domains", len(sub), far)
 		}
 	}
@@ -77,13 +77,13 @@
 // TestBudget guards against retries that add more load than the budget allows.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBudget()
+		b := NewRetryBudget()
 		first, retries := 0, 0
 		for _, earn := range rapid.SliceOf(rapid.Bool()).Draw(t, "earn") {
 			if earn {
-				b.Earn(pool)
+				b.Deposit(pool)
 				first++
-			} else if b.Spend(pool) {
+			} else if b.TryWithdraw(pool) {
 				retries++
 			}
 			if float64(retries) > retryBurst+retryEarned*float64(first)+1e-6 {
@@ -93,8 +93,8 @@
 	})
 }
 
-func usable(vm, dom string, inFlight int) Report {
-	return Report{VM: fleet.VM(vm), Domain: fleet.Domain(dom), Pool: pool, Version: "v", InFlight: inFlight, Limit: 10, Usable: true}
+func usable(vm, dom string, inFlight int) TargetStatus {
+	return TargetStatus{VM: fleet.VM(vm), Domain: fleet.Domain(dom), Pool: pool, Version: "v", InFlight: inFlight, Limit: 10, Usable: true}
 }
 
 // TestChooseKeepsRules guards against work for a target that must not get any:
@@ -122,10 +122,10 @@
 			case 6:
 				tried[r.VM], good = true, false
 			}
-			tab.Report(r, at)
+			tab.RecordStatus(r, at)
 			ok[r.VM] = good
 		}
-		q := Query{Pool: pool, Version: "v", Own: "a", Probe: true, Tried: tried, Prefix: rapid.Uint64Range(0, 2).Draw(t, "prefix"),
+		q := Query{Pool: pool, Version: "v", OwnDomain: "a", Probe: true, Tried: tried, PrefixHash: rapid.Uint64Range(0, 2).Draw(t, "prefix"),
 			Cordoned: func(_ fleet.Domain, vm fleet.VM) bool { return cordoned[vm] }}
 		c, out := tab.Choose(q, start, rand.IntN)
 		any := false
@@ -144,10 +144,10 @@
 	tab := NewTable()
 	older := usable("older", "a", 0)
 	older.Version = "u"
-	tab.Report(older, start)
-	q := Query{Pool: pool, Version: "v", Older: map[fleet.Version]bool{"u": true}, Own: "a"}
-	for _, r := range []Report{usable("far", "b", 9), usable("near", "a", 9)} {
-		tab.Report(r, start)
+	tab.RecordStatus(older, start)
+	q := Query{Pool: pool, Version: "v", OlderVersions: map[fleet.Version]bool{"u": true}, OwnDomain: "a"}
+	for _, r := range []TargetStatus{usable("far", "b", 9), usable("near", "a", 9)} {
+		tab.RecordStatus(r, start)
 		if c, _ := tab.Choose(q, start, rand.IntN); c.VM != r.VM {
 			t.Errorf("chose %s, want %s", c.VM, r.VM)
 		}
@@ -157,7 +157,7 @@
 		if c.VM != want {
 			t.Errorf("chose %s, want %s", c.VM, want)
 		}
-		tab.Start(c.VM)
+		tab.Reserve(c.VM)
 	}
 }
 
@@ -166,9 +166,9 @@
 func TestAffinity(t *testing.T) {
 	tab := NewTable()
 	for i := range 5 {
-		tab.Report(usable(fmt.Sprint(i), "a", 2), start)
+		tab.RecordStatus(usable(fmt.Sprint(i), "a", 2), start)
 	}
-	q := Query{Pool: pool, Version: "v", Own: "a", Prefix: 42}
+	q := Query{Pool: pool, Version: "v", OwnDomain: "a", PrefixHash: 42}
 	first, _ := tab.Choose(q, start, rand.IntN)
 	for range 20 {
 		if c, _ := tab.Choose(q, start, rand.IntN); c != first {
@@ -176,7 +176,7 @@
 		}
 	}
 	for range 3 {
-		tab.Start(first.VM)
+		tab.Reserve(first.VM)
 	}
 	moved := 0
 	for range 50 {
@@ -194,18 +194,18 @@
 // for ever on an old report.
 func TestFullTargets(t *testing.T) {
 	tab := NewTable()
-	tab.Report(usable("x", "a", 10), start)
-	q := Query{Pool: pool, Version: "v", Watchers: 4}
+	tab.RecordStatus(usable("x", "a", 10), start)
+	q := Query{Pool: pool, Version: "v", EntriesPerTarget: 4}
 	for range 2 {
-		if _, out := tab.Choose(q, start, rand.IntN); out != Chosen || !tab.Start("x") {
+		if _, out := tab.Choose(q, start, rand.IntN); out != Chosen || !tab.Reserve("x") {
 			t.Errorf("outcome %v inside the share of the entry", out)
 		}
 	}
 	if _, out := tab.Choose(q, start, rand.IntN); out != AllFull {
 		t.Errorf("outcome %v for a full target", out)
 	}
-	tab.Done("x")
-	tab.Full("x", 10, 10, start)
+	tab.Release("x")
+	tab.RecordFull("x", 10, 10, start)
 	if _, out := tab.Choose(q, start.Add(FullPause), rand.IntN); out != AllFull {
 		t.Errorf("outcome %v right after a refusal", out)
 	}
@@ -218,11 +218,11 @@
 	}
 	later := start.Add(FullPause + 1)
 	for range 9 {
-		if _, out := tab.Choose(q, later, rand.IntN); out != Chosen || !tab.Start("x") {
+		if _, out := tab.Choose(q, later, rand.IntN); out != Chosen || !tab.Reserve("x") {
 			t.Errorf("outcome %v of a probe", out)
 		}
 	}
-	if _, out := tab.Choose(q, later, rand.IntN); out != AllFull || tab.Start("x") {
+	if _, out := tab.Choose(q, later, rand.IntN); out != AllFull || tab.Reserve("x") {
 		t.Errorf("outcome %v for a target that this entry fills", out)
 	}
 }
@@ -234,18 +234,18 @@
 	tab := NewTable()
 	r := usable("x", "a", 5)
 	r.Limit = 8
-	tab.Report(r, start)
-	q := Query{Pool: pool, Version: "v", Watchers: 3}
+	tab.RecordStatus(r, start)
+	q := Query{Pool: pool, Version: "v", EntriesPerTarget: 3}
 	for own := range 3 { // a share of 8/3 places
-		if _, out := tab.Choose(q, start, rand.IntN); out != Chosen || !tab.Start("x") {
+		if _, out := tab.Choose(q, start, rand.IntN); out != Chosen || !tab.Reserve("x") {
 			t.Errorf("outcome %v with %d own and %d places free", out, own, 3-own)
 		}
 	}
 	tab = NewTable()
 	r.InFlight = 4
-	tab.Report(r, start)
+	tab.RecordStatus(r, start)
 	for range 3 {
-		tab.Start("x")
+		tab.Reserve("x")
 	}
 	if _, out := tab.Choose(q, start, rand.IntN); out != AllFull {
 		t.Errorf("outcome %v for the last place beyond the share", out)
@@ -257,8 +257,8 @@
 // woke left or could not use it.
 func TestWaiters(t *testing.T) {
 	tab := NewTable()
-	tab.Report(usable("x", "a", 4), start)
-	draft, status := tab.Wait(pool, fleet.ClassDraft), tab.Wait(pool, fleet.ClassStatus)
+	tab.RecordStatus(usable("x", "a", 4), start)
+	draft, status := tab.AddWaiter(pool, fleet.ClassDraft), tab.AddWaiter(pool, fleet.ClassStatus)
 	woken := func(w *Waiter) bool {
 		select {
 		case <-w.Woken():
@@ -267,25 +267,25 @@
 			return false
 		}
 	}
-	tab.Start("x")
-	tab.Done("x")
+	tab.Reserve("x")
+	tab.Release("x")
 	if woken(draft) || !woken(status) {
 		t.Error("a free place did not go to the first class")
 	}
-	tab.Pass(status)
+	tab.WakeNext(status)
 	if !woken(draft) {
 		t.Error("a change that the first waiter passed on woke nobody")
 	}
-	tab.Load("x", 4, 4)
+	tab.RecordLoad("x", 4, 4)
 	if woken(status) || woken(draft) {
 		t.Error("the load of a full target woke a waiter")
 	}
-	tab.Report(usable("x", "a", 4), start)
-	tab.Stop(status)
+	tab.RecordStatus(usable("x", "a", 4), start)
+	tab.RemoveWaiter(status)
 	if !woken(draft) || tab.lines.m.Len() != 1 {
 		t.Error("a waiter that was woken and left did not wake the next one")
 	}
-	tab.Stop(draft)
+	tab.RemoveWaiter(draft)
 	if tab.lines.m.Len() != 0 {
 		t.Error("an empty line is kept")
 	}
--- a/internal/core/routing/subset.go
+++ b/internal/core/routing/subset.go
@@ -3,9 +3,9 @@
 import "github.com/masticwing/masticwing/internal/core/fleet"
 
 const (
-	// MaxWatched bounds the agents that an entry watches for one group or
+	// MaxWatchedAgents bounds the agents that an entry watches for one group or
 	// service.
-	MaxWatched = 32
+	MaxWatchedAgents = 32
 	// maxOwn leaves room for agents of other failure domains, so that an entry
 	// still has targets at once when its own domain leaves service.
 	maxOwn = 24
@@ -33,9 +33,9 @@
 		}
 	}
 	key := Hash("watch", entry)
-	near, far = Rank(key, near), Rank(key, far)
-	ownCount := min(len(near), max(maxOwn, MaxWatched-len(far)), MaxWatched)
-	farCount := min(len(far), MaxWatched-ownCount)
+	near, far = RendezvousRank(key, near), RendezvousRank(key, far)
+	ownCount := min(len(near), max(maxOwn, MaxWatchedAgents-len(far)), MaxWatchedAgents)
+	farCount := min(len(far), MaxWatchedAgents-ownCount)
 	out := make([]Agent, 0, ownCount+farCount)
 	for _, id := range append(near[:ownCount:ownCount], far[:farCount]...) {
 		out = append(out, byID[id])
--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -31,8 +31,8 @@
 	return "group/" + string(p.Group)
 }
 
-// Report is the state of a target as its agent reports it.
-type Report struct {
+// TargetStatus is the state of a target as its agent reports it.
+type TargetStatus struct {
 	VM       fleet.VM
 	Domain   fleet.Domain
 	Address  fleet.Address
@@ -46,7 +46,7 @@
 // target is what the table holds of one VM. own counts the requests of this
 // entry in the target; ownSeen is own at the time of the last load report.
 type target struct {
-	Report
+	TargetStatus
 	at      time.Time
 	known   bool
 	own     int
@@ -72,10 +72,10 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{shard.New[fleet.VM, target](0), newLines()} }
 
-// Report records a status of a target.
-func (t *Table) Report(r Report, now time.Time) {
+// RecordStatus records a status of a target.
+func (t *Table) RecordStatus(r TargetStatus, now time.Time) {
 	t.targets.Update(r.VM, func(v target, _ bool) (target, bool) {
-		v.Report, v.at, v.known, v.ownSeen = r, now, true, v.own
+		v.TargetStatus, v.at, v.known, v.ownSeen = r, now, true, v.own
 		return v, true
 	})
 	if r.Usable {
@@ -83,8 +83,8 @@
 	}
 }
 
-// Load records a load that came with an answer.
-func (t *Table) Load(vm fleet.VM, inFlight, limit int) {
+// RecordLoad records a load that came with an answer.
+func (t *Table) RecordLoad(vm fleet.VM, inFlight, limit int) {
 	var p Pool
 	room := false
 	t.targets.Update(vm, func(v target, ok bool) (target, bool) {
@@ -97,10 +97,10 @@
 	}
 }
 
-// Full records that a target refused a request for lack of room. Without the
+// RecordFull records that a target refused a request for lack of room. Without the
 // pause, each place that becomes free in the queue would be spent on the same
 // refusal. Done was called for the request, which the load does not include.
-func (t *Table) Full(vm fleet.VM, inFlight, limit int, now time.Time) {
+func (t *Table) RecordFull(vm fleet.VM, inFlight, limit int, now time.Time) {
 	t.targets.Update(vm, func(v target, ok bool) (target, bool) {
 		v.InFlight, v.Limit, v.ownSeen, v.fullUntil = inFlight, limit, v.own, now.Add(FullPause)
 		return v, ok
@@ -116,10 +116,10 @@
 	})
 }
 
-// Start counts a request of this entry in a target. It returns false and
+// Reserve counts a request of this entry in a target. It returns false and
 // counts nothing if the requests of this entry alone fill the target. Done
 // ends the count.
-func (t *Table) Start(vm fleet.VM) bool {
+func (t *Table) Reserve(vm fleet.VM) bool {
 	started := false
 	t.targets.Update(vm, func(v target, ok bool) (target, bool) {
 		if started = !v.known || v.own < v.Limit; started {
@@ -130,8 +130,8 @@
 	return started
 }
 
-// Done ends the count of one Start.
-func (t *Table) Done(vm fleet.VM) {
+// Release ends the count of one Start.
+func (t *Table) Release(vm fleet.VM) {
 	var p Pool
 	t.targets.Update(vm, func(v target, _ bool) (target, bool) {
 		v.own--
@@ -141,16 +141,16 @@
 	t.lines.wake(p, nil)
 }
 
-// Known reports whether a fresh status of the VM is held, and whether it says
+// CheckUsable reports whether a fresh status of the VM is held, and whether it says
 // that the target takes work.
-func (t *Table) Known(vm fleet.VM, now time.Time) (usable, fresh bool) {
+func (t *Table) CheckUsable(vm fleet.VM, now time.Time) (usable, fresh bool) {
 	v, _ := t.targets.Get(vm)
 	fresh = v.fresh(now)
 	return fresh && v.Usable, fresh
 }
 
-// Paused reports whether the VM has just refused a request for lack of room.
-func (t *Table) Paused(vm fleet.VM, now time.Time) bool {
+// IsPaused reports whether the VM has just refused a request for lack of room.
+func (t *Table) IsPaused(vm fleet.VM, now time.Time) bool {
 	v, _ := t.targets.Get(vm)
 	return !now.After(v.fullUntil)
 }
@@ -158,9 +158,9 @@
 // Capacity is what the usable targets of a pool can bear.
 type Capacity struct {
 	Targets int
-	// Limit is the sum of the targets' limits, Own what this entry uses of it,
+	// Limit is the sum of the targets' limits, OwnInFlight what this entry uses of it,
 	// and Free what seems unused.
-	Limit, Own, Free int
+	Limit, OwnInFlight, Free int
 }
 
 // Capacity sums over a pool's usable targets.
@@ -170,7 +170,7 @@
 		if v.Pool == p && v.fresh(now) && v.Usable {
 			c.Targets++
 			c.Limit += v.Limit
-			c.Own += v.own
+			c.OwnInFlight += v.own
 			c.Free += max(0, v.Limit-v.estimate())
 		}
 		return true
@@ -179,11 +179,11 @@
 }
 
 // Snapshot returns the fresh reports, for operators.
-func (t *Table) Snapshot(now time.Time) []Report {
-	var out []Report
+func (t *Table) Snapshot(now time.Time) []TargetStatus {
+	var out []TargetStatus
 	t.targets.Range(func(_ fleet.VM, v target) bool {
 		if v.fresh(now) {
-			r := v.Report
+			r := v.TargetStatus
 			r.InFlight = v.estimate()
 			out = append(out, r)
 		}
--- a/internal/core/routing/wait.go
+++ b/internal/core/routing/wait.go
@@ -74,21 +74,21 @@
 	})
 }
 
-// Wait puts a request into the line of its pool. The caller looks for a target
+// AddWaiter puts a request into the line of its pool. The caller looks for a target
 // once more before it waits, because a change may have come just before.
-func (t *Table) Wait(p Pool, c fleet.Class) *Waiter {
+func (t *Table) AddWaiter(p Pool, c fleet.Class) *Waiter {
 	w := &Waiter{pool: p, class: c, woken: make(chan struct{}, 1)}
 	t.lines.add(w)
 	return w
 }
 
-// Stop takes a waiter out of its line and wakes the next one, which may use
+// RemoveWaiter takes a waiter out of its line and wakes the next one, which may use
 // what the waiter left or did not look at.
-func (t *Table) Stop(w *Waiter) {
+func (t *Table) RemoveWaiter(w *Waiter) {
 	t.lines.remove(w)
 	t.lines.wake(w.pool, nil)
 }
 
-// Pass wakes the waiter behind w, for a change that w cannot use although
+// WakeNext wakes the waiter behind w, for a change that w cannot use although
 // others may.
-func (t *Table) Pass(w *Waiter) { t.lines.wake(w.pool, w) }
+func (t *Table) WakeNext(w *Waiter) { t.lines.wake(w.pool, w) }
--- a/internal/core/schedule/bytes.go
+++ b/internal/core/schedule/bytes.go
@@ -8,22 +8,22 @@
 	"github.com/masticwing/masticwing/internal/core/verdict"
 )
 
-// Bytes counts the memory held for callers, per process and per customer.
-type Bytes struct {
+// ByteLimiter counts the memory held for callers, per process and per customer.
+type ByteLimiter struct {
 	max       int64
 	total     atomic.Int64
 	customers *shard.Map[fleet.Customer, int64]
 }
 
-// NewBytes returns a counter with a bound for the process.
-func NewBytes(limit int64) *Bytes {
-	return &Bytes{max: limit, customers: shard.New[fleet.Customer, int64](0)}
+// NewByteLimiter returns a counter with a bound for the process.
+func NewByteLimiter(limit int64) *ByteLimiter {
+	return &ByteLimiter{max: limit, customers: shard.New[fleet.Customer, int64](0)}
 }
 
-// Take counts n bytes. It returns an error and counts nothing if the bound of
+// Reserve counts n bytes. It returns an error and counts nothing if the bound of
 // the process or of the customer would be passed; zero means no bound of the
 // customer.
-func (b *Bytes) Take(c fleet.Customer, n, customerMax int64) error {
+func (b *ByteLimiter) Reserve(c fleet.Customer, n, customerMax int64) error {
 	if b.total.Add(n) > b.max {
 		b.total.Add(-n)
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded,
@@ -44,11 +44,11 @@
 	return nil
 }
 
-// Give returns bytes that Take counted.
-func (b *Bytes) Give(c fleet.Customer, n int64) {
+// Release returns bytes that Take counted.
+func (b *ByteLimiter) Release(c fleet.Customer, n int64) {
 	b.total.Add(-n)
 	b.customers.Update(c, func(v int64, _ bool) (int64, bool) { return v - n, v > n })
 }
 
 // Total returns the bytes held by the process.
-func (b *Bytes) Total() int64 { return b.total.Load() }
+func (b *ByteLimiter) Total() int64 { return b.total.Load() }
--- a/internal/core/schedule/schedule.go
+++ b/internal/core/schedule/schedule.go
@@ -80,9 +80,9 @@
 	})
 }
 
-// Enter queues a request. The caller calls Leave exactly once, after the
+// Enqueue queues a request. The caller calls Leave exactly once, after the
 // request has ended or when it stops waiting.
-func (q *Queue) Enter(r Request, now time.Time) (*Ticket, error) {
+func (q *Queue) Enqueue(r Request, now time.Time) (*Ticket, error) {
 	t := &Ticket{req: r, grant: make(chan error, 1)}
 	if !q.countCustomer(r) {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeCustomerLimit,
@@ -103,13 +103,13 @@
 	return t, nil
 }
 
-// Started ends the count of a granted request against its customer's bound of
+// MarkStarted ends the count of a granted request against its customer's bound of
 // queued requests.
-func (q *Queue) Started(t *Ticket) { q.uncount(t) }
+func (q *Queue) MarkStarted(t *Ticket) { q.uncount(t) }
 
-// Leave returns the permit of a granted request or takes a waiting request out
+// Release returns the permit of a granted request or takes a waiting request out
 // of the queue.
-func (q *Queue) Leave(t *Ticket, now time.Time) {
+func (q *Queue) Release(t *Ticket, now time.Time) {
 	q.with(t.req.Pool, func(p *pool) {
 		p.leave(t, now)
 		p.dispatch(now)
--- a/internal/core/schedule/schedule_test.go
+++ b/internal/core/schedule/schedule_test.go
@@ -32,7 +32,7 @@
 
 func enter(t *testing.T, q *Queue, r Request) *Ticket {
 	t.Helper()
-	x, err := q.Enter(r, start)
+	x, err := q.Enqueue(r, start)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 	}
 	got := make([]int, len(kinds))
 	for range n * len(kinds) / 2 {
-		q.Leave(holder, start)
+		q.Release(holder, start)
 		holder = nil
 		for x, i := range waiting {
 			if granted(x) {
@@ -91,7 +91,7 @@
 	if !granted(small) {
 		t.Error("the small customer waits behind the flood")
 	}
-	q.Leave(holder, start)
+	q.Release(holder, start)
 }
 
 // TestClassPriority guards against drafts that delay a station check, and
@@ -121,7 +121,7 @@
 		leave := func(i int) {
 			x := open[i]
 			open = append(open[:i], open[i+1:]...)
-			q.Leave(x, now)
+			q.Release(x, now)
 			delete(running, x)
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -129,7 +129,7 @@
 				r := request(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"), fleet.Class(rapid.IntRange(0, 3).Draw(t, "class")), rapid.IntRange(0, 9).Draw(t, "share"))
 				r.MaxQueued = rapid.IntRange(0, 8).Draw(t, "max")
 				r.Deadline = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
-				if x, err := q.Enter(r, now); err == nil {
+				if x, err := q.Enqueue(r, now); err == nil {
 					open = append(open, x)
 				} else if verdict.FromError(err).Verdict != verdict.NotRun {
 					t.Fatalf("refusal %v", err)
@@ -166,13 +166,13 @@
 func TestShedsLateRequests(t *testing.T) {
 	q := NewQueue(100)
 	x := enter(t, q, request("a", fleet.ClassStatus, 1))
-	q.Leave(x, start.Add(100*time.Millisecond))
+	q.Release(x, start.Add(100*time.Millisecond))
 	short := request("a", fleet.ClassStatus, 1)
 	short.Deadline = start.Add(50 * time.Millisecond)
-	if x, err := q.Enter(short, start); err != nil || !granted(x) {
+	if x, err := q.Enqueue(short, start); err != nil || !granted(x) {
 		t.Fatalf("shed although a permit is free: %v", err)
 	}
-	_, err := q.Enter(short, start)
+	_, err := q.Enqueue(short, start)
 	if e := verdict.FromError(err); err == nil || e.Code != verdict.CodeOverloaded || e.RetryAfter <= 0 {
 		t.Errorf("error %v, want overloaded with a retry time", err)
 	}
@@ -186,25 +186,25 @@
 	r.MaxQueued = 2
 	first := enter(t, q, r)
 	enter(t, q, r)
-	if _, err := q.Enter(r, start); verdict.FromError(err).Code != verdict.CodeCustomerLimit {
+	if _, err := q.Enqueue(r, start); verdict.FromError(err).Code != verdict.CodeCustomerLimit {
 		t.Errorf("third request: %v", err)
 	}
-	q.Started(first)
+	q.MarkStarted(first)
 	enter(t, q, r)
 
-	b := NewBytes(100)
+	b := NewByteLimiter(100)
 	for i, c := range []struct {
 		customer fleet.Customer
 		n, max   int64
 		code     verdict.Code
 	}{{"a", 60, 70, ""}, {"a", 20, 70, verdict.CodeCustomerLimit}, {"b", 50, 0, verdict.CodeOverloaded}, {"b", 40, 0, ""}} {
-		err := b.Take(c.customer, c.n, c.max)
+		err := b.Reserve(c.customer, c.n, c.max)
 		if (err == nil) != (c.code == "") || err != nil && verdict.FromError(err).Code != c.code {
 			t.Error(fmt.Errorf("take %d: %w", i, err))
 		}
 	}
-	b.Give("a", 60)
-	b.Give("b", 40)
+	b.Release("a", 60)
+	b.Release("b", 40)
 	if b.Total() != 0 || b.customers.Len() != 0 {
 		t.Errorf("%d bytes, %d customers left", b.Total(), b.customers.Len())
 	}
