--- a/cmd/masticwing-gateway/main.go
+++ b/cmd/masticwing-gateway/main.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	idle := idleconns.New(func() time.Duration { return g.Bounds().Idle })
+	idle := idleconns.New(func() time.Duration { return g.RequestLimits().Idle })
 	front := &http.Server{Handler: platform.Ingress(g, g.Closing), ReadHeaderTimeout: headerTimeout, ConnState: idle.Follow}
 	checks := &http.Server{Handler: platform.Ready(g), ReadHeaderTimeout: headerTimeout}
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
--- a/internal/adapter/enginehttp/identity.go
+++ b/internal/adapter/enginehttp/identity.go
@@ -39,6 +39,6 @@
 
 // changed returns the refusal of an engine that is not the one expected.
 func changed(resp *http.Response) *verdict.Error {
-	cause := &port.EngineChanged{Now: parseTag(resp.Header.Get(tagHeader))}
+	cause := &port.EngineChangedError{Now: parseTag(resp.Header.Get(tagHeader))}
 	return verdict.Wrap(cause, verdict.NotRun, verdict.CodeTargetWarming, "engine: %s", describe(resp))
 }
--- a/internal/adapter/enginehttp/identity_test.go
+++ b/internal/adapter/enginehttp/identity_test.go
@@ -53,7 +53,7 @@
 		_ = a.Close()
 		post(t, h.URL+path)
 		_, err = c.Generate(context.Background(), r)
-		var changed *port.EngineChanged
+		var changed *port.EngineChangedError
 		if e := verdict.FromError(err); e.Verdict != verdict.NotRun || e.Code != verdict.CodeTargetWarming || !errors.As(err, &changed) {
 			t.Fatalf("got %v after %s", err, path)
 		}
--- a/internal/adapter/rpc/peer_client.go
+++ b/internal/adapter/rpc/peer_client.go
@@ -205,15 +205,15 @@
 }
 
 // Declaration implements port.MemberClient.
-func (c *Client) Declaration(ctx context.Context, addr fleet.Address) (port.Document, error) {
+func (c *Client) Declaration(ctx context.Context, addr fleet.Address) (port.StoredDeclaration, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	out, err := pb.NewDRPCMemberClient(c.conn(ctx, addr)).GetDeclaration(ctx, &pb.GetDeclarationRequest{})
 	if err != nil {
 		c.dropOnTimeout(ctx, addr)
-		return port.Document{}, errors.Wrap(err, "asking for declaration")
+		return port.StoredDeclaration{}, errors.Wrap(err, "asking for declaration")
 	}
-	return port.Document{Revision: out.GetRevision(), Stored: out.GetStored(), Age: ageFromMillis(out.GetAgeMs())}, nil
+	return port.StoredDeclaration{Revision: out.GetRevision(), Stored: out.GetStored(), Age: ageFromMillis(out.GetAgeMs())}, nil
 }
 
 // Members implements port.MemberClient.
--- a/internal/app/agent/confirm.go
+++ b/internal/app/agent/confirm.go
@@ -37,7 +37,7 @@
 
 // refused learns from an engine that is not the one the request expected.
 func (a *Agent) refused(err error, p *admission.Permit, asked time.Time) {
-	var c *port.EngineChanged
+	var c *port.EngineChangedError
 	switch {
 	case !errors.As(err, &c):
 	case c.Now != fleet.EngineIdentity{} && c.Now != p.Expect():
--- a/internal/app/agent/controller.go
+++ b/internal/app/agent/controller.go
@@ -259,9 +259,9 @@
 		return
 	}
 	c.want = p.Want
-	var ts []port.WeightsTarget
+	var ts []port.WantedVersion
 	for _, r := range p.Want {
-		ts = append(ts, port.WeightsTarget{Model: r.Model, Version: r.Version})
+		ts = append(ts, port.WantedVersion{Model: r.Model, Version: r.Version})
 	}
 	c.a.d.Weights.Want(ts)
 }
--- a/internal/app/agent/harness_test.go
+++ b/internal/app/agent/harness_test.go
@@ -61,7 +61,7 @@
 func (d *fakeDirectory) Declaration() (*declare.Declaration, time.Duration) { return d.get().d, 0 }
 func (d *fakeDirectory) Members(fleet.Kind) []port.MemberRecord             { return nil }
 func (d *fakeDirectory) Subscribe() (<-chan struct{}, func())               { return d.changed, func() {} }
-func (d *fakeDirectory) SetSelf(change func(*port.MemberRecord)) {
+func (d *fakeDirectory) UpdateSelf(change func(*port.MemberRecord)) {
 	d.update(func(s *dirState) { change(&s.self); s.writes++ })
 }
 
--- a/internal/app/agent/serve.go
+++ b/internal/app/agent/serve.go
@@ -99,7 +99,7 @@
 
 func (s *serving) generate(ctx context.Context, v view) (err error) {
 	// A refused request has used the link as well.
-	s.a.d.Weights.ChargeLive(len(s.r.Body), 0)
+	s.a.d.Weights.ChargeLiveTraffic(len(s.r.Body), 0)
 	if err := s.admit(ctx); err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 		if err == nil {
 			return nil
 		}
-		var changed *port.EngineChanged
+		var changed *port.EngineChangedError
 		if n > 0 && errors.As(err, &changed) {
 			return broke
 		}
@@ -239,7 +239,7 @@
 
 func (s *serving) data(ctx context.Context, b []byte) error {
 	s.firstByte()
-	s.a.d.Weights.ChargeLive(0, len(b))
+	s.a.d.Weights.ChargeLiveTraffic(0, len(b))
 	for len(b) > 0 {
 		n := min(frameBytes, len(b))
 		if err := gone(ctx, s.sink.Data(b[:n])); err != nil {
--- a/internal/app/agent/service.go
+++ b/internal/app/agent/service.go
@@ -95,7 +95,7 @@
 }
 
 // contentOf returns the digest of what a call asks for.
-func contentOf(r port.ServeRequest) (c port.CallContent) {
+func contentOf(r port.ServeRequest) (c port.ContentDigest) {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(r.Call), []byte(r.ContentType), r.Body} {
 		_ = binary.Write(h, binary.BigEndian, uint64(len(part)))
@@ -118,7 +118,7 @@
 // runOnce runs the call and settles the ticket exactly once. A caller that
 // goes away does not end the call, only its deadline does: a call that was cut
 // could no longer be told from one that ran.
-func (s *serving) runOnce(ctx context.Context, t port.LedgerTicket) error {
+func (s *serving) runOnce(ctx context.Context, t port.LedgerClaim) error {
 	settled := false
 	defer func() {
 		if !settled {
@@ -162,7 +162,7 @@
 }
 
 // settle records a call that failed.
-func settle(t port.LedgerTicket, err error) error {
+func settle(t port.LedgerClaim, err error) error {
 	switch verdict.FromError(err).Verdict {
 	case verdict.NotRun:
 		t.NotRun()
--- a/internal/app/agent/status.go
+++ b/internal/app/agent/status.go
@@ -117,7 +117,7 @@
 			return nil
 		}
 		last = without
-		a.d.Directory.SetSelf(func(r *port.MemberRecord) {
+		a.d.Directory.UpdateSelf(func(r *port.MemberRecord) {
 			r.Status = &st
 			if st.Leaving {
 				r.State = port.MemberLeaving
--- a/internal/app/directory/converge_test.go
+++ b/internal/app/directory/converge_test.go
@@ -141,14 +141,14 @@
 	n := w.nodes[5]
 	v0 := n.table.Self().Version
 	for i := range 200 {
-		n.SetSelf(func(r *port.MemberRecord) {
+		n.UpdateSelf(func(r *port.MemberRecord) {
 			r.Status = &port.AgentStatus{VM: "x", Load: port.Load{InFlight: i}}
 		})
 	}
 	if v := n.table.Self().Version; v > v0+2 {
 		t.Errorf("200 changes of load made %d versions", v-v0)
 	}
-	n.SetSelf(func(r *port.MemberRecord) { r.State = port.MemberLeaving })
+	n.UpdateSelf(func(r *port.MemberRecord) { r.State = port.MemberLeaving })
 	w.await("leaving known", 3*time.Second, all, func(o *node) bool {
 		for _, r := range o.Directory.Members(n.cfg.Self.Kind) {
 			if r.ID == n.cfg.Self.ID {
--- a/internal/app/directory/fleet_test.go
+++ b/internal/app/directory/fleet_test.go
@@ -91,10 +91,10 @@
 	return l.MemberClient.Exchange(ctx, a, m)
 }
 
-func (l links) Declaration(ctx context.Context, a fleet.Address) (port.Document, error) {
+func (l links) Declaration(ctx context.Context, a fleet.Address) (port.StoredDeclaration, error) {
 	to, _ := l.w.domain.Get(a)
 	if err := l.wait(ctx, to); err != nil {
-		return port.Document{}, err
+		return port.StoredDeclaration{}, err
 	}
 	return l.MemberClient.Declaration(ctx, a)
 }
--- a/internal/app/directory/handler.go
+++ b/internal/app/directory/handler.go
@@ -32,12 +32,12 @@
 }
 
 // Declaration implements port.MemberHandler.
-func (d handler) Declaration(context.Context) (port.Document, error) {
+func (d handler) Declaration(context.Context) (port.StoredDeclaration, error) {
 	h, age := d.rev.Current(d.deps.Clock.Now())
 	if h.Declaration == nil {
-		return port.Document{}, ErrNoDeclaration
+		return port.StoredDeclaration{}, ErrNoDeclaration
 	}
-	return port.Document{Revision: h.Declaration.Revision, Stored: h.Encoded, Age: age}, nil
+	return port.StoredDeclaration{Revision: h.Declaration.Revision, Stored: h.Encoded, Age: age}, nil
 }
 
 // Members implements port.MemberHandler. Dead members are included, so that
--- a/internal/app/directory/record.go
+++ b/internal/app/directory/record.go
@@ -114,10 +114,10 @@
 	published time.Time
 }
 
-// SetSelf implements port.Directory. A change other than of load and progress
+// UpdateSelf implements port.Directory. A change other than of load and progress
 // is published at once; a change of state is announced at once as well. change
 // runs under a lock and must not call the Directory.
-func (d *Directory) SetSelf(change func(*port.MemberRecord)) {
+func (d *Directory) UpdateSelf(change func(*port.MemberRecord)) {
 	now := d.deps.Clock.Now()
 	d.own.mu.Lock()
 	old := d.own.rec
--- a/internal/app/enroll/enroll.go
+++ b/internal/app/enroll/enroll.go
@@ -58,8 +58,8 @@
 	if err != nil {
 		return port.NoLease, errors.Wrap(err, "encoding the entry")
 	}
-	w := port.Write{Key: e.Prefix + e.Self.ID, Value: value, Lease: lease}
-	return lease, errors.Wrap(e.Store.Commit(ctx, nil, []port.Write{w}), "writing the entry")
+	w := port.StoreWrite{Key: e.Prefix + e.Self.ID, Value: value, Lease: lease}
+	return lease, errors.Wrap(e.Store.Commit(ctx, nil, []port.StoreWrite{w}), "writing the entry")
 }
 
 // keep extends the lease until it has ended or ctx ends.
--- a/internal/app/enroll/members.go
+++ b/internal/app/enroll/members.go
@@ -15,7 +15,7 @@
 type Members map[string]port.StoredMember
 
 // Apply takes in news of the entries.
-func (m Members) Apply(e follow.Event, facts port.FactReader, log *logging.Logger) {
+func (m Members) Apply(e follow.Event, facts port.ItemDecoder, log *logging.Logger) {
 	if e.Reset {
 		clear(m)
 	}
@@ -24,12 +24,12 @@
 			delete(m, c.Key)
 			continue
 		}
-		fact, err := facts.Read(c.Item)
+		fact, err := facts.Decode(c.StoreItem)
 		if err != nil {
 			log.Fault("entry of a process can't be read", err, logging.F("key", c.Key))
 			continue
 		}
-		if f, ok := fact.(port.MemberFact); ok {
+		if f, ok := fact.(port.MemberItem); ok {
 			m[c.Key] = f.Member
 		}
 	}
--- a/internal/app/entry/run.go
+++ b/internal/app/entry/run.go
@@ -206,7 +206,7 @@
 // shutDown refuses new requests and finishes those in progress.
 func (p *process) shutDown() {
 	p.env.Admin.NotReady("shutting down")
-	p.dir.SetSelf(func(m *port.MemberRecord) { m.State = port.MemberLeaving })
+	p.dir.UpdateSelf(func(m *port.MemberRecord) { m.State = port.MemberLeaving })
 	p.env.Log.State("draining", logging.F("timeout", p.cfg.Drain.String()))
 	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.Drain)
 	defer cancel()
--- a/internal/app/feed/feed_test.go
+++ b/internal/app/feed/feed_test.go
@@ -42,12 +42,12 @@
 	calls atomic.Int64
 }
 
-func (c *counted) List(ctx context.Context, prefix string) ([]port.Item, int64, error) {
+func (c *counted) List(ctx context.Context, prefix string) ([]port.StoreItem, int64, error) {
 	c.calls.Add(1)
 	return c.Store.List(ctx, prefix)
 }
 
-func (c *counted) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]port.Change, int64, error) {
+func (c *counted) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]port.StoreChange, int64, error) {
 	c.calls.Add(1)
 	return c.Store.Changes(ctx, prefix, after, wait)
 }
--- a/internal/app/feed/source.go
+++ b/internal/app/feed/source.go
@@ -101,12 +101,12 @@
 // List implements port.Store. A listing is that of the store: one of another
 // process may be older than what is known here, which matters only for prefixes
 // that are not urgent.
-func (s *Source) List(ctx context.Context, prefix string) ([]port.Item, int64, error) {
+func (s *Source) List(ctx context.Context, prefix string) ([]port.StoreItem, int64, error) {
 	if s.prefixes[prefix].Patient {
 		if reply, ok := s.patiently(ctx, port.FeedRequest{Prefix: prefix, After: core.All}); ok {
-			var items []port.Item
+			var items []port.StoreItem
 			for _, c := range changesOf(reply) {
-				items = append(items, c.Item)
+				items = append(items, c.StoreItem)
 			}
 			return items, reply.At, nil
 		}
@@ -119,7 +119,7 @@
 }
 
 // Changes implements port.Store.
-func (s *Source) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]port.Change, int64, error) {
+func (s *Source) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]port.StoreChange, int64, error) {
 	p := s.prefixes[prefix]
 	r := port.FeedRequest{Prefix: prefix, After: after, Wait: wait}
 	if p.Wait > 0 {
@@ -208,11 +208,11 @@
 	s.state.Put(prefix, prefixState{fed: true, confirmed: confirmed})
 }
 
-func changesOf(r port.FeedReply) []port.Change {
-	out := make([]port.Change, 0, len(r.Changes))
+func changesOf(r port.FeedReply) []port.StoreChange {
+	out := make([]port.StoreChange, 0, len(r.Changes))
 	for _, c := range r.Changes {
-		it := port.Item{Key: c.Key, Value: c.Value, Revision: c.Revision}
-		out = append(out, port.Change{Item: it, Removed: c.Removed})
+		it := port.StoreItem{Key: c.Key, Value: c.Value, Revision: c.Revision}
+		out = append(out, port.StoreChange{StoreItem: it, Removed: c.Removed})
 	}
 	return out
 }
--- a/internal/app/follow/follow.go
+++ b/internal/app/follow/follow.go
@@ -29,7 +29,7 @@
 // all others are gone.
 type Event struct {
 	Reset   bool
-	Changes []port.Change
+	Changes []port.StoreChange
 	// At is the revision of a listing.
 	At int64
 }
@@ -81,7 +81,7 @@
 		f.regained(at)
 		e := Event{Reset: true, At: at}
 		for _, it := range items {
-			e.Changes = append(e.Changes, port.Change{Item: it})
+			e.Changes = append(e.Changes, port.StoreChange{StoreItem: it})
 		}
 		apply(e)
 		f.watch(ctx, at, apply)
@@ -126,7 +126,7 @@
 var errRelist = errors.New("picture differs from the store")
 
 // changes makes one call, which Relist ends early.
-func (f *Follower) changes(ctx context.Context, at int64) (changes []port.Change, next int64, err error) {
+func (f *Follower) changes(ctx context.Context, at int64) (changes []port.StoreChange, next int64, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg conc.WaitGroup
 	defer wg.Wait()
--- a/internal/app/gateway/attempt.go
+++ b/internal/app/gateway/attempt.go
@@ -48,7 +48,7 @@
 // bufferedResponse is a target's complete response.
 type bufferedResponse struct {
 	choice placement.Choice
-	ans    *port.ForwardAnswer
+	ans    *port.ForwardResponse
 	body   []byte
 }
 
@@ -67,7 +67,7 @@
 			c.g.budgets.First(c.service.Name, now)
 		}
 		if c.service.Engine != nil {
-			c.g.notifyGateways(choice.Address, c.in.Work.PromptTokens)
+			c.g.notifyGateways(choice.Address, c.in.WorkEstimate.PromptTokens)
 		}
 		c.sends++
 		c.tried[choice.Instance] = true
@@ -134,7 +134,7 @@
 func (c *call) attempt(ctx context.Context, choice placement.Choice) *verdict.Error {
 	clock := c.g.deps.Clock
 	f := port.Forward{
-		In: c.in, Expect: choice.Instance, Timeout: c.deadline.Sub(clock.Now()),
+		Inbound: c.in, ExpectInstance: choice.Instance, Timeout: c.deadline.Sub(clock.Now()),
 		Urgency: c.urgency(), ResumeAfter: c.resumeAfter(),
 	}
 	if c.account != nil {
@@ -170,7 +170,7 @@
 // out: the loaders beside them report their load more often than responses do.
 func (c *call) recordLoad(choice placement.Choice, l *port.TargetLoad) {
 	if c.service.Engine == nil {
-		load := placement.Load{Running: l.Running, Waiting: l.Waiting, Places: l.Places}
+		load := placement.Load{Running: l.Running, Waiting: l.Waiting, Places: l.Slots}
 		c.g.targets.Report(choice.Instance, load, c.g.deps.Clock.Now())
 	}
 }
@@ -186,9 +186,9 @@
 	case ctx.Err() != nil:
 	case !errors.As(err, &refused):
 		c.g.targets.Failed(choice.Instance, now)
-	case refused.Reason == port.RefusedInstance:
+	case refused.Reason == port.RefusalWrongInstance:
 		c.g.targets.Gone(choice.Instance, now)
-	case refused.Reason == port.RefusedUnreached:
+	case refused.Reason == port.RefusalUnreachable:
 		c.g.targets.Failed(choice.Instance, now)
 	default:
 		c.g.targets.Busy(choice.Instance, now)
@@ -201,7 +201,7 @@
 
 // relayBuffered reads the complete response before it delivers any of it, so that the
 // request can be retried if the response breaks off.
-func (c *call) relayBuffered(ctx context.Context, choice placement.Choice, ans *port.ForwardAnswer) *verdict.Error {
+func (c *call) relayBuffered(ctx context.Context, choice placement.Choice, ans *port.ForwardResponse) *verdict.Error {
 	body, err := io.ReadAll(io.LimitReader(ans.Body, maxBufferedBytes+1))
 	if err == nil && len(body) > maxBufferedBytes {
 		err = errors.Errorf("response is longer than %d bytes", maxBufferedBytes)
@@ -219,10 +219,10 @@
 
 // deliver sends a complete response to the caller and logs the request. It always returns
 // nil.
-func (c *call) deliver(choice placement.Choice, ans *port.ForwardAnswer, body []byte) *verdict.Error {
+func (c *call) deliver(choice placement.Choice, ans *port.ForwardResponse, body []byte) *verdict.Error {
 	c.g.targets.Served(choice.Instance)
 	c.relay.headSent, c.relay.status = true, ans.Status
-	h := port.OutboundHead{Status: ans.Status, Header: ans.Header, Length: int64(len(body))}
+	h := port.ResponseHead{Status: ans.Status, Header: ans.Header, Length: int64(len(body))}
 	err := c.out.Head(h)
 	if err == nil && len(body) > 0 {
 		err = c.out.Data(body)
@@ -253,7 +253,7 @@
 
 // relayStream sends the events of a stream to the caller as they arrive. It sends only
 // complete events, so that the stream can resume at another target.
-func (c *call) relayStream(ctx context.Context, choice placement.Choice, ans *port.ForwardAnswer, watch *stallWatch) *verdict.Error {
+func (c *call) relayStream(ctx context.Context, choice placement.Choice, ans *port.ForwardResponse, watch *stallWatch) *verdict.Error {
 	c.relay.events.DiscardPartial()
 	first, eventsBefore := true, c.relay.events.EventCount()
 	buf := make([]byte, streamReadBytes)
@@ -280,7 +280,7 @@
 }
 
 // relayEvents sends the events that b completes.
-func (c *call) relayEvents(ans *port.ForwardAnswer, b []byte) *verdict.Error {
+func (c *call) relayEvents(ans *port.ForwardResponse, b []byte) *verdict.Error {
 	complete, ok := c.relay.events.Push(b)
 	if !ok {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBrokenAnswer, "event is longer than %d bytes", eventstream.MaxEventBytes)
@@ -288,7 +288,7 @@
 	if len(complete) == 0 {
 		return nil
 	}
-	c.relay.recordEvents(c.g.deps.Clock.Now(), c.in.Received)
+	c.relay.recordEvents(c.g.deps.Clock.Now(), c.in.ReceivedAt)
 	err := c.sendStreamHead(ans)
 	if err == nil {
 		err = c.out.Data(complete)
@@ -301,16 +301,16 @@
 
 // sendStreamHead sends the head of a stream unless it was already sent. A stream that
 // resumes at another target keeps the first target's head.
-func (c *call) sendStreamHead(ans *port.ForwardAnswer) error {
+func (c *call) sendStreamHead(ans *port.ForwardResponse) error {
 	if c.relay.headSent {
 		return nil
 	}
 	c.relay.headSent, c.relay.status = true, ans.Status
 	c.g.deps.Metrics.Seconds("gateway_first_event_seconds", c.relay.firstEventAfter)
-	return c.out.Head(port.OutboundHead{Status: ans.Status, Header: ans.Header, Length: -1, Stream: true})
+	return c.out.Head(port.ResponseHead{Status: ans.Status, Header: ans.Header, Length: -1, Stream: true})
 }
 
-func (c *call) finishStream(choice placement.Choice, ans *port.ForwardAnswer) *verdict.Error {
+func (c *call) finishStream(choice placement.Choice, ans *port.ForwardResponse) *verdict.Error {
 	if err := c.sendStreamHead(ans); err != nil {
 		return verdict.Wrap(err, verdict.Ran, verdict.CodeCanceled, "caller left")
 	}
--- a/internal/app/gateway/feed_test.go
+++ b/internal/app/gateway/feed_test.go
@@ -70,17 +70,17 @@
 // contains, and against missing the removal of a cordon, which no conflict contains.
 func TestConflictUpdatesView(t *testing.T) {
 	gw := newTestGateway(t, route)
-	gw.facts["op/config"] = port.ConfigFact{Config: routes.Config{Version: 2, Routes: []routes.Route{route}}}
-	expect := []port.Expectation{{Key: "op/config", Revision: 1}}
-	item := port.Item{Key: "op/config", Revision: 7}
-	gw.handleConflict(expect, &port.ConflictError{Current: []port.Item{item}})
+	gw.facts["op/config"] = port.ConfigItem{Config: routes.Config{Version: 2, Routes: []routes.Route{route}}}
+	expect := []port.Precondition{{Key: "op/config", Revision: 1}}
+	item := port.StoreItem{Key: "op/config", Revision: 7}
+	gw.handleConflict(expect, &port.ConflictError{Current: []port.StoreItem{item}})
 	if v := gw.view.routeTable.Load().Version; v != 2 {
 		t.Errorf("configuration %d in force, want 2", v)
 	}
-	if gw.view.coversConflict([]port.Expectation{{Key: "op/cordon/a", Revision: 3}}, nil) {
+	if gw.view.coversConflict([]port.Precondition{{Key: "op/cordon/a", Revision: 3}}, nil) {
 		t.Error("a removed key counts as covered by an empty conflict")
 	}
-	if gw.view.coversConflict([]port.Expectation{{Key: "op/config", Revision: 7}}, []port.Item{item}) {
+	if gw.view.coversConflict([]port.Precondition{{Key: "op/config", Revision: 7}}, []port.StoreItem{item}) {
 		t.Error("equal revisions count as covering a conflict")
 	}
 }
@@ -126,8 +126,8 @@
 		if c.confirmedAgo > 0 {
 			gw.confirmedAt.Store(int64(gw.clock.SinceBoot() - c.confirmedAgo))
 		}
-		gw.facts["op/weights"] = port.WeightsFact{Model: "m", Number: 2}
-		gw.applyOperatorKeys(follow.Event{Reset: true, Changes: []port.Change{{Item: port.Item{Key: "op/weights", Revision: 9}}}})
+		gw.facts["op/weights"] = port.WeightsItem{Model: "m", Number: 2}
+		gw.applyOperatorKeys(follow.Event{Reset: true, Changes: []port.StoreChange{{StoreItem: port.StoreItem{Key: "op/weights", Revision: 9}}}})
 		now := gw.clock.Now()
 		d := gw.view.declarations.Load()
 		const tolerance = 200 * time.Millisecond
--- a/internal/app/gateway/follow.go
+++ b/internal/app/gateway/follow.go
@@ -170,14 +170,14 @@
 // handleConflict updates the view after the store found other revisions of the operator
 // keys. The conflict contains the current items, so that the prefix is listed again only
 // if they do not cover it: a configuration has some hundred kilobytes.
-func (g *Gateway) handleConflict(expect []port.Expectation, err error) {
+func (g *Gateway) handleConflict(expect []port.Precondition, err error) {
 	var c *port.ConflictError
 	known := 0
 	if errors.As(err, &c) && g.view.coversConflict(expect, c.Current) {
 		known = len(c.Current)
 		var e follow.Event
 		for _, it := range c.Current {
-			e.Changes = append(e.Changes, port.Change{Item: it})
+			e.Changes = append(e.Changes, port.StoreChange{StoreItem: it})
 		}
 		g.applyOperatorKeys(e)
 	} else {
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -26,7 +26,7 @@
 type Deps struct {
 	Store   port.Store
 	Feed    port.FeedClient
-	Facts   port.FactReader
+	Facts   port.ItemDecoder
 	Targets port.Forwarder
 	Clock   feed.Clock
 	Rand    port.Rand
@@ -122,14 +122,14 @@
 	return true, ""
 }
 
-// Bounds returns the configured limits for callers, or none before a configuration is
+// RequestLimits returns the configured limits for callers, or none before a configuration is
 // known. It implements port.InboundHandler.
-func (g *Gateway) Bounds() port.CallerBounds {
+func (g *Gateway) RequestLimits() port.CallerLimits {
 	t := g.view.routeTable.Load()
 	if t == nil {
-		return port.CallerBounds{}
+		return port.CallerLimits{}
 	}
-	return port.CallerBounds{HeaderBytes: t.Limits.HeaderBytes, BodyBytes: t.Limits.BodyBytes, Idle: t.Limits.Idle}
+	return port.CallerLimits{HeaderBytes: t.Limits.HeaderBytes, BodyBytes: t.Limits.BodyBytes, Idle: t.Limits.Idle}
 }
 
 // Closing reports whether to close each connection after its response.
--- a/internal/app/gateway/harness_test.go
+++ b/internal/app/gateway/harness_test.go
@@ -20,15 +20,15 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// facts is a port.FactReader that returns the fact stored under an item's key. A nil
+// facts is a port.ItemDecoder that returns the fact stored under an item's key. A nil
 // fact makes the item unreadable.
-type facts map[string]port.Fact
+type facts map[string]port.DecodedItem
 
 func (f facts) Prefixes() port.Prefixes {
 	return port.Prefixes{Operator: "op/", Targets: "targets/", Members: "members/"}
 }
 func (f facts) CordonKey(d fleet.Domain) string { return "op/cordon/" + string(d) }
-func (f facts) Read(it port.Item) (port.Fact, error) {
+func (f facts) Decode(it port.StoreItem) (port.DecodedItem, error) {
 	if f[it.Key] == nil {
 		return nil, fmt.Errorf("%s can't be read", it.Key)
 	}
@@ -56,7 +56,7 @@
 	to      []fleet.Address
 }
 
-func (fw *forwarder) Forward(ctx context.Context, to fleet.Address, f port.Forward) (*port.ForwardAnswer, error) {
+func (fw *forwarder) Forward(ctx context.Context, to fleet.Address, f port.Forward) (*port.ForwardResponse, error) {
 	fw.mu.Lock()
 	fw.sent, fw.to = append(fw.sent, f), append(fw.to, to)
 	r := scriptedReply{status: 200, body: []string{"ok"}}
@@ -77,7 +77,7 @@
 	if r.bodyErr == nil {
 		r.bodyErr = io.EOF
 	}
-	return &port.ForwardAnswer{Status: r.status, Header: port.Header{"X-Run": {fmt.Sprint(len(fw.sent))}}, Length: -1, Body: &bodyReader{r.body, r.bodyErr}}, nil
+	return &port.ForwardResponse{Status: r.status, Header: port.Header{"X-Run": {fmt.Sprint(len(fw.sent))}}, Length: -1, Body: &bodyReader{r.body, r.bodyErr}}, nil
 }
 
 // bodyReader returns one segment per read, and err after the last one.
@@ -96,7 +96,7 @@
 }
 func (p *bodyReader) Close() error { return nil }
 
-// callerRecorder is a port.Outbound that records the response.
+// callerRecorder is a port.ResponseWriter that records the response.
 type callerRecorder struct {
 	status  int
 	header  port.Header
@@ -105,7 +105,7 @@
 	aborted bool
 }
 
-func (c *callerRecorder) Head(h port.OutboundHead) error {
+func (c *callerRecorder) Head(h port.ResponseHead) error {
 	c.status, c.header = h.Status, h.Header
 	return nil
 }
@@ -171,8 +171,8 @@
 	gw.operatorFollower = follow.New(nil, "op/", time.Second, func() time.Duration { return time.Millisecond }, gw.clock, gw.deps.Log)
 	gw.applyConfig(1, r)
 	for _, id := range []string{"a", "b"} {
-		gw.applyFact("targets/"+id, 1, port.TargetFact{Target: port.TargetRecord{
-			Instance: fleet.Instance(id), Service: "s", Address: fleet.Address(id), Domain: fleet.Domain(id), Places: 4,
+		gw.applyFact("targets/"+id, 1, port.TargetItem{Target: port.TargetRecord{
+			Instance: fleet.Instance(id), Service: "s", Address: fleet.Address(id), Domain: fleet.Domain(id), Slots: 4,
 		}})
 	}
 	gw.confirmedAt.Store(int64(gw.clock.SinceBoot()))
@@ -180,16 +180,16 @@
 }
 
 func (gw *testGateway) applyConfig(version int64, rs ...routes.Route) {
-	gw.applyFact("op/config", version, port.ConfigFact{Config: routes.Config{
+	gw.applyFact("op/config", version, port.ConfigItem{Config: routes.Config{
 		Version: version, Routes: rs, Services: []routes.Service{{Name: "s"}},
 		Accounts: []routes.Account{{Name: "t", Keys: []string{"k"}}},
 	}})
 }
 
 // applyFact applies a change of a key to the gateway's view.
-func (gw *testGateway) applyFact(key string, revision int64, f port.Fact) {
+func (gw *testGateway) applyFact(key string, revision int64, f port.DecodedItem) {
 	gw.facts[key] = f
-	e := follow.Event{Changes: []port.Change{{Item: port.Item{Key: key, Revision: revision}}}}
+	e := follow.Event{Changes: []port.StoreChange{{StoreItem: port.StoreItem{Key: key, Revision: revision}}}}
 	if strings.HasPrefix(key, "op/") {
 		gw.view.applyOperatorKeys(e, gw.clock.Now())
 	} else {
@@ -197,14 +197,14 @@
 	}
 }
 
-func newInbound() *port.Inbound {
-	return &port.Inbound{
-		ID: "1", Method: "GET", Host: "h", URI: "/p/x", Path: "/p/x", Key: "k", Header: port.Header{},
-		Received: time.Now(), Patience: time.Second,
+func newInbound() *port.InboundRequest {
+	return &port.InboundRequest{
+		ID: "1", Method: "GET", Host: "h", URI: "/p/x", Path: "/p/x", APIKey: "k", Header: port.Header{},
+		ReceivedAt: time.Now(), CallerTimeout: time.Second,
 	}
 }
 
-func (gw *testGateway) request(in *port.Inbound) *callerRecorder {
+func (gw *testGateway) request(in *port.InboundRequest) *callerRecorder {
 	c := &callerRecorder{}
 	gw.Serve(context.Background(), in, c)
 	return c
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -16,8 +16,8 @@
 // call is the state of one caller's request.
 type call struct {
 	g     *Gateway
-	in    *port.Inbound
-	out   port.Outbound
+	in    *port.InboundRequest
+	out   port.ResponseWriter
 	route *routes.Route
 	// account is nil if the request needed no API key.
 	account    *routes.Account
@@ -38,7 +38,7 @@
 }
 
 // Serve answers a caller's request. It implements port.InboundHandler.
-func (g *Gateway) Serve(ctx context.Context, in *port.Inbound, out port.Outbound) {
+func (g *Gateway) Serve(ctx context.Context, in *port.InboundRequest, out port.ResponseWriter) {
 	g.active.Start()
 	defer g.active.Done()
 	c := &call{g: g, in: in, out: out, tried: map[fleet.Instance]bool{}}
@@ -84,14 +84,14 @@
 	if !ok {
 		return verdict.New(verdict.NotRun, verdict.CodeNoTarget, "route has no service").WithRetryAfter(time.Second)
 	}
-	timeout := c.in.Patience
+	timeout := c.in.CallerTimeout
 	if timeout == 0 {
 		timeout = defaultTimeout
 	}
 	if r.Timeout > 0 {
 		timeout = min(timeout, r.Timeout)
 	}
-	c.deadline = c.in.Received.Add(timeout)
+	c.deadline = c.in.ReceivedAt.Add(timeout)
 	return nil
 }
 
@@ -105,7 +105,7 @@
 		return verdict.New(verdict.NotRun, verdict.CodeStaleConfiguration, "API keys were last confirmed %v ago", age.Round(time.Millisecond)).
 			WithRetryAfter(localRetryAfter)
 	}
-	a, ok := c.routeTable.Account(c.in.Key)
+	a, ok := c.routeTable.Account(c.in.APIKey)
 	if !ok {
 		return verdict.New(verdict.NotRun, verdict.CodeUnknownCustomer, "API key is not known")
 	}
@@ -183,10 +183,10 @@
 	}
 	if e := c.service.Engine; e != nil {
 		q.Beyond = engineQueueLimit
-		q.Read, q.Write = e.Pace.ReadTime(c.in.Work.PromptTokens), e.Pace.WriteTime()
+		q.Read, q.Write = e.Pace.ReadTime(c.in.WorkEstimate.PromptTokens), e.Pace.WriteTime()
 		q.NeedsWeights = true
-		q.MinWeights = d.minWeightsVersion(c.in.Work.Model, c.g.settings.WeightsBound-weightsMargin, now)
-		q.Fading = d.minWeightsVersion(c.in.Work.Model, c.g.settings.WeightsBound-queuedWeightsMargin, now)
+		q.MinWeights = d.minWeightsVersion(c.in.WorkEstimate.Model, c.g.settings.WeightsBound-weightsMargin, now)
+		q.Fading = d.minWeightsVersion(c.in.WorkEstimate.Model, c.g.settings.WeightsBound-queuedWeightsMargin, now)
 	} else {
 		q.Beyond = serviceQueueLimit
 	}
@@ -220,7 +220,7 @@
 	now := g.deps.Clock.Now()
 	fs := []logging.Field{
 		logging.F("request", string(c.in.ID)), logging.F("outcome", outcome),
-		logging.Millis("took_ms", now.Sub(c.in.Received)),
+		logging.Millis("took_ms", now.Sub(c.in.ReceivedAt)),
 		logging.F("sends", c.sends), logging.F("runs", c.runs),
 		logging.Millis("picture_age_ms", g.viewAge()),
 	}
@@ -239,7 +239,7 @@
 	if n := c.relay.events.EventCount(); n > 0 {
 		fs = append(fs, logging.F("events", n), logging.Millis("first_ms", c.relay.firstEventAfter),
 			logging.Millis("longest_gap_ms", c.relay.longestGap), logging.Millis("objective_ms", c.route.Objective),
-			logging.F("prompt_tokens", c.in.Work.PromptTokens), logging.F("expected_tokens", c.in.Work.ExpectedTokens))
+			logging.F("prompt_tokens", c.in.WorkEstimate.PromptTokens), logging.F("expected_tokens", c.in.WorkEstimate.ExpectedTokens))
 	}
 	if status != 0 {
 		fs = append(fs, logging.F("status", status))
@@ -252,5 +252,5 @@
 		g.deps.Log.Served("request", fs...)
 	}
 	g.deps.Metrics.Count("gateway_requests_total", 1, port.Attr{Key: "class", Value: class}, port.Attr{Key: "outcome", Value: outcome})
-	g.deps.Metrics.Seconds("gateway_request_seconds", now.Sub(c.in.Received), port.Attr{Key: "class", Value: class})
+	g.deps.Metrics.Seconds("gateway_request_seconds", now.Sub(c.in.ReceivedAt), port.Attr{Key: "class", Value: class})
 }
--- a/internal/app/gateway/serve_test.go
+++ b/internal/app/gateway/serve_test.go
@@ -17,8 +17,8 @@
 var (
 	errLost          = verdict.New(verdict.MayHaveRun, verdict.CodeTargetLost, "lost")
 	errBodyCut       = errors.New("body cut off")
-	errBusy          = verdict.Wrap(&port.RefusedError{Reason: port.RefusedBusy}, verdict.NotRun, verdict.CodeTargetFull, "full")
-	errOtherInstance = verdict.Wrap(&port.RefusedError{Reason: port.RefusedInstance}, verdict.NotRun, verdict.CodeTargetFull, "other")
+	errBusy          = verdict.Wrap(&port.RefusedError{Reason: port.RefusalBusy}, verdict.NotRun, verdict.CodeTargetFull, "full")
+	errOtherInstance = verdict.Wrap(&port.RefusedError{Reason: port.RefusalWrongInstance}, verdict.NotRun, verdict.CodeTargetFull, "other")
 	streamingRoute   = func() routes.Route {
 		r := route
 		r.Kind, r.Resumable = routes.Streaming, true
@@ -171,7 +171,7 @@
 		gw := newTestGateway(t, c.r)
 		gw.clock.advance(c.age)
 		in := newInbound()
-		in.Key = c.key
+		in.APIKey = c.key
 		out := gw.request(in)
 		if c.code == "" && out.status != 200 || c.code != "" && (out.refused == nil || out.refused.Code != c.code || out.refused.Verdict != verdict.NotRun) {
 			t.Errorf("%s: status %d, %v", c.name, out.status, out.refused)
@@ -231,7 +231,7 @@
 // remains after a new listing no longer contains it.
 func TestCordon(t *testing.T) {
 	gw := newTestGateway(t, route)
-	gw.applyFact("op/cordon/a", 2, port.CordonFact{Domain: "a"})
+	gw.applyFact("op/cordon/a", 2, port.CordonItem{Domain: "a"})
 	for range 8 {
 		gw.request(newInbound())
 	}
--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -20,7 +20,7 @@
 // gateways in the store. The atomic fields are read without a lock.
 type view struct {
 	self    port.StoredMember
-	facts   port.FactReader
+	facts   port.ItemDecoder
 	targets *placement.Table
 	regions map[fleet.Domain]fleet.Region
 	clock   port.Clock
@@ -79,16 +79,16 @@
 
 // expectedRevisions returns the revisions of the operator keys in this view. It includes
 // the cordon key of each domain that is not cordoned, as absent.
-func (v *view) expectedRevisions(cordonKey func(fleet.Domain) string) []port.Expectation {
+func (v *view) expectedRevisions(cordonKey func(fleet.Domain) string) []port.Precondition {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	var out []port.Expectation
+	var out []port.Precondition
 	for k, rev := range v.operatorRevisions {
-		out = append(out, port.Expectation{Key: k, Revision: rev})
+		out = append(out, port.Precondition{Key: k, Revision: rev})
 	}
 	for d := range v.regions {
 		if k := cordonKey(d); v.operatorRevisions[k] == 0 {
-			out = append(out, port.Expectation{Key: k})
+			out = append(out, port.Precondition{Key: k})
 		}
 	}
 	return out
@@ -97,7 +97,7 @@
 // coversConflict reports whether newer items in current account for all differences from
 // expect, so that no listing is needed. It returns false if an expected key is missing
 // from current, since removals are found by a listing, and if there is no difference.
-func (v *view) coversConflict(expect []port.Expectation, current []port.Item) bool {
+func (v *view) coversConflict(expect []port.Precondition, current []port.StoreItem) bool {
 	newest := map[string]int64{}
 	for _, it := range current {
 		newest[it.Key] = it.Revision
@@ -130,7 +130,7 @@
 		} else {
 			continue
 		}
-		fact, err := v.facts.Read(c.Item)
+		fact, err := v.facts.Decode(c.StoreItem)
 		if err != nil && c.Removed {
 			continue
 		}
@@ -143,24 +143,24 @@
 	v.declarations.Store(next)
 }
 
-func (v *view) applyFact(fact port.Fact, c port.Change, next *declarations, earliest time.Time) {
+func (v *view) applyFact(fact port.DecodedItem, c port.StoreChange, next *declarations, earliest time.Time) {
 	switch f := fact.(type) {
-	case port.ConfigFact:
+	case port.ConfigItem:
 		v.applyConfig(f.Config, c)
-	case port.CordonFact:
+	case port.CordonItem:
 		if c.Removed {
 			delete(next.cordons, f.Domain)
 		} else {
 			next.cordons[f.Domain] = true
 		}
 		v.log.State("cordon", logging.F("domain", string(f.Domain)), logging.F("cordoned", !c.Removed), logging.F("revision", c.Revision))
-	case port.WeightsFact:
+	case port.WeightsItem:
 		next.weights[f.Model] = appendDeclaration(next.weights[f.Model], weightsDeclaration{f.Number, earliest})
 		v.log.State("weights declared", logging.F("model", string(f.Model)), logging.F("number", f.Number), logging.F("revision", c.Revision))
 	}
 }
 
-func (v *view) applyConfig(c routes.Config, from port.Change) {
+func (v *view) applyConfig(c routes.Config, from port.StoreChange) {
 	if from.Removed {
 		return
 	}
@@ -237,13 +237,13 @@
 			}
 			continue
 		}
-		fact, err := v.facts.Read(c.Item)
+		fact, err := v.facts.Decode(c.StoreItem)
 		if err != nil {
 			v.log.Fault("entry of a target can't be read", err, logging.F("key", c.Key), logging.F("revision", c.Revision))
 			v.removeTarget(c.Key)
 			continue
 		}
-		if f, ok := fact.(port.TargetFact); ok {
+		if f, ok := fact.(port.TargetItem); ok {
 			keep[f.Target.Instance] = true
 			v.setTarget(c, f.Target, now)
 		}
@@ -261,13 +261,13 @@
 	}
 }
 
-func (v *view) setTarget(c port.Change, r port.TargetRecord, now time.Time) {
+func (v *view) setTarget(c port.StoreChange, r port.TargetRecord, now time.Time) {
 	t := placement.Target{
 		Instance: r.Instance, Service: r.Service, Address: r.Address, Domain: r.Domain, Region: v.regions[r.Domain],
-		Places: r.Places, Draining: r.Draining, Started: r.Started,
+		Places: r.Slots, Draining: r.Draining, Started: r.Started,
 	}
-	if r.ColdLeft > 0 {
-		t.ColdUntil = now.Add(r.ColdLeft)
+	if r.WarmUpLeft > 0 {
+		t.ColdUntil = now.Add(r.WarmUpLeft)
 	}
 	for _, h := range r.Held {
 		t.Weights = max(t.Weights, h.Number)
@@ -276,7 +276,7 @@
 	v.targets.Set(t)
 	v.log.State("target", logging.F("target", string(t.Instance)), logging.F("service", string(t.Service)),
 		logging.F("address", string(t.Address)), logging.F("domain", string(t.Domain)), logging.F("draining", t.Draining),
-		logging.Millis("cold_ms", r.ColdLeft), logging.F("weights", t.Weights), logging.F("revision", c.Revision))
+		logging.Millis("cold_ms", r.WarmUpLeft), logging.F("weights", t.Weights), logging.F("revision", c.Revision))
 }
 
 // applyMembers updates the gateway count, the notice addresses and the readers from an
--- a/internal/app/ledger/history_test.go
+++ b/internal/app/ledger/history_test.go
@@ -207,7 +207,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(20+rnd.IntN(800))*time.Millisecond)
 	defer cancel()
 	l := w.slots[rnd.IntN(len(w.slots))].Load()
-	tk, _, err := l.Begin(ctx, port.LedgerKey{Service: "nursery", Customer: "c", Key: key}, port.CallContent{})
+	tk, _, err := l.Begin(ctx, port.LedgerKey{Service: "nursery", Customer: "c", Key: key}, port.ContentDigest{})
 	switch {
 	case err != nil:
 		return verdict.FromError(err).Verdict
--- a/internal/app/ledger/ledger.go
+++ b/internal/app/ledger/ledger.go
@@ -101,7 +101,7 @@
 func (l *Ledger) SetRate(writesPerSecond float64) { l.pacer.SetRate(writesPerSecond) }
 
 // Begin implements port.Ledger.
-func (l *Ledger) Begin(ctx context.Context, k port.LedgerKey, content port.CallContent) (port.LedgerTicket, *port.StoredAnswer, error) {
+func (l *Ledger) Begin(ctx context.Context, k port.LedgerKey, content port.ContentDigest) (port.LedgerClaim, *port.StoredAnswer, error) {
 	now := l.clock.Now()
 	key, bad := core.CheckKey(k.Service, k.Customer, k.Key, now, l.opts.Window)
 	if bad != nil {
@@ -172,12 +172,12 @@
 // kept is a remembered answer and the content of its call.
 type kept struct {
 	answer  *port.StoredAnswer
-	content port.CallContent
+	content port.ContentDigest
 }
 
 // replay returns a copy of the answer that is marked as remembered. It refuses a
 // call of another content: its caller would take the answer for its own.
-func (k kept) replay(content port.CallContent) (port.LedgerTicket, *port.StoredAnswer, error) {
+func (k kept) replay(content port.ContentDigest) (port.LedgerClaim, *port.StoredAnswer, error) {
 	if k.content != content {
 		return nil, nil, core.ErrReused()
 	}
--- a/internal/app/ledger/ledger_test.go
+++ b/internal/app/ledger/ledger_test.go
@@ -41,9 +41,9 @@
 	return port.LedgerKey{Service: "nursery", Customer: "c", Key: uuid.Must(uuid.NewV7()).String()}
 }
 
-func begin(t *testing.T, l *Ledger, k port.LedgerKey) port.LedgerTicket {
+func begin(t *testing.T, l *Ledger, k port.LedgerKey) port.LedgerClaim {
 	t.Helper()
-	tk, _, err := l.Begin(t.Context(), k, port.CallContent{})
+	tk, _, err := l.Begin(t.Context(), k, port.ContentDigest{})
 	if err != nil || tk == nil {
 		t.Fatalf("Begin = %v, %v; want a ticket", tk, err)
 	}
@@ -53,7 +53,7 @@
 // want checks the verdict and code that a repeat of k is told.
 func want(t *testing.T, l *Ledger, k port.LedgerKey, v verdict.Verdict, c verdict.Code) {
 	t.Helper()
-	_, _, err := l.Begin(t.Context(), k, port.CallContent{})
+	_, _, err := l.Begin(t.Context(), k, port.ContentDigest{})
 	if err == nil {
 		t.Fatalf("Begin: no error, want %s (%s)", c, v)
 	}
@@ -87,17 +87,17 @@
 	w.faults(t, platform.Faults{Hang: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	if _, _, err := l.Begin(ctx, k, port.CallContent{}); verdict.FromError(err).Verdict != verdict.NotRun {
+	if _, _, err := l.Begin(ctx, k, port.ContentDigest{}); verdict.FromError(err).Verdict != verdict.NotRun {
 		t.Errorf("a platform that hangs: %v", err)
 	}
 	w.faults(t, platform.Faults{})
 	// A call that joins a read which still hangs is refused with it.
-	tk, _, err := l.Begin(t.Context(), k, port.CallContent{})
+	tk, _, err := l.Begin(t.Context(), k, port.ContentDigest{})
 	for end := time.Now().Add(4 * time.Second); err != nil && time.Now().Before(end); {
 		if verdict.FromError(err).Verdict != verdict.NotRun {
 			t.Fatalf("after the outage: %v", err)
 		}
-		tk, _, err = l.Begin(t.Context(), k, port.CallContent{})
+		tk, _, err = l.Begin(t.Context(), k, port.ContentDigest{})
 	}
 	if err != nil {
 		t.Fatalf("the ledger did not come back: %v", err)
@@ -170,13 +170,13 @@
 	small, large := newKey(), newKey()
 	begin(t, l, small).Done(&port.StoredAnswer{Head: port.AnswerHead{Status: 201}, Body: []byte("ordered")})
 	begin(t, l, large).Done(&port.StoredAnswer{Body: bytes.Repeat([]byte{'x'}, core.MaxAnswerBytes+1)})
-	tk, a, err := l.Begin(t.Context(), small, port.CallContent{})
+	tk, a, err := l.Begin(t.Context(), small, port.ContentDigest{})
 	if tk != nil || err != nil || string(a.Body) != "ordered" || a.Head.Status != 201 || !a.Head.Replayed {
 		t.Errorf("repeat = %v, %+v, %v", tk, a, err)
 	}
 	want(t, l, large, verdict.Ran, verdict.CodeDuplicate)
 	// A key that was used for another content must not get that call's answer.
-	tk, a, err = l.Begin(t.Context(), small, port.CallContent{1})
+	tk, a, err = l.Begin(t.Context(), small, port.ContentDigest{1})
 	if e := verdict.FromError(err); tk != nil || a != nil || err == nil || e.Code != verdict.CodeKeyReused || e.Verdict != verdict.NotRun {
 		t.Errorf("a reused key = %v, %+v, %v", tk, a, err)
 	}
--- a/internal/app/ledger/ticket.go
+++ b/internal/app/ledger/ticket.go
@@ -5,15 +5,15 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// ticket implements port.LedgerTicket.
+// ticket implements port.LedgerClaim.
 type ticket struct {
 	l       *Ledger
 	key     core.Key
 	attempt core.Attempt
-	content port.CallContent
+	content port.ContentDigest
 }
 
-// Done implements port.LedgerTicket.
+// Done implements port.LedgerClaim.
 func (t *ticket) Done(a *port.StoredAnswer) {
 	if a != nil {
 		t.l.answers.Put(t.key, kept{a, t.content}, len(a.Body))
@@ -21,8 +21,8 @@
 	t.l.table.Finish(t.key, t.attempt, core.Done)
 }
 
-// Unknown implements port.LedgerTicket.
+// Unknown implements port.LedgerClaim.
 func (t *ticket) Unknown() { t.l.table.Finish(t.key, t.attempt, core.Started) }
 
-// NotRun implements port.LedgerTicket.
+// NotRun implements port.LedgerClaim.
 func (t *ticket) NotRun() { t.l.table.Finish(t.key, t.attempt, core.Aborted) }
--- a/internal/app/loader/converge.go
+++ b/internal/app/loader/converge.go
@@ -41,8 +41,8 @@
 }
 
 // heldOf returns the newest weights of a report.
-func heldOf(r *port.EngineReport) port.HeldWeights {
-	var h port.HeldWeights
+func heldOf(r *port.EngineReport) port.ModelWeights {
+	var h port.ModelWeights
 	for _, x := range r.Held {
 		if x.Number > h.Number {
 			h = x
@@ -55,9 +55,9 @@
 // are declared, also if the engine holds them already or loads others: loaders of
 // engines that are added or start again fetch from this one, not from the origin.
 func (l *Loader) fetchDeclared(ctx context.Context) {
-	var last port.HeldWeights
+	var last port.ModelWeights
 	for ctx.Err() == nil {
-		var held port.HeldWeights
+		var held port.ModelWeights
 		r := l.seen.get()
 		if r != nil {
 			held = heldOf(r)
@@ -65,7 +65,7 @@
 		g, ok := l.view.goal(held)
 		// Without its engine a loader fetches only what is declared now, which
 		// others wait for. The rest may lie in the engine's area.
-		if !ok || g.HeldWeights == last || r == nil && !g.fresh {
+		if !ok || g.ModelWeights == last || r == nil && !g.fresh {
 			l.wait(ctx, l.view.declaredNews, recheck)
 			continue
 		}
@@ -74,22 +74,22 @@
 			l.sleep(ctx, failPause)
 			continue
 		}
-		last = g.HeldWeights
+		last = g.ModelWeights
 	}
 }
 
 // want resolves a version and starts to fetch it.
 func (l *Loader) want(ctx context.Context, g goal) error {
-	name := versionName(g.HeldWeights)
+	name := versionName(g.ModelWeights)
 	man, ok := l.chunks.Resolve(ctx, name)
 	if !ok {
 		var err error
-		if man, err = l.origin.resolve(ctx, g.HeldWeights); err != nil {
+		if man, err = l.origin.resolve(ctx, g.ModelWeights); err != nil {
 			return err
 		}
 	}
 	id := man.Version()
-	l.origin.remember(namedVersion{g.HeldWeights, id, man})
+	l.origin.remember(namedVersion{g.ModelWeights, id, man})
 	l.chunks.Want(name, id, man)
 	if g.staged && l.seen.get() != nil {
 		l.reuse(ctx, g, id)
@@ -168,7 +168,7 @@
 
 // reuse takes the chunks that lie in the area of the engine.
 func (l *Loader) reuse(ctx context.Context, g goal, id fleet.Version) {
-	staged, err := l.deps.Engine.Staged(ctx, g.Model)
+	staged, err := l.deps.Engine.StagedChunks(ctx, g.Model)
 	if err != nil {
 		l.deps.Log.Fault("staged chunks can't be listed", err)
 		return
@@ -237,13 +237,13 @@
 	if heldOf(&r).Number >= v.Number {
 		return nil
 	}
-	o := port.StartOrder{HeldWeights: v.HeldWeights, ExpectOrders: r.Orders}
+	o := port.StagedLoadOrder{ModelWeights: v.ModelWeights, ExpectOrderCount: r.OrderCount}
 	if g.fenced {
 		// Only this process orders its engine, whose count of orders rises until it
 		// starts again and forgets the tokens that it has seen.
-		o.Fence = r.Orders + 1
+		o.Fence = r.OrderCount + 1
 	}
-	if err := l.deps.Engine.Start(ctx, o); err != nil {
+	if err := l.deps.Engine.LoadStaged(ctx, o); err != nil {
 		return err
 	}
 	for {
--- a/internal/app/loader/loader.go
+++ b/internal/app/loader/loader.go
@@ -29,7 +29,7 @@
 type Deps struct {
 	Store  port.Store
 	Feed   port.FeedClient
-	Facts  port.FactReader
+	Facts  port.ItemDecoder
 	Engine port.StagedEngine
 	// Origin returns the client of the origin at an address.
 	Origin  func(fleet.Address) port.NumberedOrigin
--- a/internal/app/loader/loader_test.go
+++ b/internal/app/loader/loader_test.go
@@ -42,13 +42,13 @@
 	spoil  int // writes that go bad in the area
 	lose   int // orders that are accepted without an answer
 	refuse int // orders that are refused
-	orders []port.StartOrder
+	orders []port.StagedLoadOrder
 }
 
 func newEngine(number int64) *engine {
 	e := &engine{area: map[int][]byte{}, report: port.EngineReport{Started: 1}}
 	if number > 0 {
-		e.report.Held = []port.HeldWeights{{Model: "m", Number: number}}
+		e.report.Held = []port.ModelWeights{{Model: "m", Number: number}}
 	}
 	return e
 }
@@ -59,7 +59,7 @@
 	return e.report, nil
 }
 
-func (e *engine) Staged(context.Context, fleet.Model) ([]int, error) {
+func (e *engine) StagedChunks(context.Context, fleet.Model) ([]int, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var out []int
@@ -86,19 +86,19 @@
 	return nil
 }
 
-func (e *engine) Start(_ context.Context, o port.StartOrder) error {
+func (e *engine) LoadStaged(_ context.Context, o port.StagedLoadOrder) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.refuse > 0 {
 		e.refuse--
 		return port.ErrOrderRefused
 	}
-	if o.ExpectOrders != e.report.Orders {
+	if o.ExpectOrderCount != e.report.OrderCount {
 		return port.ErrOrderRefused
 	}
 	e.orders = append(e.orders, o)
-	e.report.Orders++
-	e.report.Held = []port.HeldWeights{o.HeldWeights}
+	e.report.OrderCount++
+	e.report.Held = []port.ModelWeights{o.ModelWeights}
 	e.loaded = nil
 	for i := range len(e.area) {
 		e.loaded = append(e.loaded, e.area[i]...)
@@ -117,7 +117,7 @@
 	asked int
 }
 
-func (o *origin) Manifest(_ context.Context, w port.HeldWeights) (manifest.Manifest, error) {
+func (o *origin) Manifest(_ context.Context, w port.ModelWeights) (manifest.Manifest, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.asked++
@@ -129,13 +129,13 @@
 	return man, nil
 }
 
-func (o *origin) Chunk(_ context.Context, w port.HeldWeights, i int) (io.ReadCloser, error) {
+func (o *origin) Chunk(_ context.Context, w port.ModelWeights, i int) (io.ReadCloser, error) {
 	return io.NopCloser(bytes.NewReader(weightsOf(w.Number)[i*chunkBytes : (i+1)*chunkBytes])), nil
 }
 
 type noPeers struct{ port.PeerClient }
 
-type noFacts struct{ port.FactReader }
+type noFacts struct{ port.ItemDecoder }
 
 func (noFacts) Prefixes() port.Prefixes {
 	return port.Prefixes{Config: "config", Weights: "weights/", Members: "members/"}
@@ -160,7 +160,7 @@
 func (l *Loader) declareForTest(number int64) {
 	l.view.mu.Lock()
 	defer l.view.mu.Unlock()
-	l.view.declare(declaredWeights{port.HeldWeights{Model: "m", Number: number}, time.Now(), false}, number)
+	l.view.declare(declaredWeights{port.ModelWeights{Model: "m", Number: number}, time.Now(), false}, number)
 	signal(l.view.declaredNews)
 }
 
@@ -265,17 +265,17 @@
 	v := l.view
 	now := time.Now()
 	v.declared = []declaredWeights{
-		{port.HeldWeights{Model: "m", Number: 2}, now.Add(-3 * time.Second), false},
-		{port.HeldWeights{Model: "m", Number: 3}, now, true},
+		{port.ModelWeights{Model: "m", Number: 2}, now.Add(-3 * time.Second), false},
+		{port.ModelWeights{Model: "m", Number: 3}, now, true},
 	}
-	g, ok := v.goal(port.HeldWeights{Model: "m", Number: 1})
+	g, ok := v.goal(port.ModelWeights{Model: "m", Number: 1})
 	if !ok || g.Number != 3 || !g.since.Equal(now.Add(-3*time.Second)) || g.now {
 		t.Errorf("goal %+v", g)
 	}
-	if g, _ = v.goal(port.HeldWeights{Model: "m", Number: 2}); !g.since.Equal(now) || !g.now {
+	if g, _ = v.goal(port.ModelWeights{Model: "m", Number: 2}); !g.since.Equal(now) || !g.now {
 		t.Errorf("goal %+v; a declaration that was found is urgent", g)
 	}
-	if g, _ = v.goal(port.HeldWeights{}); !g.now || !g.staged {
+	if g, _ = v.goal(port.ModelWeights{}); !g.now || !g.staged {
 		t.Errorf("goal of an empty engine %+v", g)
 	}
 }
--- a/internal/app/loader/view.go
+++ b/internal/app/loader/view.go
@@ -25,7 +25,7 @@
 // view is what a loader knows of the declarations and of the other processes.
 type view struct {
 	set   Settings
-	facts port.FactReader
+	facts port.ItemDecoder
 	clock port.Clock
 	log   *logging.Logger
 
@@ -43,13 +43,13 @@
 
 // declaredWeights is a declaration and the time at which it was learned.
 type declaredWeights struct {
-	port.HeldWeights
+	port.ModelWeights
 	since time.Time
 	// late is set if the declaration was found, not seen being made.
 	late bool
 }
 
-func newView(s Settings, f port.FactReader, c port.Clock, l *logging.Logger) *view {
+func newView(s Settings, f port.ItemDecoder, c port.Clock, l *logging.Logger) *view {
 	return &view{
 		set: s, facts: f, clock: c, log: l,
 		members: enroll.Members{}, declaredNews: make(chan struct{}, 1), listed: make(chan struct{}),
@@ -85,18 +85,18 @@
 		if c.Removed {
 			continue
 		}
-		fact, err := v.facts.Read(c.Item)
+		fact, err := v.facts.Decode(c.StoreItem)
 		if err != nil {
 			v.log.Fault("operator's item can't be read", err, logging.F("key", c.Key), logging.F("revision", c.Revision))
 			continue
 		}
 		switch f := fact.(type) {
-		case port.ConfigFact:
+		case port.ConfigItem:
 			if v.config == nil || f.Config.Version >= v.config.Version {
 				v.config = routes.Compile(f.Config)
 			}
-		case port.WeightsFact:
-			v.declare(declaredWeights{port.HeldWeights(f), now, e.Reset}, c.Revision)
+		case port.WeightsItem:
+			v.declare(declaredWeights{port.ModelWeights(f), now, e.Reset}, c.Revision)
 		}
 	}
 	signal(v.declaredNews)
@@ -159,7 +159,7 @@
 
 // goal is what an engine has to hold.
 type goal struct {
-	port.HeldWeights
+	port.ModelWeights
 	// since is the time of the oldest declaration above the weights held.
 	since time.Time
 	// staged means that the chunks may lie in the engine's area: it holds them, or
@@ -179,14 +179,14 @@
 
 // goal returns what an engine that holds the given weights has to hold. It
 // returns false before a configuration is known.
-func (v *view) goal(held port.HeldWeights) (goal, bool) {
+func (v *view) goal(held port.ModelWeights) (goal, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	s := v.service()
 	if s == nil || s.Engine == nil || len(s.Engine.Models) == 0 {
 		return goal{}, false
 	}
-	g := goal{HeldWeights: port.HeldWeights{Model: s.Engine.Models[0], Number: firstNumber}, now: held.Number == 0, fenced: s.Engine.Fenced}
+	g := goal{ModelWeights: port.ModelWeights{Model: s.Engine.Models[0], Number: firstNumber}, now: held.Number == 0, fenced: s.Engine.Fenced}
 	for _, d := range v.declared {
 		if d.Model != g.Model {
 			continue
@@ -259,7 +259,7 @@
 }
 
 type namedVersion struct {
-	port.HeldWeights
+	port.ModelWeights
 	id  fleet.Version
 	man manifest.Manifest
 }
@@ -282,12 +282,12 @@
 }
 
 // versionName is what loaders call numbered weights before they know the digest.
-func versionName(w port.HeldWeights) fleet.Version {
+func versionName(w port.ModelWeights) fleet.Version {
 	return fleet.Version(fmt.Sprintf("%s@%d", w.Model, w.Number))
 }
 
 // resolve returns the manifest of numbered weights. The origin may spoil an answer, so two answers have to agree.
-func (o *namedOrigin) resolve(ctx context.Context, w port.HeldWeights) (manifest.Manifest, error) {
+func (o *namedOrigin) resolve(ctx context.Context, w port.ModelWeights) (manifest.Manifest, error) {
 	c, err := o.get()
 	if err != nil {
 		return manifest.Manifest{}, err
@@ -364,7 +364,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rc, err := c.Chunk(ctx, n.HeldWeights, i)
+	rc, err := c.Chunk(ctx, n.ModelWeights, i)
 	o.note(ctx, err)
 	return rc, err
 }
--- a/internal/app/weights/manager.go
+++ b/internal/app/weights/manager.go
@@ -71,7 +71,7 @@
 	wake     chan struct{}
 
 	mu     sync.Mutex // guards wanted
-	wanted []port.WeightsTarget
+	wanted []port.WantedVersion
 	memory memory
 }
 
@@ -111,14 +111,14 @@
 }
 
 // Want implements port.Weights.
-func (m *Manager) Want(targets []port.WeightsTarget) {
+func (m *Manager) Want(targets []port.WantedVersion) {
 	m.mu.Lock()
 	m.wanted = slices.Clone(targets)
 	m.mu.Unlock()
 	signal(m.wake)
 }
 
-func (m *Manager) targets() []port.WeightsTarget {
+func (m *Manager) targets() []port.WantedVersion {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.wanted
@@ -188,8 +188,8 @@
 // Changed implements port.Weights.
 func (m *Manager) Changed() <-chan struct{} { return m.changed }
 
-// ChargeLive implements port.Weights.
-func (m *Manager) ChargeLive(in, out int) {
+// ChargeLiveTraffic implements port.Weights.
+func (m *Manager) ChargeLiveTraffic(in, out int) {
 	now := m.deps.Clock.Now()
 	m.link.In.Charge(now, in)
 	m.link.Out.Charge(now, out)
--- a/internal/app/weights/manager_test.go
+++ b/internal/app/weights/manager_test.go
@@ -69,8 +69,8 @@
 	t.Fatalf("%s: not %s: %+v", a.VM, what, a.Manager.Progress())
 }
 
-func target(v origin.Version) port.WeightsTarget {
-	return port.WeightsTarget{Model: v.Model, Version: v.Manifest().Version()}
+func target(v origin.Version) port.WantedVersion {
+	return port.WantedVersion{Model: v.Model, Version: v.Manifest().Version()}
 }
 
 // TestVersionChangesMidway guards against a released version that keeps its
@@ -106,9 +106,9 @@
 		Memory: int64(small.Bytes) + 100,
 	})
 	m := c.Agents[0].Manager
-	m.Want([]port.WeightsTarget{c.Target})
+	m.Want([]port.WantedVersion{c.Target})
 	until(t, c.Agents[0], "fetching", func(p port.Progress) bool { return p.ChunksHave > 2 })
-	m.Want([]port.WeightsTarget{target(next), c.Target})
+	m.Want([]port.WantedVersion{target(next), c.Target})
 	until(t, c.Agents[0], "limited", func(p port.Progress) bool {
 		_, _, ok := m.Open(target(next).Version)
 		return ok && p.Target == c.Target.Version && strings.HasPrefix(p.Reason, "memory limit")
@@ -178,20 +178,20 @@
 // receiver, use three quarters of it, the spread gets the rest.
 func TestLiveTrafficFirst(t *testing.T) {
 	t.Run("answers", func(t *testing.T) {
-		liveFirst(t, func(c *cluster.Cluster, n int) { c.Agents[0].Manager.ChargeLive(0, n) })
+		liveFirst(t, func(c *cluster.Cluster, n int) { c.Agents[0].Manager.ChargeLiveTraffic(0, n) })
 	})
 	t.Run("bodies", func(t *testing.T) {
-		liveFirst(t, func(c *cluster.Cluster, n int) { c.Agents[1].Manager.ChargeLive(n, 0) })
+		liveFirst(t, func(c *cluster.Cluster, n int) { c.Agents[1].Manager.ChargeLiveTraffic(n, 0) })
 	})
 }
 
 func liveFirst(t *testing.T, charge func(c *cluster.Cluster, n int)) {
 	const rate = 2 << 20
 	c := start(t, cluster.Config{Machines: 2, Regions: 1, Version: small, MachineRate: rate})
-	c.Agents[0].Manager.Want([]port.WeightsTarget{c.Target})
+	c.Agents[0].Manager.Want([]port.WantedVersion{c.Target})
 	until(t, c.Agents[0], "complete", func(p port.Progress) bool { return p.ChunksHave == p.Chunks && p.Chunks > 0 })
 	begin := time.Now()
-	c.Agents[1].Manager.Want([]port.WeightsTarget{c.Target})
+	c.Agents[1].Manager.Want([]port.WantedVersion{c.Target})
 	for {
 		if _, _, ok := c.Agents[1].Manager.Open(c.Target.Version); ok {
 			break
--- a/internal/app/weights/memory.go
+++ b/internal/app/weights/memory.go
@@ -55,7 +55,7 @@
 // split returns the wanted versions that are more and less important than v.
 func (m *Manager) split(v *version) (better, worse []*version) {
 	ts := m.targets()
-	at := slices.IndexFunc(ts, func(t port.WeightsTarget) bool { return t.Version == v.id })
+	at := slices.IndexFunc(ts, func(t port.WantedVersion) bool { return t.Version == v.id })
 	for i, t := range ts {
 		o, ok := m.versions.Get(t.Version)
 		switch {
--- a/internal/app/weights/version.go
+++ b/internal/app/weights/version.go
@@ -69,7 +69,7 @@
 	taken    int64 // bytes taken from the memory budget
 }
 
-func newVersion(ctx context.Context, m *Manager, t port.WeightsTarget) *version {
+func newVersion(ctx context.Context, m *Manager, t port.WantedVersion) *version {
 	v := &version{
 		m:        m,
 		id:       t.Version,
--- a/internal/port/directory.go
+++ b/internal/port/directory.go
@@ -19,7 +19,7 @@
 	// declaration or of the members. Several changes may arrive as one. The
 	// function ends the subscription.
 	Subscribe() (<-chan struct{}, func())
-	// SetSelf changes the record of this process. It is announced with the
+	// UpdateSelf changes the record of this process. It is announced with the
 	// next exchange; a change of State is announced at once.
-	SetSelf(change func(*MemberRecord))
+	UpdateSelf(change func(*MemberRecord))
 }
--- a/internal/port/forward.go
+++ b/internal/port/forward.go
@@ -13,8 +13,8 @@
 // end.
 type Header map[string][]string
 
-// Inbound is a caller's request as it came.
-type Inbound struct {
+// InboundRequest is a caller's request as it came.
+type InboundRequest struct {
 	ID     fleet.RequestID
 	Method string
 	Host   string
@@ -23,19 +23,19 @@
 	URI, Path string
 	Header    Header
 	Body      []byte
-	// Key is the caller's credential. It is in no other field.
-	Key string
-	// Received is the time at which the request's header was read.
-	Received time.Time
-	// Patience is the time that the caller waits, or zero if it does not say.
-	Patience time.Duration
+	// APIKey is the caller's credential. It is in no other field.
+	APIKey string
+	// ReceivedAt is the time at which the request's header was read.
+	ReceivedAt time.Time
+	// CallerTimeout is the time that the caller waits, or zero if it does not say.
+	CallerTimeout time.Duration
 	// ResumeAfter is the id of the last event that the caller has, or empty.
-	ResumeAfter string
-	Work        Work
+	ResumeAfter  string
+	WorkEstimate WorkEstimate
 }
 
-// Work is what a request tells of the work that it makes.
-type Work struct {
+// WorkEstimate is what a request tells of the work that it makes.
+type WorkEstimate struct {
 	Model fleet.Model
 	// PromptTokens and MaxTokens are the tokens to read, and the most to write.
 	PromptTokens, MaxTokens int
@@ -43,8 +43,8 @@
 	ExpectedTokens int
 }
 
-// OutboundHead precedes the data of an answer to a caller.
-type OutboundHead struct {
+// ResponseHead precedes the data of an answer to a caller.
+type ResponseHead struct {
 	Status int
 	Header Header
 	// Length is the number of bytes of the answer, or -1 if it is not known.
@@ -53,10 +53,10 @@
 	Stream bool
 }
 
-// Outbound takes the answer to a caller. Exactly one of Head and Refuse is
+// ResponseWriter takes the answer to a caller. Exactly one of Head and Refuse is
 // called first. Its methods return an error once the caller has gone.
-type Outbound interface {
-	Head(h OutboundHead) error
+type ResponseWriter interface {
+	Head(h ResponseHead) error
 	Data(b []byte) error
 	// Refuse answers with an error of the product.
 	Refuse(e *verdict.Error)
@@ -67,15 +67,15 @@
 // InboundHandler is implemented by the application that serves callers.
 type InboundHandler interface {
 	// Serve answers a request. ctx ends when the caller has gone.
-	Serve(ctx context.Context, r *Inbound, out Outbound)
+	Serve(ctx context.Context, r *InboundRequest, out ResponseWriter)
 	// Ready reports whether the process takes new connections, and why not.
 	Ready() (bool, string)
-	// Bounds returns the limits of what a caller may send.
-	Bounds() CallerBounds
+	// RequestLimits returns the limits of what a caller may send.
+	RequestLimits() CallerLimits
 }
 
-// CallerBounds bound what a caller may send.
-type CallerBounds struct {
+// CallerLimits bound what a caller may send.
+type CallerLimits struct {
 	HeaderBytes, BodyBytes int
 	// Idle is the time for which an idle connection is kept.
 	Idle time.Duration
@@ -83,12 +83,12 @@
 
 // Forward is a request on its way to a target.
 type Forward struct {
-	In *Inbound
+	Inbound *InboundRequest
 	// Customer is the client account, or empty.
 	Customer fleet.Customer
-	// Expect is the run of the target that the request is meant for. Another one
+	// ExpectInstance is the run of the target that the request is meant for. Another one
 	// refuses it.
-	Expect fleet.Instance
+	ExpectInstance fleet.Instance
 	// Timeout is the time that is left for the request.
 	Timeout time.Duration
 	// Urgency orders the requests that wait in a model engine; 0 goes first.
@@ -99,10 +99,10 @@
 }
 
 // TargetLoad is what a target says of its load.
-type TargetLoad struct{ Running, Waiting, Places int }
+type TargetLoad struct{ Running, Waiting, Slots int }
 
-// ForwardAnswer is a target's answer. Body must be closed.
-type ForwardAnswer struct {
+// ForwardResponse is a target's answer. Body must be closed.
+type ForwardResponse struct {
 	Status int
 	Header Header
 	// Length is the number of bytes of Body, or -1 if it is not known.
@@ -114,31 +114,31 @@
 	Leaving bool
 }
 
-// TargetRefusal says why a target did not run a request.
-type TargetRefusal uint8
+// RefusalReason says why a target did not run a request.
+type RefusalReason uint8
 
 // The reasons of a refusal.
 const (
-	// RefusedBusy means that the target is full or leaving.
-	RefusedBusy TargetRefusal = iota
-	// RefusedInstance means that another run of a target has the address.
-	RefusedInstance
-	// RefusedUnreached means that nothing was sent.
-	RefusedUnreached
+	// RefusalBusy means that the target is full or leaving.
+	RefusalBusy RefusalReason = iota
+	// RefusalWrongInstance means that another run of a target has the address.
+	RefusalWrongInstance
+	// RefusalUnreachable means that nothing was sent.
+	RefusalUnreachable
 )
 
 // RefusedError is the cause of a refusal by a target. Nothing of the request ran.
 type RefusedError struct {
-	Reason TargetRefusal
+	Reason RefusalReason
 	Load   *TargetLoad
 }
 
 // Error implements error.
 func (e *RefusedError) Error() string {
 	switch e.Reason {
-	case RefusedInstance:
+	case RefusalWrongInstance:
 		return "another target has the address"
-	case RefusedUnreached:
+	case RefusalUnreachable:
 		return "target could not be reached"
 	default:
 		return "target refused the request"
@@ -150,5 +150,5 @@
 	// Forward sends a request once and returns the head of its answer. An error
 	// carries a verdict; one that is NotRun has a *RefusedError in its chain.
 	// The end of ctx closes the connection.
-	Forward(ctx context.Context, to fleet.Address, f Forward) (*ForwardAnswer, error)
+	Forward(ctx context.Context, to fleet.Address, f Forward) (*ForwardResponse, error)
 }
--- a/internal/port/ledger.go
+++ b/internal/port/ledger.go
@@ -14,9 +14,9 @@
 	Key string
 }
 
-// CallContent identifies what a call asks for: a digest of its name, content type
+// ContentDigest identifies what a call asks for: a digest of its name, content type
 // and body. A key stands for one content.
-type CallContent [16]byte
+type ContentDigest [16]byte
 
 // StoredAnswer is an answer kept for repeats of a call.
 type StoredAnswer struct {
@@ -24,8 +24,8 @@
 	Body []byte
 }
 
-// LedgerTicket allows one run of a call. Exactly one of its methods is called.
-type LedgerTicket interface {
+// LedgerClaim allows one run of a call. Exactly one of its methods is called.
+type LedgerClaim interface {
 	// Done records that the call ran. The answer may be nil if it is not kept.
 	Done(a *StoredAnswer)
 	// Unknown records that the call may have run.
@@ -40,5 +40,5 @@
 	// Begin returns a ticket if the caller may run the call now, or the stored
 	// answer if the call ran before, or an error with a verdict. The stored answer
 	// of another content is never returned.
-	Begin(ctx context.Context, k LedgerKey, content CallContent) (LedgerTicket, *StoredAnswer, error)
+	Begin(ctx context.Context, k LedgerKey, content ContentDigest) (LedgerClaim, *StoredAnswer, error)
 }
--- a/internal/port/porttest/directory.go
+++ b/internal/port/porttest/directory.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// SetSelf implements port.Directory.
-func (d *Directory) SetSelf(change func(*port.MemberRecord)) {
+// UpdateSelf implements port.Directory.
+func (d *Directory) UpdateSelf(change func(*port.MemberRecord)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change(&d.self)
--- a/internal/port/porttest/engine.go
+++ b/internal/port/porttest/engine.go
@@ -135,7 +135,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.status.ChecksIdentity && r.Expect != (fleet.EngineIdentity{}) && r.Expect != e.status.EngineIdentity {
-		changed := &port.EngineChanged{Now: e.status.EngineIdentity}
+		changed := &port.EngineChangedError{Now: e.status.EngineIdentity}
 		return nil, verdict.Wrap(changed, verdict.NotRun, verdict.CodeTargetWarming, "engine refused")
 	}
 	if !slices.Contains(e.status.Loaded, r.Version) {
--- a/internal/port/porttest/ledger.go
+++ b/internal/port/porttest/ledger.go
@@ -22,7 +22,7 @@
 type ledgerRecord struct {
 	state   LedgerState
 	answer  *port.StoredAnswer
-	content port.CallContent
+	content port.ContentDigest
 }
 
 // Ledger is a fake of port.Ledger in memory.
@@ -46,7 +46,7 @@
 }
 
 // Begin implements port.Ledger.
-func (l *Ledger) Begin(_ context.Context, k port.LedgerKey, content port.CallContent) (port.LedgerTicket, *port.StoredAnswer, error) {
+func (l *Ledger) Begin(_ context.Context, k port.LedgerKey, content port.ContentDigest) (port.LedgerClaim, *port.StoredAnswer, error) {
 	if l.Down.Load() {
 		return nil, nil, verdict.New(verdict.NotRun, verdict.CodeLedgerUnavailable, "ledger is down")
 	}
@@ -77,7 +77,7 @@
 type ledgerTicket struct {
 	l       *Ledger
 	k       port.LedgerKey
-	content port.CallContent
+	content port.ContentDigest
 	settled atomic.Bool
 }
 
@@ -88,19 +88,19 @@
 	t.l.Settled.Add(1)
 }
 
-// Done implements port.LedgerTicket.
+// Done implements port.LedgerClaim.
 func (t *ledgerTicket) Done(a *port.StoredAnswer) {
 	t.settle()
 	t.l.records.Put(t.k, ledgerRecord{LedgerDone, a, t.content})
 }
 
-// Unknown implements port.LedgerTicket.
+// Unknown implements port.LedgerClaim.
 func (t *ledgerTicket) Unknown() {
 	t.settle()
 	t.l.records.Put(t.k, ledgerRecord{state: LedgerUnknown})
 }
 
-// NotRun implements port.LedgerTicket.
+// NotRun implements port.LedgerClaim.
 func (t *ledgerTicket) NotRun() {
 	t.settle()
 	t.l.records.Delete(t.k)
--- a/internal/port/porttest/store.go
+++ b/internal/port/porttest/store.go
@@ -15,8 +15,8 @@
 type Store struct {
 	mu      sync.Mutex
 	rev     int64
-	items   map[string]port.Item
-	changes []port.Change
+	items   map[string]port.StoreItem
+	changes []port.StoreChange
 	// oldest is the revision up to which the history is gone.
 	oldest int64
 	down   bool
@@ -33,7 +33,7 @@
 // NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{
-		items: map[string]port.Item{}, leases: map[port.LeaseID]bool{}, owned: map[string]port.LeaseID{}, wake: make(chan struct{}),
+		items: map[string]port.StoreItem{}, leases: map[port.LeaseID]bool{}, owned: map[string]port.LeaseID{}, wake: make(chan struct{}),
 	}
 }
 
@@ -59,14 +59,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rev++
-	s.items[key] = port.Item{Key: key, Value: []byte(value), Revision: s.rev}
+	s.items[key] = port.StoreItem{Key: key, Value: []byte(value), Revision: s.rev}
 }
 
 // Put writes a key.
 func (s *Store) Put(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.put(port.Write{Key: key, Value: []byte(value)})
+	s.put(port.StoreWrite{Key: key, Value: []byte(value)})
 }
 
 // Get returns the value of a key.
@@ -93,12 +93,12 @@
 	}
 }
 
-func (s *Store) put(w port.Write) {
+func (s *Store) put(w port.StoreWrite) {
 	s.rev++
-	it := port.Item{Key: w.Key, Value: w.Value, Revision: s.rev}
+	it := port.StoreItem{Key: w.Key, Value: w.Value, Revision: s.rev}
 	s.items[w.Key] = it
 	s.owned[w.Key] = w.Lease
-	s.changes = append(s.changes, port.Change{Item: it})
+	s.changes = append(s.changes, port.StoreChange{StoreItem: it})
 	s.signal()
 }
 
@@ -111,7 +111,7 @@
 		s.rev++
 		delete(s.items, k)
 		delete(s.owned, k)
-		s.changes = append(s.changes, port.Change{Item: port.Item{Key: k, Revision: s.rev}, Removed: true})
+		s.changes = append(s.changes, port.StoreChange{StoreItem: port.StoreItem{Key: k, Revision: s.rev}, Removed: true})
 	}
 	s.signal()
 }
@@ -123,14 +123,14 @@
 }
 
 // List implements port.Store.
-func (s *Store) List(_ context.Context, prefix string) ([]port.Item, int64, error) {
+func (s *Store) List(_ context.Context, prefix string) ([]port.StoreItem, int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lists++
 	if s.down {
 		return nil, 0, port.ErrUnavailable
 	}
-	var out []port.Item
+	var out []port.StoreItem
 	for k, it := range s.items {
 		if strings.HasPrefix(k, prefix) {
 			out = append(out, it)
@@ -140,7 +140,7 @@
 }
 
 // Changes implements port.Store.
-func (s *Store) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]port.Change, int64, error) {
+func (s *Store) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]port.StoreChange, int64, error) {
 	late := time.After(wait)
 	for {
 		out, at, wake, err := s.since(prefix, after)
@@ -157,7 +157,7 @@
 	}
 }
 
-func (s *Store) since(prefix string, after int64) ([]port.Change, int64, <-chan struct{}, error) {
+func (s *Store) since(prefix string, after int64) ([]port.StoreChange, int64, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -166,7 +166,7 @@
 	case after < s.oldest:
 		return nil, after, nil, port.ErrHistoryGone
 	}
-	var out []port.Change
+	var out []port.StoreChange
 	for _, c := range s.changes {
 		if c.Revision > after && strings.HasPrefix(c.Key, prefix) {
 			out = append(out, c)
@@ -176,7 +176,7 @@
 }
 
 // Commit implements port.Store.
-func (s *Store) Commit(_ context.Context, expect []port.Expectation, writes []port.Write) error {
+func (s *Store) Commit(_ context.Context, expect []port.Precondition, writes []port.StoreWrite) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
--- a/internal/port/porttest/waits.go
+++ b/internal/port/porttest/waits.go
@@ -16,7 +16,7 @@
 }
 
 // Changes implements port.Store.
-func (w *Waits) Changes(_ context.Context, _ string, after int64, wait time.Duration) ([]port.Change, int64, error) {
+func (w *Waits) Changes(_ context.Context, _ string, after int64, wait time.Duration) ([]port.StoreChange, int64, error) {
 	w.Last = wait
 	return nil, after, nil
 }
--- a/internal/port/porttest/weights.go
+++ b/internal/port/porttest/weights.go
@@ -15,7 +15,7 @@
 // for it, whether it is wanted or not.
 type Weights struct {
 	held    *shard.Map[fleet.Version, []byte]
-	wanted  *shard.Map[string, []port.WeightsTarget]
+	wanted  *shard.Map[string, []port.WantedVersion]
 	changed chan struct{}
 	// Live and LiveIn count the bytes charged for live traffic out and in.
 	Live, LiveIn atomic.Int64
@@ -27,7 +27,7 @@
 func NewWeights() *Weights {
 	return &Weights{
 		held:    shard.New[fleet.Version, []byte](0),
-		wanted:  shard.New[string, []port.WeightsTarget](1),
+		wanted:  shard.New[string, []port.WantedVersion](1),
 		changed: make(chan struct{}, 1),
 	}
 }
@@ -54,13 +54,13 @@
 }
 
 // Wanted returns the last set given to Want.
-func (w *Weights) Wanted() []port.WeightsTarget {
+func (w *Weights) Wanted() []port.WantedVersion {
 	ts, _ := w.wanted.Get(wantedKey)
 	return ts
 }
 
 // Want implements port.Weights.
-func (w *Weights) Want(ts []port.WeightsTarget) { w.wanted.Put(wantedKey, ts) }
+func (w *Weights) Want(ts []port.WantedVersion) { w.wanted.Put(wantedKey, ts) }
 
 // Open implements port.Weights.
 func (w *Weights) Open(v fleet.Version) (io.Reader, int64, bool) {
@@ -84,8 +84,8 @@
 // Changed implements port.Weights.
 func (w *Weights) Changed() <-chan struct{} { return w.changed }
 
-// ChargeLive implements port.Weights.
-func (w *Weights) ChargeLive(in, out int) {
+// ChargeLiveTraffic implements port.Weights.
+func (w *Weights) ChargeLiveTraffic(in, out int) {
 	w.LiveIn.Add(int64(in))
 	w.Live.Add(int64(out))
 }
--- a/internal/port/process.go
+++ b/internal/port/process.go
@@ -224,8 +224,8 @@
 	Want    []string
 }
 
-// Document is the stored form of a declaration.
-type Document struct {
+// StoredDeclaration is the stored form of a declaration.
+type StoredDeclaration struct {
 	Revision uint64
 	Stored   []byte
 	Age      time.Duration
@@ -236,7 +236,7 @@
 	// Exchange sends what this process knows and returns what the other one does.
 	Exchange(ctx context.Context, addr fleet.Address, m ExchangeMessage) (ExchangeMessage, error)
 	// Declaration returns the newest declaration that the other process holds.
-	Declaration(ctx context.Context, addr fleet.Address) (Document, error)
+	Declaration(ctx context.Context, addr fleet.Address) (StoredDeclaration, error)
 	// Members returns the other process's whole member table.
 	Members(ctx context.Context, addr fleet.Address) (ExchangeMessage, error)
 }
@@ -246,7 +246,7 @@
 	// Exchange takes in what another process knows and returns what this one does.
 	Exchange(ctx context.Context, m ExchangeMessage) (ExchangeMessage, error)
 	// Declaration returns the newest declaration held.
-	Declaration(ctx context.Context) (Document, error)
+	Declaration(ctx context.Context) (StoredDeclaration, error)
 	// Members returns the whole member table.
 	Members(ctx context.Context) (ExchangeMessage, error)
 }
--- a/internal/port/stage.go
+++ b/internal/port/stage.go
@@ -19,20 +19,20 @@
 	// Started identifies the start of the engine, in Unix milliseconds.
 	Started int64
 	// Held lists the weights of which the engine holds every layer.
-	Held []HeldWeights
+	Held []ModelWeights
 	// Busy means that an order is in progress.
 	Busy bool
-	// Orders counts the orders that the engine has begun.
-	Orders           int64
+	// OrderCount counts the orders that the engine has begun.
+	OrderCount       int64
 	Running, Waiting int
 }
 
-// StartOrder tells an engine to load the staged weights.
-type StartOrder struct {
-	HeldWeights
-	// ExpectOrders is the count of orders for which the order is meant. Another
+// StagedLoadOrder tells an engine to load the staged weights.
+type StagedLoadOrder struct {
+	ModelWeights
+	// ExpectOrderCount is the count of orders for which the order is meant. Another
 	// count means that the engine's state has changed.
-	ExpectOrders int64
+	ExpectOrderCount int64
 	// Fence is the fencing token, or zero for none.
 	Fence int64
 }
@@ -42,23 +42,23 @@
 type StagedEngine interface {
 	// Report returns what the engine says of itself.
 	Report(ctx context.Context) (EngineReport, error)
-	// Staged returns the indexes of the chunks of a model in the area.
-	Staged(ctx context.Context, m fleet.Model) ([]int, error)
+	// StagedChunks returns the indexes of the chunks of a model in the area.
+	StagedChunks(ctx context.Context, m fleet.Model) ([]int, error)
 	// ReadChunk returns a chunk from the area. It may have been spoilt there.
 	ReadChunk(ctx context.Context, m fleet.Model, i int) ([]byte, error)
 	// WriteChunk puts a chunk into the area.
 	WriteChunk(ctx context.Context, m fleet.Model, i int, data []byte) error
-	// Start orders the engine to load what lies in the area, after the requests
+	// LoadStaged orders the engine to load what lies in the area, after the requests
 	// in progress. It returns ErrOrderRefused if the engine did not accept the
 	// order; after other errors it may have.
-	Start(ctx context.Context, o StartOrder) error
+	LoadStaged(ctx context.Context, o StagedLoadOrder) error
 }
 
 // NumberedOrigin is an origin whose versions operators number.
 type NumberedOrigin interface {
 	// Manifest returns the manifest of a version. It may have been spoilt on the
 	// way. It returns ErrVersionUnknown for one that the origin no longer has.
-	Manifest(ctx context.Context, w HeldWeights) (manifest.Manifest, error)
+	Manifest(ctx context.Context, w ModelWeights) (manifest.Manifest, error)
 	// Chunk streams a chunk. The bytes are not verified.
-	Chunk(ctx context.Context, w HeldWeights, i int) (io.ReadCloser, error)
+	Chunk(ctx context.Context, w ModelWeights, i int) (io.ReadCloser, error)
 }
--- a/internal/port/store.go
+++ b/internal/port/store.go
@@ -18,7 +18,7 @@
 // ConflictError says which keys were not as expected. It matches ErrConflict.
 type ConflictError struct {
 	// Current holds the items that exist of all keys that were expected.
-	Current []Item
+	Current []StoreItem
 }
 
 // Error implements error.
@@ -27,29 +27,29 @@
 // Unwrap returns ErrConflict.
 func (*ConflictError) Unwrap() error { return ErrConflict }
 
-// Item is a key of the platform's store.
-type Item struct {
+// StoreItem is a key of the platform's store.
+type StoreItem struct {
 	Key   string
 	Value []byte
 	// Revision is the store's revision of the last write of the key.
 	Revision int64
 }
 
-// Change is one change of a key. Removed keys have no value.
-type Change struct {
-	Item
+// StoreChange is one change of a key. Removed keys have no value.
+type StoreChange struct {
+	StoreItem
 	Removed bool
 }
 
-// Expectation is a condition of a write: the key is at the revision, or absent
+// Precondition is a condition of a write: the key is at the revision, or absent
 // if the revision is 0.
-type Expectation struct {
+type Precondition struct {
 	Key      string
 	Revision int64
 }
 
-// Write sets a key. The key disappears with the lease, if one is given.
-type Write struct {
+// StoreWrite sets a key. The key disappears with the lease, if one is given.
+type StoreWrite struct {
 	Key   string
 	Value []byte
 	Lease LeaseID
@@ -61,13 +61,13 @@
 	// List returns all items under a prefix and the revision from which changes
 	// have to be read. The items are not a snapshot: a change up to then may be
 	// seen again.
-	List(ctx context.Context, prefix string) (items []Item, at int64, err error)
+	List(ctx context.Context, prefix string) (items []StoreItem, at int64, err error)
 	// Changes waits for changes after a revision. It returns none if wait
 	// passes without one. at is the revision to go on from.
-	Changes(ctx context.Context, prefix string, after int64, wait time.Duration) (changes []Change, at int64, err error)
+	Changes(ctx context.Context, prefix string, after int64, wait time.Duration) (changes []StoreChange, at int64, err error)
 	// Commit makes all writes if all expectations hold, and none otherwise, with
 	// ErrConflict; a ConflictError also holds the current items. Without writes it only checks the expectations.
-	Commit(ctx context.Context, expect []Expectation, writes []Write) error
+	Commit(ctx context.Context, expect []Precondition, writes []StoreWrite) error
 	// Grant creates a lease.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
 	// KeepAlive extends a lease to its full time. It returns ErrNotFound for a
@@ -122,33 +122,33 @@
 	Members string
 }
 
-// Fact is what an item of the store says. It is one of the types below.
-type Fact interface{ fact() }
+// DecodedItem is what an item of the store says. It is one of the types below.
+type DecodedItem interface{ decodedItem() }
 
-// ConfigFact is the operators' configuration.
-type ConfigFact struct{ Config routes.Config }
+// ConfigItem is the operators' configuration.
+type ConfigItem struct{ Config routes.Config }
 
-// CordonFact means that a failure domain takes no new work.
-type CordonFact struct{ Domain fleet.Domain }
+// CordonItem means that a failure domain takes no new work.
+type CordonItem struct{ Domain fleet.Domain }
 
-// WeightsFact declares the weights of a model.
-type WeightsFact struct {
+// WeightsItem declares the weights of a model.
+type WeightsItem struct {
 	Model fleet.Model
 	// Number is the operators' number of the version; it rises.
 	Number int64
 }
 
-// TargetFact is the entry of a target.
-type TargetFact struct{ Target TargetRecord }
+// TargetItem is the entry of a target.
+type TargetItem struct{ Target TargetRecord }
 
-// MemberFact is the entry of a process of the product.
-type MemberFact struct{ Member StoredMember }
+// MemberItem is the entry of a process of the product.
+type MemberItem struct{ Member StoredMember }
 
-func (ConfigFact) fact()  {}
-func (CordonFact) fact()  {}
-func (WeightsFact) fact() {}
-func (TargetFact) fact()  {}
-func (MemberFact) fact()  {}
+func (ConfigItem) decodedItem()  {}
+func (CordonItem) decodedItem()  {}
+func (WeightsItem) decodedItem() {}
+func (TargetItem) decodedItem()  {}
+func (MemberItem) decodedItem()  {}
 
 // TargetRecord is what a target says of itself.
 type TargetRecord struct {
@@ -156,18 +156,18 @@
 	Service  fleet.Service
 	Address  fleet.Address
 	Domain   fleet.Domain
-	Places   int
+	Slots    int
 	Draining bool
-	// ColdLeft is the time for which the target still bears little load.
-	ColdLeft time.Duration
+	// WarmUpLeft is the time for which the target still bears little load.
+	WarmUpLeft time.Duration
 	// Held lists the weights that the target can serve.
-	Held []HeldWeights
+	Held []ModelWeights
 	// Started identifies the start of the target, in Unix milliseconds.
 	Started int64
 }
 
-// HeldWeights are the weights of a model that a target holds.
-type HeldWeights struct {
+// ModelWeights are the weights of a model that a target holds.
+type ModelWeights struct {
 	Model  fleet.Model
 	Number int64
 }
@@ -186,13 +186,13 @@
 	Service fleet.Service `json:"service,omitempty"`
 }
 
-// FactReader decodes items of the store.
-type FactReader interface {
+// ItemDecoder decodes items of the store.
+type ItemDecoder interface {
 	// Prefixes returns where the facts are stored.
 	Prefixes() Prefixes
 	// CordonKey returns the key that cordons a failure domain.
 	CordonKey(d fleet.Domain) string
-	// Read returns what an item says, or an error if it can't be read. It
+	// Decode returns what an item says, or an error if it can't be read. It
 	// returns nil for a key that says nothing of interest.
-	Read(it Item) (Fact, error)
+	Decode(it StoreItem) (DecodedItem, error)
 }
--- a/internal/port/target.go
+++ b/internal/port/target.go
@@ -67,15 +67,15 @@
 	Expect fleet.EngineIdentity
 }
 
-// EngineChanged is the cause of a refusal by an engine that is not the one that
+// EngineChangedError is the cause of a refusal by an engine that is not the one that
 // the request expects. Nothing of the request ran.
-type EngineChanged struct {
+type EngineChangedError struct {
 	// Now is the identity of the engine; zero if it does not say.
 	Now fleet.EngineIdentity
 }
 
 // Error implements error.
-func (e *EngineChanged) Error() string { return "the engine has restarted or lost its caches" }
+func (e *EngineChangedError) Error() string { return "the engine has restarted or lost its caches" }
 
 // AnswerHead precedes the data of an answer.
 type AnswerHead struct {
--- a/internal/port/weights.go
+++ b/internal/port/weights.go
@@ -12,8 +12,8 @@
 // or a chunk of it.
 var ErrVersionUnknown = errors.New("origin does not have the version")
 
-// WeightsTarget names the version that an agent should hold.
-type WeightsTarget struct {
+// WantedVersion names the version that an agent should hold.
+type WantedVersion struct {
 	Model   fleet.Model
 	Version fleet.Version
 }
@@ -22,7 +22,7 @@
 type Weights interface {
 	// Want replaces the set of versions to hold, in order of importance.
 	// Versions that are no longer wanted are released, complete or not.
-	Want(targets []WeightsTarget)
+	Want(targets []WantedVersion)
 	// Open returns the verified weights of a complete version and their size.
 	// It returns false while the version is not complete.
 	Open(v fleet.Version) (io.Reader, int64, bool)
@@ -32,7 +32,7 @@
 	// Changed returns a channel that receives after a version completed or its
 	// progress changed state. Several changes may arrive as one.
 	Changed() <-chan struct{}
-	// ChargeLive takes the bytes of live traffic in each direction from the
+	// ChargeLiveTraffic takes the bytes of live traffic in each direction from the
 	// link's budget, so that transfers of weights give way. It never waits.
-	ChargeLive(in, out int)
+	ChargeLiveTraffic(in, out int)
 }
--- a/test/bench/spread/cluster/cluster.go
+++ b/test/bench/spread/cluster/cluster.go
@@ -43,7 +43,7 @@
 // Cluster is a running set of machines with their origin.
 type Cluster struct {
 	Config  Config
-	Target  port.WeightsTarget
+	Target  port.WantedVersion
 	Origin  *origin.Server
 	Agents  []*Agent
 	Regions []*RegionLink
@@ -62,7 +62,7 @@
 	c := &Cluster{Config: cfg, regionOf: map[fleet.Address]int{}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	man := cfg.Version.Manifest()
-	c.Target = port.WeightsTarget{Model: man.Model, Version: man.Version()}
+	c.Target = port.WantedVersion{Model: man.Model, Version: man.Version()}
 	c.dir = newDirectory(c.Target)
 	c.Origin = origin.New(cfg.OriginRate, append([]origin.Version{cfg.Version}, cfg.Others...)...)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -117,7 +117,7 @@
 		return err
 	}
 	c.Agents[i] = a
-	a.Manager.Want([]port.WeightsTarget{c.Target})
+	a.Manager.Want([]port.WantedVersion{c.Target})
 	return nil
 }
 
@@ -125,7 +125,7 @@
 func (c *Cluster) Want() {
 	c.start = time.Now()
 	for _, a := range c.Agents {
-		a.Manager.Want([]port.WeightsTarget{c.Target})
+		a.Manager.Want([]port.WantedVersion{c.Target})
 	}
 }
 
--- a/test/bench/spread/cluster/directory.go
+++ b/test/bench/spread/cluster/directory.go
@@ -21,7 +21,7 @@
 	subs    map[chan struct{}]bool
 }
 
-func newDirectory(t port.WeightsTarget) *directory {
+func newDirectory(t port.WantedVersion) *directory {
 	all := declare.Selector{{Key: declare.LabelVM, Op: declare.Exists}}
 	named := declare.Selector{{Key: declare.LabelName, Op: declare.Exists}}
 	return &directory{
@@ -100,8 +100,8 @@
 	}
 }
 
-// SetSelf implements port.Directory.
-func (view) SetSelf(func(*port.MemberRecord)) {}
+// UpdateSelf implements port.Directory.
+func (view) UpdateSelf(func(*port.MemberRecord)) {}
 
 type noMetrics struct{}
 
--- a/test/docs/http_test.go
+++ b/test/docs/http_test.go
@@ -134,7 +134,7 @@
 	out = append(out, core.ErrReused())
 	l := ledger.New(porttest.NewKV(time.Now), sysclock.Clock{}, sysclock.Rand{}, ledger.Options{})
 	l.Kill()
-	_, _, err := l.Begin(t.Context(), port.LedgerKey{Service: "s", Customer: "c", Key: key}, port.CallContent{})
+	_, _, err := l.Begin(t.Context(), port.LedgerKey{Service: "s", Customer: "c", Key: key}, port.ContentDigest{})
 	if err == nil {
 		t.Fatal("a ledger that has stopped accepts a call")
 	}
