--- a/internal/app/gateway/attempt.go
+++ b/internal/app/gateway/attempt.go
@@ -64,7 +64,7 @@
 		}
 		c.lastChoice = choice
 		if c.sends == 0 {
-			c.g.budgets.First(c.service.Name, now)
+			c.g.budgets.RecordRequest(c.service.Name, now)
 		}
 		if c.service.Engine != nil {
 			c.g.notifyGateways(choice.Address, c.in.WorkEstimate.PromptTokens)
@@ -72,7 +72,7 @@
 		c.sends++
 		c.tried[choice.Instance] = true
 		err := c.attempt(ctx, choice)
-		c.g.targets.Done(choice.Instance)
+		c.g.targets.Release(choice.Instance)
 		if err == nil {
 			return
 		}
@@ -101,10 +101,10 @@
 	switch {
 	case ctx.Err() != nil, c.sends >= maxSends:
 		return false
-	case err.Verdict != verdict.NotRun && (!c.route.Repeatable() || c.runs >= c.route.MaxAttempts):
+	case err.Verdict != verdict.NotRun && (!c.route.Retryable() || c.runs >= c.route.MaxAttempts):
 		return false
 	}
-	return c.g.budgets.Repeat(c.service.Name, c.g.view.processes(), c.g.deps.Clock.Now())
+	return c.g.budgets.AllowRetry(c.service.Name, c.g.view.processes(), c.g.deps.Clock.Now())
 }
 
 // fail ends a request that no target served. It delivers the fallback if there is one. It
@@ -170,8 +170,8 @@
 // out: the loaders beside them report their load more often than responses do.
 func (c *call) recordLoad(choice placement.Choice, l *port.TargetLoad) {
 	if c.service.Engine == nil {
-		load := placement.Load{Running: l.Running, Waiting: l.Waiting, Places: l.Slots}
-		c.g.targets.Report(choice.Instance, load, c.g.deps.Clock.Now())
+		load := placement.Load{Running: l.Running, Waiting: l.Waiting, Slots: l.Slots}
+		c.g.targets.RecordLoad(choice.Instance, load, c.g.deps.Clock.Now())
 	}
 }
 
@@ -185,13 +185,13 @@
 	switch {
 	case ctx.Err() != nil:
 	case !errors.As(err, &refused):
-		c.g.targets.Failed(choice.Instance, now)
+		c.g.targets.RecordFailure(choice.Instance, now)
 	case refused.Reason == port.RefusalWrongInstance:
-		c.g.targets.Gone(choice.Instance, now)
+		c.g.targets.RecordAddressLost(choice.Instance, now)
 	case refused.Reason == port.RefusalUnreachable:
-		c.g.targets.Failed(choice.Instance, now)
+		c.g.targets.RecordFailure(choice.Instance, now)
 	default:
-		c.g.targets.Busy(choice.Instance, now)
+		c.g.targets.RecordBusy(choice.Instance, now)
 	}
 	return err.WithRetryAfter(overloadRetryAfter)
 }
@@ -220,7 +220,7 @@
 // deliver sends a complete response to the caller and logs the request. It always returns
 // nil.
 func (c *call) deliver(choice placement.Choice, ans *port.ForwardResponse, body []byte) *verdict.Error {
-	c.g.targets.Served(choice.Instance)
+	c.g.targets.RecordSuccess(choice.Instance)
 	c.relay.headSent, c.relay.status = true, ans.Status
 	h := port.ResponseHead{Status: ans.Status, Header: ans.Header, Length: int64(len(body))}
 	err := c.out.Head(h)
@@ -244,7 +244,7 @@
 	case ctx.Err() != nil:
 		return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeCanceled, "caller left")
 	}
-	c.g.targets.Failed(choice.Instance, c.g.deps.Clock.Now())
+	c.g.targets.RecordFailure(choice.Instance, c.g.deps.Clock.Now())
 	return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeBrokenAnswer, "response ended early")
 }
 
@@ -267,7 +267,7 @@
 			if first && c.relay.events.EventCount() > eventsBefore {
 				first = false
 				now := c.g.deps.Clock.Now()
-				c.g.targets.FirstEvent(choice.Instance, now.Sub(watch.start), choice.First, now)
+				c.g.targets.RecordFirstEvent(choice.Instance, now.Sub(watch.start), choice.TimeToFirstEvent, now)
 			}
 		}
 		if errors.Is(err, io.EOF) && c.relay.events.PartialBytes() == 0 {
@@ -314,7 +314,7 @@
 	if err := c.sendStreamHead(ans); err != nil {
 		return verdict.Wrap(err, verdict.Ran, verdict.CodeCanceled, "caller left")
 	}
-	c.g.targets.Served(choice.Instance)
+	c.g.targets.RecordSuccess(choice.Instance)
 	c.logRequest("served", nil, ans.Status)
 	return nil
 }
--- a/internal/app/gateway/loads.go
+++ b/internal/app/gateway/loads.go
@@ -23,7 +23,7 @@
 // Reported records the load that a target reports. It implements loadcast.Handler.
 func (g *Gateway) Reported(r loadcast.Report) {
 	if id, ok := g.targets.InstanceAt(r.Target); ok {
-		g.targets.Report(id, r.Load, g.deps.Clock.Now())
+		g.targets.RecordLoad(id, r.Load, g.deps.Clock.Now())
 	}
 }
 
@@ -31,7 +31,7 @@
 // loadcast.Handler.
 func (g *Gateway) Notified(n loadcast.Notice) {
 	if id, ok := g.targets.InstanceAt(n.Target); ok {
-		g.targets.Sent(id, g.view.engineTiming.Load().ReadTime(n.PromptTokens), g.deps.Clock.Now())
+		g.targets.RecordRemoteRequest(id, g.view.engineTiming.Load().PrefillTime(n.PromptTokens), g.deps.Clock.Now())
 	}
 }
 
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -69,7 +69,7 @@
 	case c.routeTable == nil:
 		return verdict.New(verdict.NotRun, verdict.CodeNoConfiguration, "no configuration is known").WithRetryAfter(localRetryAfter)
 	}
-	r, ok := c.routeTable.Match(c.in.Host, c.in.Path)
+	r, ok := c.routeTable.MatchRoute(c.in.Host, c.in.Path)
 	if !ok {
 		return verdict.New(verdict.NotRun, verdict.CodeUnknownService, "no route for this host and path")
 	}
@@ -77,7 +77,7 @@
 	if e := c.authenticate(); e != nil {
 		return e
 	}
-	name, ok := r.Pick(requestHash(c.in.ID))
+	name, ok := r.PickService(requestHash(c.in.ID))
 	if ok {
 		c.service, ok = c.routeTable.Service(name)
 	}
@@ -98,7 +98,7 @@
 // authenticate finds the account of the request's API key. It refuses the request if the
 // view was not confirmed for too long, since the key may have been removed.
 func (c *call) authenticate() *verdict.Error {
-	if !c.routeTable.Keyed() || c.route.Anonymous {
+	if !c.routeTable.RequiresKey() || c.route.Anonymous {
 		return nil
 	}
 	if age := c.g.viewAge(); c.g.confirmedAt.Load() == 0 || age > c.g.settings.KeyBound-keyBoundMargin {
@@ -176,19 +176,19 @@
 func (c *call) placementQuery(now time.Time) placement.Query {
 	d := c.g.view.declarations.Load()
 	q := placement.Query{
-		Service: c.service.Name, Own: c.g.settings.Domain,
-		Cordoned: func(x fleet.Domain) bool { return d.cordons[x] },
-		Allowed:  c.regionFilter(), Tried: c.tried,
-		Processes: c.g.view.processes(), ColdPerSecond: c.service.ColdPerSecond,
+		Service: c.service.Name, OwnDomain: c.g.settings.Domain,
+		DomainCordoned: func(x fleet.Domain) bool { return d.cordons[x] },
+		RegionAllowed:  c.regionFilter(), Tried: c.tried,
+		Processes: c.g.view.processes(), ColdRequestsPerSecond: c.service.ColdRequestsPerSecond,
 	}
 	if e := c.service.Engine; e != nil {
-		q.Beyond = engineQueueLimit
-		q.Read, q.Write = e.Pace.ReadTime(c.in.WorkEstimate.PromptTokens), e.Pace.WriteTime()
+		q.MaxQueuedPerTarget = engineQueueLimit
+		q.Prefill, q.Decode = e.Timing.PrefillTime(c.in.WorkEstimate.PromptTokens), e.Timing.DecodeTime()
 		q.NeedsWeights = true
-		q.MinWeights = d.minWeightsVersion(c.in.WorkEstimate.Model, c.g.settings.WeightsBound-weightsMargin, now)
-		q.Fading = d.minWeightsVersion(c.in.WorkEstimate.Model, c.g.settings.WeightsBound-queuedWeightsMargin, now)
+		q.MinWeightsVersion = d.minWeightsVersion(c.in.WorkEstimate.Model, c.g.settings.WeightsBound-weightsMargin, now)
+		q.MinQueueWeightsVersion = d.minWeightsVersion(c.in.WorkEstimate.Model, c.g.settings.WeightsBound-queuedWeightsMargin, now)
 	} else {
-		q.Beyond = serviceQueueLimit
+		q.MaxQueuedPerTarget = serviceQueueLimit
 	}
 	return q
 }
@@ -234,11 +234,11 @@
 	}
 	if c.lastChoice.Instance != "" {
 		fs = append(fs, logging.F("target", string(c.lastChoice.Instance)), logging.F("target_domain", string(c.lastChoice.Domain)),
-			logging.F("target_load", c.lastChoice.Estimate), logging.Millis("predicted_first_ms", c.lastChoice.First), logging.Millis("load_age_ms", c.lastChoice.LoadAge))
+			logging.F("target_load", c.lastChoice.EstimatedInFlight), logging.Millis("predicted_first_ms", c.lastChoice.TimeToFirstEvent), logging.Millis("load_age_ms", c.lastChoice.LoadAge))
 	}
 	if n := c.relay.events.EventCount(); n > 0 {
 		fs = append(fs, logging.F("events", n), logging.Millis("first_ms", c.relay.firstEventAfter),
-			logging.Millis("longest_gap_ms", c.relay.longestGap), logging.Millis("objective_ms", c.route.Objective),
+			logging.Millis("longest_gap_ms", c.relay.longestGap), logging.Millis("objective_ms", c.route.LatencyObjective),
 			logging.F("prompt_tokens", c.in.WorkEstimate.PromptTokens), logging.F("expected_tokens", c.in.WorkEstimate.ExpectedTokens))
 	}
 	if status != 0 {
--- a/internal/app/gateway/stall.go
+++ b/internal/app/gateway/stall.go
@@ -37,10 +37,10 @@
 func (c *call) startStallWatch(ctx context.Context) (context.Context, *stallWatch) {
 	ctx, cancel := context.WithCancel(ctx)
 	s := &stallWatch{start: c.g.deps.Clock.Now(), cancel: cancel}
-	if !c.route.Repeatable() || c.runs+1 >= c.route.MaxAttempts {
+	if !c.route.Retryable() || c.runs+1 >= c.route.MaxAttempts {
 		return ctx, s
 	}
-	s.timeout = max(minStallTimeout, time.Duration(stallObjectiveFactor*float64(c.route.Objective)))
+	s.timeout = max(minStallTimeout, time.Duration(stallObjectiveFactor*float64(c.route.LatencyObjective)))
 	if c.route.Kind == routes.Streaming {
 		s.timeout = streamStallTimeout
 	}
@@ -63,7 +63,7 @@
 	if s.timer == nil {
 		return
 	}
-	if !g.targets.Room(q, g.deps.Clock.Now()) {
+	if !g.targets.HasCapacity(q, g.deps.Clock.Now()) {
 		s.timer.Reset(stallRecheckDelay)
 		return
 	}
--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -35,7 +35,7 @@
 	// readers lists the gateways to ask for changes of the store, in order of preference.
 	readers atomic.Pointer[[]feed.Member]
 	// engineTiming is the configured speed at which engines prefill and decode.
-	engineTiming atomic.Pointer[routes.Pace]
+	engineTiming atomic.Pointer[routes.Timing]
 	// targetsListed is set after the first complete listing of the targets.
 	targetsListed atomic.Bool
 
@@ -68,7 +68,7 @@
 	}
 	v.otherGateways.Store(&[]netip.AddrPort{})
 	v.readers.Store(&[]feed.Member{})
-	v.engineTiming.Store(&routes.Pace{})
+	v.engineTiming.Store(&routes.Timing{})
 	v.gatewayCount.Store(1)
 	v.declarations.Store(&declarations{cordons: map[fleet.Domain]bool{}, weights: map[fleet.Model][]weightsDeclaration{}})
 	return v
@@ -172,7 +172,7 @@
 	t := routes.Compile(c)
 	for i := range t.Services {
 		if e := t.Services[i].Engine; e != nil {
-			v.engineTiming.Store(&e.Pace)
+			v.engineTiming.Store(&e.Timing)
 		}
 	}
 	v.routeTable.Store(t)
@@ -264,19 +264,19 @@
 func (v *view) setTarget(c port.StoreChange, r port.TargetRecord, now time.Time) {
 	t := placement.Target{
 		Instance: r.Instance, Service: r.Service, Address: r.Address, Domain: r.Domain, Region: v.regions[r.Domain],
-		Places: r.Slots, Draining: r.Draining, Started: r.Started,
+		Slots: r.Slots, Draining: r.Draining, Started: r.Started,
 	}
 	if r.WarmUpLeft > 0 {
 		t.ColdUntil = now.Add(r.WarmUpLeft)
 	}
 	for _, h := range r.Held {
-		t.Weights = max(t.Weights, h.Number)
+		t.WeightsVersion = max(t.WeightsVersion, h.Number)
 	}
 	v.instanceByKey[c.Key] = r.Instance
 	v.targets.Set(t)
 	v.log.State("target", logging.F("target", string(t.Instance)), logging.F("service", string(t.Service)),
 		logging.F("address", string(t.Address)), logging.F("domain", string(t.Domain)), logging.F("draining", t.Draining),
-		logging.Millis("cold_ms", r.WarmUpLeft), logging.F("weights", t.Weights), logging.F("revision", c.Revision))
+		logging.Millis("cold_ms", r.WarmUpLeft), logging.F("weights", t.WeightsVersion), logging.F("revision", c.Revision))
 }
 
 // applyMembers updates the gateway count, the notice addresses and the readers from an
