--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -92,7 +92,7 @@
 		id:       id,
 		d:        d,
 		target:   string(id.VM),
-		adm:      admission.NewTable(),
+		adm:      admission.New(),
 		roll:     rollout.NewTable(),
 		views:    shard.New[string, view](1),
 		watchers: shard.New[uint64, chan struct{}](0),
--- a/internal/app/entry/choose.go
+++ b/internal/app/entry/choose.go
@@ -89,7 +89,7 @@
 	size, _ := e.sizes.Get(p.pool)
 	return e.table.Choose(routing.Query{
 		Pool: p.pool, Version: p.version, OlderVersions: p.older, OwnDomain: e.Domain,
-		PrefixHash: r.PrefixHash, Cordoned: d.Cordoned, Tried: tried,
+		Prefix: r.PrefixHash, Cordoned: d.Cordoned, Tried: tried,
 		EntriesPerTarget: size.watchers(), Probe: probe,
 	}, e.Clock.Now(), e.Rand.IntN)
 }
--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -1,9 +1,9 @@
-// Package admission holds the exact count of requests and request bytes in a
-// target and decides whether one more may start there.
+// Package admission keeps an exact count of the requests and request bytes in each
+// target and decides whether another request may start there.
 //
-// The count covers every permit that is not released, whatever happens to the
-// limit in between. A limit that falls below the count stops new work and
-// leaves the requests in progress alone.
+// The count covers every permit that has not been released, even if the limit
+// changes in the meantime. A limit below the count stops new requests but does not
+// affect those in progress.
 package admission
 
 import (
@@ -15,40 +15,46 @@
 	"github.com/masticwing/masticwing/internal/core/verdict"
 )
 
-// retryAfter is what a refused entry is told when a target is full; it is in
-// the order of the time of one short request.
+// retryAfter is the delay suggested to an entry whose request is refused for a
+// temporary reason. It is about the duration of one short request.
 const retryAfter = 100 * time.Millisecond
 
-// Load is the load of a target at one moment.
+// Load is a snapshot of a target's load: requests in progress, their limit, and
+// request bytes.
 type Load struct {
 	InFlight int
 	Limit    int
 	Bytes    int64
 }
 
-// record is the state of one target. The lock of its shard guards it.
-type record struct {
-	limits   declare.Limits
+// targetState is the state of one target. It is guarded by the lock of its shard.
+type targetState struct {
+	limits declare.Limits
+	// limit is the number of concurrent requests that the ramp currently allows.
 	limit    int
 	inFlight int
 	bytes    int64
-	pinned   map[fleet.Version]int
+	// pinned counts the requests in progress by the version that serves them.
+	pinned map[fleet.Version]int
 
-	// epoch rises each time the target becomes cold. A request that started in
-	// an earlier epoch says nothing about the target of the present one.
-	epoch    uint64
-	finished int
-	raisedAt time.Time
+	// epoch is incremented each time the target is reset to its cold limit. The
+	// outcome of a request admitted in an earlier epoch does not affect the ramp.
+	epoch uint64
+	// succeededAtLimit is the number of requests that succeeded since the limit
+	// was last set, at limitSetAt.
+	succeededAtLimit int
+	limitSetAt       time.Time
 
-	// identity is the newest one that the engine stated, if seen. changedAt is
-	// the time at which it replaced another one.
-	identity  fleet.EngineIdentity
-	seen      bool
-	changedAt time.Time
-	// confirmed is the time after which the engine stated identity last.
-	confirmed time.Time
-	// checks means that the engine refuses requests for another identity.
-	checks bool
+	// identity is the newest identity that the engine reported, valid if
+	// identityKnown is set. It replaced another one at identityChangedAt.
+	identity          fleet.EngineIdentity
+	identityKnown     bool
+	identityChangedAt time.Time
+	// confirmedAt is the start of the latest query that the engine answered with
+	// an identity.
+	confirmedAt time.Time
+	// checksIdentity means that the engine refuses requests for another identity.
+	checksIdentity bool
 
 	ready    bool
 	version  fleet.Version
@@ -56,186 +62,191 @@
 	leaving  bool
 }
 
-// Table holds the records of targets by name.
+// Table holds the admission state of targets by name.
 type Table struct {
-	m *shard.Map[string, *record]
+	targets *shard.Map[string, *targetState]
 }
 
-// NewTable returns an empty table.
-func NewTable() *Table { return &Table{m: shard.New[string, *record](0)} }
+// New returns an empty table.
+func New() *Table { return &Table{targets: shard.New[string, *targetState](0)} }
 
-func (t *Table) with(target string, f func(r *record)) {
-	t.m.Update(target, func(r *record, ok bool) (*record, bool) {
+// update calls f with the state of a target, which it creates if needed, under the
+// lock of its shard.
+func (t *Table) update(target string, f func(s *targetState)) {
+	t.targets.Update(target, func(s *targetState, ok bool) (*targetState, bool) {
 		if !ok {
-			r = &record{pinned: map[fleet.Version]int{}}
+			s = &targetState{pinned: map[fleet.Version]int{}}
 		}
-		f(r)
-		return r, true
+		f(s)
+		return s, true
 	})
 }
 
-// Configure sets the declared limits. A target that is not known yet starts
-// cold; a known one keeps its ramp.
+// Configure sets the declared limits. A new target starts at its cold limit; a
+// known one keeps its current limit within the new bounds.
 func (t *Table) Configure(target string, l declare.Limits, now time.Time) {
-	t.with(target, func(r *record) {
-		first := r.limits == (declare.Limits{})
-		r.limits = l
-		if first {
-			r.cool(now)
+	t.update(target, func(s *targetState) {
+		isNew := s.limits == (declare.Limits{})
+		s.limits = l
+		if isNew {
+			s.resetToCold(now)
 		}
-		r.limit = max(r.floor(), min(r.limit, l.MaxRequests))
+		s.limit = max(s.coldLimit(), min(s.limit, l.MaxRequests))
 	})
 }
 
-// SetCordoned refuses new work while on is true.
-func (t *Table) SetCordoned(target string, on bool) {
-	t.with(target, func(r *record) { r.cordoned = on })
+// SetCordoned sets whether new requests are refused because the target is cordoned.
+func (t *Table) SetCordoned(target string, cordoned bool) {
+	t.update(target, func(s *targetState) { s.cordoned = cordoned })
 }
 
-// SetLeaving refuses new work for good.
+// SetLeaving makes the target refuse all further requests, permanently.
 func (t *Table) SetLeaving(target string) {
-	t.with(target, func(r *record) { r.leaving = true })
+	t.update(target, func(s *targetState) { s.leaving = true })
 }
 
-// SetServing states whether the target can answer, and with which version.
-// The version is empty for a plain service. A target that could not answer
-// before counts as just started.
+// SetServing sets whether the target can serve requests, and with which version.
+// The version is empty for a plain service. A target that becomes ready is reset to
+// its cold limit.
 func (t *Table) SetServing(target string, ready bool, v fleet.Version, now time.Time) {
-	t.with(target, func(r *record) {
-		if ready && !r.ready {
-			r.cool(now)
+	t.update(target, func(s *targetState) {
+		if ready && !s.ready {
+			s.resetToCold(now)
 		}
-		r.ready, r.version = ready, v
+		s.ready, s.version = ready, v
 	})
 }
 
-// Observation is what an engine stated of itself.
+// Observation is an identity that an engine reported.
 type Observation struct {
 	fleet.EngineIdentity
 	// ChecksIdentity means that the engine refuses requests for another identity.
 	ChecksIdentity bool
-	// AskedAt is the time before the engine was asked.
+	// AskedAt is the time just before the engine was queried.
 	AskedAt time.Time
 }
 
-// ObserveEngine records the identity that an engine states. It reports
-// whether the target became cold: a new boot identity or a higher load count.
-// Observations may come in another order than the engine made them; one that
-// is known to be older than the identity held has no effect.
+// ObserveEngine records the identity that an engine reported. If it differs from
+// the known one, by a new boot identity or a higher load count, the target is reset
+// to its cold limit and ObserveEngine returns true. Observations may arrive out of
+// order; one that is older than the known identity, or may be, has no effect.
 func (t *Table) ObserveEngine(target string, o Observation, now time.Time) bool {
-	cold := false
-	t.with(target, func(r *record) {
-		if r.outdated(o) {
+	reset := false
+	t.update(target, func(s *targetState) {
+		if s.isOutdated(o) {
 			return
 		}
-		cold = r.seen && r.identity != o.EngineIdentity
-		r.identity, r.seen, r.checks = o.EngineIdentity, true, o.ChecksIdentity
-		if r.confirmed.Before(o.AskedAt) {
-			r.confirmed = o.AskedAt
+		reset = s.identityKnown && s.identity != o.EngineIdentity
+		s.identity, s.identityKnown, s.checksIdentity = o.EngineIdentity, true, o.ChecksIdentity
+		if s.confirmedAt.Before(o.AskedAt) {
+			s.confirmedAt = o.AskedAt
 		}
-		if cold {
-			r.changedAt = now
-			r.cool(now)
+		if reset {
+			s.identityChangedAt = now
+			s.resetToCold(now)
 		}
 	})
-	return cold
+	return reset
 }
 
-// outdated reports whether o shows an identity that the engine had before the
-// one held. Boot identities have no order, so an observation with another one
-// counts as older if it may have been made before the one held was known.
-func (r *record) outdated(o Observation) bool {
+// isOutdated reports whether o counts as older than the known identity. Boot
+// identities have no order, so an observation with another boot identity counts as
+// older if its query began before the known identity was recorded.
+func (s *targetState) isOutdated(o Observation) bool {
 	switch {
-	case !r.seen || o.EngineIdentity == r.identity:
+	case !s.identityKnown || o.EngineIdentity == s.identity:
 		return false
-	case o.BootID == r.identity.BootID:
-		return o.LoadCount < r.identity.LoadCount
+	case o.BootID == s.identity.BootID:
+		return o.LoadCount < s.identity.LoadCount
 	default:
-		return o.AskedAt.Before(r.changedAt)
+		return o.AskedAt.Before(s.identityChangedAt)
 	}
 }
 
-// unconfirmed reports whether the engine has to state its identity again
-// before one more request may start. It need not if it checks the identity
-// itself, or if a cold engine bears the request as well.
-func (r *record) unconfirmed(since time.Time) bool {
-	return r.seen && !r.checks && r.inFlight >= r.floor() && r.confirmed.Before(since)
+// needsConfirmation reports whether the engine must report its identity in a query
+// begun after since before another request may start. This is not needed if the
+// engine checks the identity itself, or if the request stays within the cold limit.
+func (s *targetState) needsConfirmation(since time.Time) bool {
+	return s.identityKnown && !s.checksIdentity && s.inFlight >= s.coldLimit() && s.confirmedAt.Before(since)
 }
 
-// ResetToCold returns the target to its cold limit, for a sign of a restart that no
-// engine reports.
+// ResetToCold returns the target to its cold limit. It is for signs of a restart
+// other than an engine's report.
 func (t *Table) ResetToCold(target string, now time.Time) {
-	t.with(target, func(r *record) { r.cool(now) })
+	t.update(target, func(s *targetState) { s.resetToCold(now) })
 }
 
-// floor is the limit of a cold target.
-func (r *record) floor() int {
-	return min(max(1, r.limits.ColdRequests), r.limits.MaxRequests)
+// coldLimit returns the number of concurrent requests allowed in a cold target.
+func (s *targetState) coldLimit() int {
+	return min(max(1, s.limits.ColdRequests), s.limits.MaxRequests)
 }
 
-// cool returns the target to its cold limit.
-func (r *record) cool(now time.Time) {
-	r.limit = r.floor()
-	r.epoch++
-	r.finished = 0
-	r.raisedAt = now
+// resetToCold returns the target to its cold limit and starts a new epoch.
+func (s *targetState) resetToCold(now time.Time) {
+	s.limit = s.coldLimit()
+	s.epoch++
+	s.succeededAtLimit = 0
+	s.limitSetAt = now
 }
 
-// advance raises the limit if the target has proved the present one.
-func (r *record) advance(now time.Time) {
-	if r.limit >= r.limits.MaxRequests || r.finished < r.limit || now.Sub(r.raisedAt) < r.limits.RampStep {
+// advanceRamp doubles the limit, up to the declared maximum, once a full ramp step
+// has passed and as many requests as the current limit have succeeded.
+func (s *targetState) advanceRamp(now time.Time) {
+	if s.limit >= s.limits.MaxRequests || s.succeededAtLimit < s.limit || now.Sub(s.limitSetAt) < s.limits.RampStep {
 		return
 	}
-	r.limit = min(2*r.limit, r.limits.MaxRequests)
-	r.finished = 0
-	r.raisedAt = now
+	s.limit = min(2*s.limit, s.limits.MaxRequests)
+	s.succeededAtLimit = 0
+	s.limitSetAt = now
 }
 
-// refuse returns the reason why one more request of n bytes may not start.
-func (r *record) refuse(n int64) *verdict.Error {
+// refusalReason returns the reason why another request of n bytes may not start, or
+// nil.
+func (s *targetState) refusalReason(n int64) *verdict.Error {
 	switch {
-	case r.leaving:
+	case s.leaving:
 		return verdict.New(verdict.NotRun, verdict.CodeTargetLeaving, "target is leaving")
-	case r.cordoned:
+	case s.cordoned:
 		return verdict.New(verdict.NotRun, verdict.CodeTargetCordoned, "target is cordoned")
-	case !r.ready:
-		return verdict.New(verdict.NotRun, verdict.CodeVersionNotServing, "target serves no complete version").WithRetryAfter(retryAfter)
-	case r.limits.MaxBytes > 0 && n > r.limits.MaxBytes:
-		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "request has %d bytes, target takes %d", n, r.limits.MaxBytes)
-	case r.inFlight >= r.limit && r.limit < r.limits.MaxRequests:
-		return verdict.New(verdict.NotRun, verdict.CodeTargetWarming, "target is warming up at %d requests", r.limit).WithRetryAfter(retryAfter)
-	case r.inFlight >= r.limit:
-		return verdict.New(verdict.NotRun, verdict.CodeTargetFull, "target holds %d requests", r.inFlight).WithRetryAfter(retryAfter)
-	case r.limits.MaxBytes > 0 && r.bytes+n > r.limits.MaxBytes:
-		return verdict.New(verdict.NotRun, verdict.CodeTargetFull, "target holds %d bytes", r.bytes).WithRetryAfter(retryAfter)
+	case !s.ready:
+		return verdict.New(verdict.NotRun, verdict.CodeVersionNotServing, "target has no completely loaded version").WithRetryAfter(retryAfter)
+	case s.limits.MaxBytes > 0 && n > s.limits.MaxBytes:
+		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "request has %d bytes, target accepts at most %d", n, s.limits.MaxBytes)
+	case s.inFlight >= s.limit && s.limit < s.limits.MaxRequests:
+		return verdict.New(verdict.NotRun, verdict.CodeTargetWarming, "target is warming up and is limited to %d concurrent requests", s.limit).WithRetryAfter(retryAfter)
+	case s.inFlight >= s.limit:
+		return verdict.New(verdict.NotRun, verdict.CodeTargetFull, "target already has %d requests in progress", s.inFlight).WithRetryAfter(retryAfter)
+	case s.limits.MaxBytes > 0 && s.bytes+n > s.limits.MaxBytes:
+		return verdict.New(verdict.NotRun, verdict.CodeTargetFull, "target already has %d request bytes in progress", s.bytes).WithRetryAfter(retryAfter)
 	default:
 		return nil
 	}
 }
 
-// Admit counts a request of n bytes into the target and pins the version that
-// answers it, or returns why it may not start, with verdict not-run.
+// Admit adds a request of n bytes to the count of a target and pins the version
+// that serves it. If the request may not start, it returns the reason, with verdict
+// not-run.
 func (t *Table) Admit(target string, n int64, now time.Time) (*Permit, *verdict.Error) {
 	return t.AdmitSince(target, n, time.Time{}, now)
 }
 
-// AdmitSince is Admit for a request that arrived at the time since. It returns
-// neither a permit nor a refusal if the target's engine has to state its
-// identity first, with a question asked after that time.
+// AdmitSince is like Admit for a request that arrived at the time since. It returns
+// neither a permit nor a refusal if the target's engine must first report its
+// identity in a query begun after that time.
 func (t *Table) AdmitSince(target string, n int64, since, now time.Time) (*Permit, *verdict.Error) {
 	var p *Permit
 	var refusal *verdict.Error
-	t.with(target, func(r *record) {
-		r.advance(now)
-		if refusal = r.refuse(n); refusal != nil || r.unconfirmed(since) {
+	t.update(target, func(s *targetState) {
+		s.advanceRamp(now)
+		if refusal = s.refusalReason(n); refusal != nil || s.needsConfirmation(since) {
 			return
 		}
-		r.inFlight++
-		r.bytes += n
-		r.pinned[r.version]++
-		p = &Permit{table: t, target: target, bytes: n, version: r.version, epoch: r.epoch}
-		if r.checks {
-			p.expect = r.identity
+		s.inFlight++
+		s.bytes += n
+		s.pinned[s.version]++
+		p = &Permit{table: t, target: target, bytes: n, version: s.version, epoch: s.epoch}
+		if s.checksIdentity {
+			p.expectedIdentity = s.identity
 		}
 	})
 	return p, refusal
@@ -244,16 +255,16 @@
 // Load returns the load of a target.
 func (t *Table) Load(target string, now time.Time) Load {
 	var l Load
-	t.with(target, func(r *record) {
-		r.advance(now)
-		l = Load{InFlight: r.inFlight, Limit: r.limit, Bytes: r.bytes}
+	t.update(target, func(s *targetState) {
+		s.advanceRamp(now)
+		l = Load{InFlight: s.inFlight, Limit: s.limit, Bytes: s.bytes}
 	})
 	return l
 }
 
-// PinnedRequests returns the number of requests in progress that are pinned to v.
+// PinnedRequests returns the number of requests in progress that version v serves.
 func (t *Table) PinnedRequests(target string, v fleet.Version) int {
 	n := 0
-	t.with(target, func(r *record) { n = r.pinned[v] })
+	t.update(target, func(s *targetState) { n = s.pinned[v] })
 	return n
 }
--- a/internal/core/admission/identity_test.go
+++ b/internal/core/admission/identity_test.go
@@ -11,11 +11,11 @@
 	"github.com/masticwing/masticwing/internal/core/verdict"
 )
 
-// TestOutdatedObservation guards against a late report of the identity before
-// a restart that replaces the one after it: requests would be admitted for an
-// engine that no longer exists.
+// TestOutdatedObservation guards against a delayed report from before a restart
+// that replaces the identity reported after it. Requests would then be admitted for
+// an engine process that no longer exists.
 func TestOutdatedObservation(t *testing.T) {
-	tb := ready(limits)
+	table := newReadyTable(limits)
 	at := func(s int) time.Time { return t0.Add(time.Duration(s) * time.Second) }
 	for _, c := range []struct {
 		boot  string
@@ -25,31 +25,32 @@
 		cold  bool
 		why   string
 	}{
-		{"b1", 3, 0, 1, false, "the first report is no restart"},
+		{"b1", 3, 0, 1, false, "the first report does not show a restart"},
 		{"b1", 2, 1, 2, false, "a lower load count is older"},
-		{"b1", 4, 0, 3, true, "a higher load count is newer, however late it was asked for"},
-		{"b2", 0, 2, 4, false, "another boot asked for before the last change may be older"},
-		{"b2", 0, 3, 5, true, "another boot asked for after the last change is newer"},
-		{"b1", 9, 4, 6, false, "the boot before"},
+		{"b1", 4, 0, 3, true, "a higher load count is newer, however early its query began"},
+		{"b2", 0, 2, 4, false, "another boot queried before the last change may be older"},
+		{"b2", 0, 3, 5, true, "another boot queried after the last change is newer"},
+		{"b1", 9, 4, 6, false, "the previous boot, queried before the last change"},
 		{"b2", 0, 6, 7, false, "the same identity"},
 	} {
-		if got := tb.ObserveEngine("t", seen(c.boot, c.loads, at(c.asked)), at(c.now)); got != c.cold {
-			t.Errorf("%s: became cold is %v", c.why, got)
+		if got := table.ObserveEngine("t", observation(c.boot, c.loads, at(c.asked)), at(c.now)); got != c.cold {
+			t.Errorf("%s: reset to the cold limit is %v", c.why, got)
 		}
 	}
 }
 
-// TestConfirmation guards against a request beyond the cold limit that starts
-// on an identity stated before it came, and against questions without need.
-func TestConfirmation(t *testing.T) {
-	tb := ready(declare.Limits{MaxRequests: 8, ColdRequests: 2})
+// TestIdentityConfirmation guards against a request above the cold limit that starts
+// on the strength of an identity reported before the request arrived, and against
+// unnecessary queries.
+func TestIdentityConfirmation(t *testing.T) {
+	table := newReadyTable(declare.Limits{MaxRequests: 8, ColdRequests: 2})
 	now := t0
-	tb.ObserveEngine("t", seen("b", 1, now), now)
-	run(t, tb, 6, Succeeded, now) // 2, 4, 8
+	table.ObserveEngine("t", observation("b", 1, now), now)
+	runRequests(t, table, 6, Succeeded, now) // raises the limit from 2 to 4 to 8
 	admit := func(since time.Time, want string) *Permit {
 		t.Helper()
-		p, err := tb.AdmitSince("t", 1, since, now)
-		got := "ask"
+		p, err := table.AdmitSince("t", 1, since, now)
+		got := "query"
 		switch {
 		case p != nil:
 			got = "start"
@@ -64,106 +65,107 @@
 	now = now.Add(time.Second)
 	for range 2 {
 		if p := admit(now, "start"); p.ExpectedIdentity() != (fleet.EngineIdentity{}) {
-			t.Fatal("an engine that does not check the identity is given one")
+			t.Fatal("got an expected identity for an engine that does not check it")
 		}
 	}
-	admit(now, "ask")
-	tb.ObserveEngine("t", seen("b", 1, now.Add(-time.Millisecond)), now)
-	admit(now, "ask")
-	tb.ObserveEngine("t", seen("b", 1, now), now)
+	admit(now, "query")
+	table.ObserveEngine("t", observation("b", 1, now.Add(-time.Millisecond)), now)
+	admit(now, "query")
+	table.ObserveEngine("t", observation("b", 1, now), now)
 	admit(now, "start")
-	tb.ObserveEngine("t", seen("b", 2, now), now)
+	table.ObserveEngine("t", observation("b", 2, now), now)
 	admit(now.Add(time.Second), string(verdict.CodeTargetWarming))
 
-	checks := seen("b", 3, now)
-	checks.ChecksIdentity = true
-	tb = ready(declare.Limits{MaxRequests: 2, ColdRequests: 1})
-	tb.ObserveEngine("t", checks, now)
-	run(t, tb, 1, Succeeded, now)
+	checked := observation("b", 3, now)
+	checked.ChecksIdentity = true
+	table = newReadyTable(declare.Limits{MaxRequests: 2, ColdRequests: 1})
+	table.ObserveEngine("t", checked, now)
+	runRequests(t, table, 1, Succeeded, now)
 	for range 2 {
-		if p := admit(now.Add(time.Hour), "start"); p.ExpectedIdentity() != checks.EngineIdentity {
-			t.Fatalf("the engine is given %+v to check", p.ExpectedIdentity())
+		if p := admit(now.Add(time.Hour), "start"); p.ExpectedIdentity() != checked.EngineIdentity {
+			t.Fatalf("expected identity is %+v", p.ExpectedIdentity())
 		}
 	}
 	admit(now, string(verdict.CodeTargetFull))
 }
 
-// modelEngine fails over what it bears: its cold limit and one more for each
-// request that it finished since it became cold.
-type modelEngine struct {
+// simEngine simulates an engine. It is overloaded above its cold limit plus one
+// request for each that it finished since it last lost its caches.
+type simEngine struct {
 	id               fleet.EngineIdentity
 	inFlight, served int
 }
 
-// modelCall is a request between admission and release.
-type modelCall struct {
-	p    *Permit
-	sent time.Time
+// simCall is a request between admission and release, admitted at sentAt.
+type simCall struct {
+	permit *Permit
+	sentAt time.Time
 }
 
-// model runs admission against an engine. Requests and answers of a checking
-// engine take any time; one that does not check is asked before each request
-// and gets it at once, since the time between is what its check would cover.
-type model struct {
-	tb       *Table
-	l        declare.Limits
-	checks   bool
-	now      time.Time
-	e        modelEngine
-	sent     []modelCall
-	running  []modelCall
-	finished []modelCall
-	reports  []Observation
+// sim simulates admission to an engine. Requests and responses of an engine that
+// checks the identity may be delayed. An engine that does not check it is queried
+// before each request and receives the request without delay, since only the check
+// could cover a change in between.
+type sim struct {
+	table          *Table
+	limits         declare.Limits
+	checksIdentity bool
+	now            time.Time
+	engine         simEngine
+	inTransit      []simCall
+	running        []simCall
+	finished       []simCall
+	reports        []Observation
 }
 
-func (m *model) status() Observation {
-	return Observation{EngineIdentity: m.e.id, ChecksIdentity: m.checks, AskedAt: m.now}
+func (s *sim) status() Observation {
+	return Observation{EngineIdentity: s.engine.id, ChecksIdentity: s.checksIdentity, AskedAt: s.now}
 }
 
-func (m *model) admit(t *rapid.T) {
-	p, refusal := m.tb.AdmitSince("t", 1, m.now, m.now)
+func (s *sim) admit(t *rapid.T) {
+	p, refusal := s.table.AdmitSince("t", 1, s.now, s.now)
 	if p == nil && refusal == nil {
-		m.tb.ObserveEngine("t", m.status(), m.now)
-		if p, refusal = m.tb.AdmitSince("t", 1, m.now, m.now); p == nil && refusal == nil {
-			t.Fatal("asked again after the engine stated its identity")
+		s.table.ObserveEngine("t", s.status(), s.now)
+		if p, refusal = s.table.AdmitSince("t", 1, s.now, s.now); p == nil && refusal == nil {
+			t.Fatal("identity queried again after the engine reported it")
 		}
 	}
 	if p == nil {
 		return
 	}
-	m.sent = append(m.sent, modelCall{p, m.now})
-	if !m.checks {
-		m.arrive(t)
+	s.inTransit = append(s.inTransit, simCall{p, s.now})
+	if !s.checksIdentity {
+		s.arrive(t)
 	}
 }
 
-func (m *model) arrive(t *rapid.T) {
-	c, ok := take(t, &m.sent)
+func (s *sim) arrive(t *rapid.T) {
+	c, ok := removeAny(t, &s.inTransit)
 	if !ok {
 		return
 	}
-	if m.checks && c.p.ExpectedIdentity() != m.e.id {
-		m.tb.ObserveEngine("t", Observation{EngineIdentity: m.e.id, ChecksIdentity: true, AskedAt: c.sent}, m.now)
-		c.p.Release(Unused, m.now)
+	if s.checksIdentity && c.permit.ExpectedIdentity() != s.engine.id {
+		s.table.ObserveEngine("t", Observation{EngineIdentity: s.engine.id, ChecksIdentity: true, AskedAt: c.sentAt}, s.now)
+		c.permit.Release(Unused, s.now)
 		return
 	}
-	if m.e.inFlight >= min(m.l.MaxRequests, m.l.ColdRequests+m.e.served) {
-		t.Fatalf("engine with %d requests is overloaded after it served %d", m.e.inFlight, m.e.served)
+	if s.engine.inFlight >= min(s.limits.MaxRequests, s.limits.ColdRequests+s.engine.served) {
+		t.Fatalf("engine with %d requests in progress is overloaded: it has served %d since its caches were lost", s.engine.inFlight, s.engine.served)
 	}
-	m.e.inFlight++
-	m.running = append(m.running, c)
+	s.engine.inFlight++
+	s.running = append(s.running, c)
 }
 
-func (m *model) finish(t *rapid.T) {
-	if c, ok := take(t, &m.running); ok {
-		m.e.inFlight--
-		m.e.served++
-		m.finished = append(m.finished, c)
+func (s *sim) finish(t *rapid.T) {
+	if c, ok := removeAny(t, &s.running); ok {
+		s.engine.inFlight--
+		s.engine.served++
+		s.finished = append(s.finished, c)
 	}
 }
 
-// take removes any one of a list.
-func take[T any](t *rapid.T, s *[]T) (v T, ok bool) {
+// removeAny removes an arbitrary element of a list and returns it.
+func removeAny[T any](t *rapid.T, s *[]T) (v T, ok bool) {
 	if len(*s) == 0 {
 		return v, false
 	}
@@ -173,38 +175,38 @@
 	return v, true
 }
 
-// TestNeverOverloaded guards against any order of admissions, calls, lost
-// caches and late reports in which an engine gets more than it bears.
+// TestNeverOverloaded guards against any order of admissions, calls, lost caches and
+// delayed reports in which an engine receives more requests than it can take.
 func TestNeverOverloaded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &model{
-			l: declare.Limits{
+		s := &sim{
+			limits: declare.Limits{
 				MaxRequests:  rapid.IntRange(2, 8).Draw(t, "max"),
 				ColdRequests: rapid.IntRange(1, 2).Draw(t, "cold"),
 			},
-			checks: rapid.Bool().Draw(t, "checks"),
-			now:    t0,
-			e:      modelEngine{id: fleet.EngineIdentity{BootID: "b"}},
+			checksIdentity: rapid.Bool().Draw(t, "checks"),
+			now:            t0,
+			engine:         simEngine{id: fleet.EngineIdentity{BootID: "b"}},
 		}
-		m.tb = ready(m.l)
-		m.tb.ObserveEngine("t", m.status(), m.now)
+		s.table = newReadyTable(s.limits)
+		s.table.ObserveEngine("t", s.status(), s.now)
 		t.Repeat(map[string]func(*rapid.T){
-			"admit":  m.admit,
-			"arrive": m.arrive,
-			"finish": m.finish,
+			"admit":  s.admit,
+			"arrive": s.arrive,
+			"finish": s.finish,
 			"release": func(t *rapid.T) {
-				if c, ok := take(t, &m.finished); ok {
-					c.p.Release(Succeeded, m.now)
+				if c, ok := removeAny(t, &s.finished); ok {
+					c.permit.Release(Succeeded, s.now)
 				}
 			},
-			"cold": func(*rapid.T) { m.e.id.LoadCount++; m.e.served = 0 },
-			"ask":  func(*rapid.T) { m.reports = append(m.reports, m.status()) },
+			"cold": func(*rapid.T) { s.engine.id.LoadCount++; s.engine.served = 0 },
+			"ask":  func(*rapid.T) { s.reports = append(s.reports, s.status()) },
 			"report": func(t *rapid.T) {
-				if o, ok := take(t, &m.reports); ok {
-					m.tb.ObserveEngine("t", o, m.now)
+				if o, ok := removeAny(t, &s.reports); ok {
+					s.table.ObserveEngine("t", o, s.now)
 				}
 			},
-			"": func(*rapid.T) { m.now = m.now.Add(time.Millisecond) },
+			"": func(*rapid.T) { s.now = s.now.Add(time.Millisecond) },
 		})
 	})
 }
--- a/internal/core/admission/permit.go
+++ b/internal/core/admission/permit.go
@@ -7,87 +7,90 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// Outcome says what a finished request tells about its target.
+// Outcome is the result of a request as far as it affects the target's ramp.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of requests. Only Succeeded counts towards raising the limit.
 const (
-	// Failed is for an error of the target; it does not raise the limit.
+	// Failed means that the target returned an error.
 	Failed Outcome = iota
-	// Succeeded is for a whole answer.
+	// Succeeded means that the response was complete.
 	Succeeded
-	// Unused is for a permit whose request did not reach the target.
+	// Unused means that the request did not reach the target.
 	Unused
 )
 
-// Permit is the right of one request to be in a target. It is released
-// exactly once; further releases have no effect.
+// Permit allows one request to run in a target. The first Release returns it;
+// further calls have no effect.
 type Permit struct {
-	table    *Table
-	target   string
-	bytes    int64
-	version  fleet.Version
-	epoch    uint64
-	expect   fleet.EngineIdentity
-	released atomic.Bool
+	table            *Table
+	target           string
+	bytes            int64
+	version          fleet.Version
+	epoch            uint64
+	expectedIdentity fleet.EngineIdentity
+	released         atomic.Bool
 }
 
 // Version returns the version pinned when the request was admitted.
 func (p *Permit) Version() fleet.Version { return p.version }
 
-// ExpectedIdentity returns the identity of the engine that the request was admitted for,
-// for the engine to check. It is zero for an engine that does not check it.
-func (p *Permit) ExpectedIdentity() fleet.EngineIdentity { return p.expect }
+// ExpectedIdentity returns the identity of the engine for which the request was
+// admitted. The engine refuses the request if it has another one. It is zero for an
+// engine that does not check it.
+func (p *Permit) ExpectedIdentity() fleet.EngineIdentity { return p.expectedIdentity }
 
-// RecordEngineChange records that the engine refused the request because it has become
-// another one, and did not say which.
+// RecordEngineChange records that the engine refused the request because its
+// identity has changed, without reporting the new one. It reports whether the target
+// was reset to its cold limit, which happens only once per change.
 func (p *Permit) RecordEngineChange(now time.Time) bool {
-	cold := false
-	p.table.with(p.target, func(r *record) {
-		if cold = r.epoch == p.epoch; cold {
-			r.cool(now)
+	reset := false
+	p.table.update(p.target, func(s *targetState) {
+		if reset = s.epoch == p.epoch; reset {
+			s.resetToCold(now)
 		}
 	})
-	return cold
+	return reset
 }
 
-// IsCurrent reports whether the target has not become cold since the request was
-// admitted. A target that has become cold may bear less than is counted in it,
-// so nothing of an older request may be sent to it again.
+// IsCurrent reports whether the target has not been reset to its cold limit since
+// the request was admitted. After a reset the target may be able to take fewer
+// requests than are counted in it, so an older request must not be resent to it.
 func (p *Permit) IsCurrent() bool {
 	current := false
-	p.table.with(p.target, func(r *record) { current = r.epoch == p.epoch })
+	p.table.update(p.target, func(s *targetState) { current = s.epoch == p.epoch })
 	return current
 }
 
-// RecordFirstToken records the time to the first token. It reports whether the
-// target became cold: a slow first token shows that its caches are gone.
+// RecordFirstToken records the time to the first token. If it exceeds the declared
+// bound, the target has lost its caches and is reset to its cold limit.
+// RecordFirstToken reports whether that happened.
 func (p *Permit) RecordFirstToken(d time.Duration, now time.Time) bool {
-	cold := false
-	p.table.with(p.target, func(r *record) {
-		bound := r.limits.ColdFirstToken
-		cold = bound > 0 && d > bound && r.epoch == p.epoch && r.limit > r.floor()
-		if cold {
-			r.cool(now)
+	reset := false
+	p.table.update(p.target, func(s *targetState) {
+		bound := s.limits.ColdFirstToken
+		reset = bound > 0 && d > bound && s.epoch == p.epoch && s.limit > s.coldLimit()
+		if reset {
+			s.resetToCold(now)
 		}
 	})
-	return cold
+	return reset
 }
 
-// Release takes the request out of the target's count.
+// Release removes the request from the count of the target and records its outcome.
 func (p *Permit) Release(o Outcome, now time.Time) {
 	if p.released.Swap(true) {
 		return
 	}
-	p.table.with(p.target, func(r *record) {
-		r.inFlight--
-		r.bytes -= p.bytes
-		if r.pinned[p.version]--; r.pinned[p.version] <= 0 {
-			delete(r.pinned, p.version)
+	p.table.update(p.target, func(s *targetState) {
+		s.inFlight--
+		s.bytes -= p.bytes
+		if s.pinned[p.version]--; s.pinned[p.version] <= 0 {
+			delete(s.pinned, p.version)
 		}
-		if o == Succeeded && p.epoch == r.epoch {
-			r.finished++
+		if o == Succeeded && p.epoch == s.epoch {
+			s.succeededAtLimit++
 		}
-		r.advance(now)
+		s.advanceRamp(now)
 	})
 }
--- a/internal/core/routing/choose.go
+++ b/internal/core/routing/choose.go
@@ -22,8 +22,8 @@
 	OlderVersions map[fleet.Version]bool
 	// OwnDomain is the failure domain of the entry.
 	OwnDomain fleet.Domain
-	// PrefixHash is the hash of the prompt's prefix; zero means no affinity.
-	PrefixHash uint64
+	// Prefix is the hash of the prompt's prefix; zero means no affinity.
+	Prefix uint64
 	// Cordoned says what the declaration takes out of service.
 	Cordoned func(fleet.Domain, fleet.VM) bool
 	// Tried holds the targets that the request already went to.
@@ -103,8 +103,8 @@
 		return Choice{}, NoTarget
 	}
 	tier := bestTier(all)
-	if q.PrefixHash != 0 {
-		if c, ok := affine(tier, q.PrefixHash); ok {
+	if q.Prefix != 0 {
+		if c, ok := affine(tier, q.Prefix); ok {
 			return c.Choice, Chosen
 		}
 	}
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -125,7 +125,7 @@
 			tab.RecordStatus(r, at)
 			ok[r.VM] = good
 		}
-		q := Query{Pool: pool, Version: "v", OwnDomain: "a", Probe: true, Tried: tried, PrefixHash: rapid.Uint64Range(0, 2).Draw(t, "prefix"),
+		q := Query{Pool: pool, Version: "v", OwnDomain: "a", Probe: true, Tried: tried, Prefix: rapid.Uint64Range(0, 2).Draw(t, "prefix"),
 			Cordoned: func(_ fleet.Domain, vm fleet.VM) bool { return cordoned[vm] }}
 		c, out := tab.Choose(q, start, rand.IntN)
 		any := false
@@ -168,7 +168,7 @@
 	for i := range 5 {
 		tab.RecordStatus(usable(fmt.Sprint(i), "a", 2), start)
 	}
-	q := Query{Pool: pool, Version: "v", OwnDomain: "a", PrefixHash: 42}
+	q := Query{Pool: pool, Version: "v", OwnDomain: "a", Prefix: 42}
 	first, _ := tab.Choose(q, start, rand.IntN)
 	for range 20 {
 		if c, _ := tab.Choose(q, start, rand.IntN); c != first {
