--- a/internal/app/chunks/chunks.go
+++ b/internal/app/chunks/chunks.go
@@ -126,7 +126,7 @@
 	f.previous = f.current
 	table := chain.NewTable(len(man.Chunks), f.set.Self, f.deps.Members())
 	if rate := f.deps.OriginRate(); rate > 0 && len(man.Chunks) > 0 {
-		table.SpaceOrigin(time.Duration(man.Chunks[0].Bytes)*time.Second/time.Duration(rate), f.deps.Clock.Now())
+		table.PaceOrigin(time.Duration(man.Chunks[0].Bytes)*time.Second/time.Duration(rate), f.deps.Clock.Now())
 	}
 	f.current = &version{
 		id: id, name: name, man: man, table: table,
@@ -172,7 +172,7 @@
 	if v == nil || v.man.Verify(i, data) != nil {
 		return false
 	}
-	v.table.Hold(i)
+	v.table.MarkHeld(i)
 	v.store(i, data)
 	return true
 }
@@ -206,7 +206,7 @@
 	run := &round{asks: newLimit(asks), transfers: newLimit(transfers), ended: make(chan struct{}, 1)}
 	members := f.deps.Clock.Now()
 	for ctx.Err() == nil {
-		if v.table.Missing() == 0 {
+		if v.table.MissingCount() == 0 {
 			close(v.done)
 			return
 		}
@@ -215,13 +215,13 @@
 			members = now
 			v.table.SetMembers(f.set.Self, f.deps.Members())
 		}
-		job, ok := v.table.Next(chain.Room{Ask: run.asks.free(), Data: run.transfers.free()}, now)
+		job, ok := v.table.Next(chain.Capacity{AnnounceOnly: run.asks.free(), Data: run.transfers.free()}, now)
 		if !ok {
 			f.pause(ctx, v, run)
 			continue
 		}
 		limit := run.transfers
-		if job.Ask {
+		if job.AnnounceOnly {
 			limit = run.asks
 		}
 		limit.take()
@@ -265,7 +265,7 @@
 	data, err := f.receive(ctx, v, job, run.transfers)
 	outcome := chain.Failed
 	switch {
-	case err == nil && job.Ask:
+	case err == nil && job.AnnounceOnly:
 		outcome = chain.Announced
 	case err == nil && v.man.Verify(job.Chunk, data) == nil:
 		outcome = chain.Got
@@ -300,13 +300,13 @@
 	} else {
 		var cancel context.CancelFunc
 		timeout := fetchTimeout
-		if job.Ask {
+		if job.AnnounceOnly {
 			timeout = askTimeout
 		}
 		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 		self := f.set.Self
-		r := port.ChunkRequest{Version: v.id, Index: job.Chunk, From: self.VM, FromRegion: self.Region, AnnounceOnly: job.Ask}
+		r := port.ChunkRequest{Version: v.id, Index: job.Chunk, From: self.VM, FromRegion: self.Region, AnnounceOnly: job.AnnounceOnly}
 		rc, err = f.deps.Peers.FetchChunk(ctx, job.From.Address, r)
 	}
 	if err != nil {
@@ -315,7 +315,7 @@
 	defer func() { _ = rc.Close() }()
 	first := make([]byte, 1)
 	_, err = io.ReadFull(rc, first)
-	if job.Ask && errors.Is(err, io.EOF) {
+	if job.AnnounceOnly && errors.Is(err, io.EOF) {
 		return nil, nil
 	}
 	if err != nil {
@@ -384,7 +384,7 @@
 func (f *Fetcher) Resolve(ctx context.Context, name fleet.Version) (manifest.Manifest, bool) {
 	end := f.deps.Clock.Now().Add(manifestPatience)
 	for ctx.Err() == nil && f.deps.Clock.Now().Before(end) {
-		sources := chain.Before(f.set.Self, f.deps.Members())
+		sources := chain.ManifestSources(f.set.Self, f.deps.Members())
 		waiting := false
 		for _, m := range sources[:min(manifestSources, len(sources))] {
 			man, err := f.ask(ctx, m, name)
--- a/internal/core/chain/chain.go
+++ b/internal/core/chain/chain.go
@@ -1,12 +1,13 @@
-// Package chain decides from whom each member of a small fleet fetches the chunks
-// of a version, so that each chunk leaves the origin once, crosses to each other
-// region once, and every member sends about as much as it receives.
+// Package chain decides from which source each member of a small fleet fetches
+// each chunk of a version, so that each chunk leaves the origin once, enters each
+// other region once, and every member sends about as much as it receives.
 //
-// For each chunk the members of a region form a chain that starts at another
-// member. The first of the chain fetches the chunk from the first of an earlier
-// region, or from the origin if its region comes first; each passes it on to three
-// others. A member that does not work towards the version, or fails, is skipped by
-// those behind it.
+// For each chunk the members of a region are ordered in a chain, whose head
+// differs from chunk to chunk. The head fetches the chunk from the head of an
+// earlier region, or from the origin if its region is the first for this chunk.
+// Within the chain each member passes the chunk on to up to three others. A member
+// that does not fetch the version, or that fails, is skipped by the members after
+// it.
 package chain
 
 import (
@@ -17,14 +18,15 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// Member is a process that holds or fetches the version.
+// Member is a process that may hold or fetch the version.
 type Member struct {
 	VM      fleet.VM
 	Region  fleet.Region
 	Address fleet.Address
 }
 
-// plan is what a member derives from the set of members.
+// plan is the order of sources that self derives from the set of members. All
+// members with the same set derive matching plans.
 type plan struct {
 	self    Member
 	regions []fleet.Region
@@ -47,27 +49,27 @@
 	return p
 }
 
-// at returns the members of a region in the order of chunk c's chain. The heads
-// of the chains lie evenly on the ring for any number of chunks, so that each
-// member passes about as many on.
-func (p *plan) at(r fleet.Region, c int) []Member {
+// chainOrder returns the members of region r in the order of the chain of chunk c.
+// The golden ratio spreads the heads of the chains evenly over the ring for any
+// number of chunks, so that each member passes on about the same number.
+func (p *plan) chainOrder(r fleet.Region, c int) []Member {
 	ring := p.rings[r]
-	_, part := math.Modf(float64(c) * math.Phi)
-	k := int(part * float64(len(ring)))
+	_, frac := math.Modf(float64(c) * math.Phi)
+	k := int(frac * float64(len(ring)))
 	return append(slices.Clone(ring[k:]), ring[:k]...)
 }
 
-// sources returns the members that self asks for chunk c, in order. The origin
-// follows after the last one.
+// sources returns the members that self asks for chunk c, in order. If all of them
+// are skipped, the origin is asked.
 func (p *plan) sources(c int) []Member {
-	ring := p.at(p.self.Region, c)
-	own := slices.IndexFunc(ring, func(m Member) bool { return m.VM == p.self.VM })
-	return append(upstream(ring, own), p.earlier(c)...)
+	ring := p.chainOrder(p.self.Region, c)
+	selfIndex := slices.IndexFunc(ring, func(m Member) bool { return m.VM == p.self.VM })
+	return append(upstream(ring, selfIndex), p.earlierRegions(c)...)
 }
 
-// earlier returns the members of the regions that chunk c comes to before that of
-// self.
-func (p *plan) earlier(c int) []Member {
+// earlierRegions returns the members of the regions that chunk c reaches before
+// the region of self.
+func (p *plan) earlierRegions(c int) []Member {
 	var out []Member
 	k := c % len(p.regions)
 	for i := range p.regions {
@@ -75,55 +77,55 @@
 		if r == p.self.Region {
 			break
 		}
-		out = append(out, p.at(r, c)...)
+		out = append(out, p.chainOrder(r, c)...)
 	}
 	return out
 }
 
-// place returns how much others depend on self for chunk c: 0 for the head of its
-// chain, 1 for a member that passes it on, 2 for one that does not.
-func (p *plan) place(c int) int {
-	ring := p.at(p.self.Region, c)
-	own := slices.IndexFunc(ring, func(m Member) bool { return m.VM == p.self.VM })
+// priority returns how urgently self should fetch chunk c: 0 if self is the head of
+// the chain, 1 if it passes the chunk on to others, 2 if it does not.
+func (p *plan) priority(c int) int {
+	ring := p.chainOrder(p.self.Region, c)
+	selfIndex := slices.IndexFunc(ring, func(m Member) bool { return m.VM == p.self.VM })
 	switch {
-	case own == 0:
+	case selfIndex == 0:
 		return 0
-	case own*fanOut+1 < len(ring):
+	case selfIndex*fanOut+1 < len(ring):
 		return 1
 	default:
 		return 2
 	}
 }
 
-// fanOut is the number of members to which one passes a chunk on. With three, the
-// last of 30 members has a chunk after three steps of three transfers each, and
-// not after 29 transfers by the first.
+// fanOut is the number of members to which one member passes a chunk on. With
+// three, the last of 30 members has a chunk after three steps of three transfers
+// each, instead of after 29 transfers by the head.
 const fanOut = 3
 
-// upstream returns the members of a chain before the one at own: first those on
-// the way from the head of the chain, the nearest first, then the others.
-func upstream(ring []Member, own int) []Member {
+// upstream returns the members of a chain before selfIndex: first the ones on the
+// path from the head, nearest first, then the others.
+func upstream(ring []Member, selfIndex int) []Member {
 	var out []Member
-	on := map[int]bool{}
-	for i := own; i > 0; {
+	onPath := map[int]bool{}
+	for i := selfIndex; i > 0; {
 		i = (i - 1) / fanOut
-		on[i] = true
+		onPath[i] = true
 		out = append(out, ring[i])
 	}
-	for i := range own {
-		if !on[i] {
+	for i := range selfIndex {
+		if !onPath[i] {
 			out = append(out, ring[i])
 		}
 	}
 	return out
 }
 
-// Before returns the members that self asks for what belongs to the version as a
-// whole, such as its manifest, in order. It is small, so that the head of a region
-// gives it to all others.
-func Before(self Member, ms []Member) []Member {
+// ManifestSources returns the members that self asks for the manifest, or other
+// data of the version as a whole, in order. This data is small, so the head of a
+// region sends it to all other members.
+func ManifestSources(self Member, ms []Member) []Member {
 	p := newPlan(self, ms)
-	ring := p.at(self.Region, 0)
-	own := slices.IndexFunc(ring, func(m Member) bool { return m.VM == self.VM })
-	return append(slices.Clone(ring[:own]), p.earlier(0)...)
+	ring := p.chainOrder(self.Region, 0)
+	selfIndex := slices.IndexFunc(ring, func(m Member) bool { return m.VM == self.VM })
+	return append(slices.Clone(ring[:selfIndex]), p.earlierRegions(0)...)
 }
--- a/internal/core/chain/chain_test.go
+++ b/internal/core/chain/chain_test.go
@@ -9,8 +9,8 @@
 )
 
 var (
-	start = time.Unix(1000, 0)
-	both  = Room{Ask: true, Data: true}
+	start        = time.Unix(1000, 0)
+	fullCapacity = Capacity{AnnounceOnly: true, Data: true}
 )
 
 // members returns n members in each region.
@@ -25,12 +25,12 @@
 }
 
 // TestEachChunkLeavesTheOriginOnce guards against several members that fetch the
-// same chunk from the origin, and against a region into which a chunk comes more
-// than once.
+// same chunk from the origin, and against a chunk that enters a region more than
+// once.
 func TestEachChunkLeavesTheOriginOnce(t *testing.T) {
 	const chunks = 64
 	ms := members(3, 8)
-	origin, crossings, sent := map[int]int{}, map[string]int{}, map[fleet.VM]int{}
+	origin, regionEntries, sent := map[int]int{}, map[string]int{}, map[fleet.VM]int{}
 	for _, self := range ms {
 		p := newPlan(self, ms)
 		for c := range chunks {
@@ -41,7 +41,7 @@
 			}
 			sent[src[0].VM]++
 			if src[0].Region != self.Region {
-				crossings[fmt.Sprint(self.Region, c)]++
+				regionEntries[fmt.Sprint(self.Region, c)]++
 			}
 		}
 	}
@@ -50,7 +50,7 @@
 			t.Errorf("chunk %d leaves the origin %d times", c, origin[c])
 		}
 	}
-	for k, n := range crossings {
+	for k, n := range regionEntries {
 		if n != 1 {
 			t.Errorf("chunk %s enters a region %d times", k, n)
 		}
@@ -62,30 +62,31 @@
 	}
 }
 
-// play lets all members fetch in rounds until nothing is missing. A member that
-// works answers with a chunk that it holds, and with Pending otherwise.
-func play(t *testing.T, ms []Member, works map[fleet.VM]bool, chunks, rounds int) (fromOrigin int) {
+// fetchAll lets the active members fetch in rounds until no chunk is missing, and
+// returns the number of fetches from the origin. An active member answers a request
+// with the chunk if it holds it and with Pending otherwise; others answer Idle.
+func fetchAll(t *testing.T, ms []Member, active map[fleet.VM]bool, chunks, rounds int) (fromOrigin int) {
 	t.Helper()
 	tables := map[fleet.VM]*Table{}
 	for _, m := range ms {
-		if works[m.VM] {
+		if active[m.VM] {
 			tables[m.VM] = NewTable(chunks, m, ms)
 		}
 	}
 	now := start
 	for range rounds {
-		left := 0
+		missing := 0
 		for _, tab := range tables {
-			f, ok := tab.Next(both, now)
+			f, ok := tab.Next(fullCapacity, now)
 			if ok && f.Origin {
 				fromOrigin++
 				tab.Done(f, Got, now)
 			} else if ok {
-				tab.Done(f, answer(tables[f.From.VM], f), now)
+				tab.Done(f, respond(tables[f.From.VM], f), now)
 			}
-			left += tab.Missing()
+			missing += tab.MissingCount()
 		}
-		if left == 0 {
+		if missing == 0 {
 			return fromOrigin
 		}
 		now = now.Add(20 * time.Millisecond)
@@ -94,11 +95,11 @@
 	return 0
 }
 
-func answer(source *Table, f Fetch) Outcome {
+func respond(source *Table, f Fetch) Outcome {
 	switch {
 	case source == nil:
 		return Idle
-	case source.chunks[f.Chunk].held && f.Ask:
+	case source.chunks[f.Chunk].held && f.AnnounceOnly:
 		return Announced
 	case source.chunks[f.Chunk].held:
 		return Got
@@ -107,27 +108,27 @@
 	}
 }
 
-// TestIdleMembersAreSkipped guards against members that wait for ones that do
-// not fetch the version, as when engines are added to others that hold it.
+// TestIdleMembersAreSkipped guards against members that wait for members which do
+// not fetch the version, as when engines are added to a fleet that holds it.
 func TestIdleMembersAreSkipped(t *testing.T) {
 	ms := members(3, 8)
-	works := map[fleet.VM]bool{}
+	active := map[fleet.VM]bool{}
 	for i, m := range ms {
-		works[m.VM] = i%3 == 0
+		active[m.VM] = i%3 == 0
 	}
-	if n := play(t, ms, works, 64, 2000); n > 2*64 {
+	if n := fetchAll(t, ms, active, 64, 2000); n > 2*64 {
 		t.Errorf("%d chunks left the origin", n)
 	}
 }
 
-// TestSlowMemberIsLeft guards against a member that never gets a chunk and keeps
-// the others waiting.
-func TestSlowMemberIsLeft(t *testing.T) {
+// TestSlowMemberIsSkipped guards against members that wait without end for a member
+// that never gets a chunk.
+func TestSlowMemberIsSkipped(t *testing.T) {
 	ms := members(1, 3)
 	tab := NewTable(9, ms[2], ms)
 	now := start
 	for range 400 {
-		f, ok := tab.Next(both, now)
+		f, ok := tab.Next(fullCapacity, now)
 		if ok {
 			out := Pending
 			if f.Origin {
@@ -137,108 +138,110 @@
 		}
 		now = now.Add(20 * time.Millisecond)
 	}
-	if n := tab.Missing(); n != 0 {
+	if n := tab.MissingCount(); n != 0 {
 		t.Errorf("%d chunks are missing after 8 s", n)
 	}
 }
 
-// TestRoom guards against data that is asked for while enough is on its way, which
-// fills a narrow link, and against questions that wait for room for data.
-func TestRoom(t *testing.T) {
+// TestCapacity guards against transfers that start without capacity for data, which
+// saturates a slow link, and against announce-only requests that wait for it.
+func TestCapacity(t *testing.T) {
 	ms := members(1, 2)
 	tab := NewTable(4, ms[1], ms)
-	f, ok := tab.Next(Room{Ask: true}, start)
-	if !ok || !f.Ask || f.From.VM != ms[0].VM {
-		t.Fatalf("without room for data: %+v, %v", f, ok)
+	f, ok := tab.Next(Capacity{AnnounceOnly: true}, start)
+	if !ok || !f.AnnounceOnly || f.From.VM != ms[0].VM {
+		t.Fatalf("without capacity for data: %+v, %v", f, ok)
 	}
 	tab.Done(f, Announced, start)
-	if next, ok := tab.Next(Room{Ask: true}, start); ok && next.Chunk == f.Chunk {
-		t.Errorf("chunk %d is asked for again", f.Chunk)
+	if next, ok := tab.Next(Capacity{AnnounceOnly: true}, start); ok && next.Chunk == f.Chunk {
+		t.Errorf("chunk %d is requested again after its announcement", f.Chunk)
 	}
-	next, ok := tab.Next(Room{Data: true}, start)
+	next, ok := tab.Next(Capacity{Data: true}, start)
 	for ok && next.Origin {
 		tab.Done(next, Got, start)
-		next, ok = tab.Next(Room{Data: true}, start)
+		next, ok = tab.Next(Capacity{Data: true}, start)
 	}
-	if !ok || next.Ask || next.Chunk != f.Chunk {
+	if !ok || next.AnnounceOnly || next.Chunk != f.Chunk {
 		t.Errorf("after the announcement: %+v, %v", next, ok)
 	}
 }
 
-// TestFailedMemberPauses guards against a member that sends spoilt chunks and is
-// asked again at once.
-func TestFailedMemberPauses(t *testing.T) {
+// TestFailedMemberIsSkipped guards against a member that sends corrupted chunks and
+// is asked again at once.
+func TestFailedMemberIsSkipped(t *testing.T) {
 	ms := members(1, 2)
 	tab := NewTable(2, ms[1], ms)
-	f, ok := tab.Next(both, start)
+	f, ok := tab.Next(fullCapacity, start)
 	for ok && f.Origin {
 		tab.Done(f, Got, start)
-		f, ok = tab.Next(both, start)
+		f, ok = tab.Next(fullCapacity, start)
 	}
 	if !ok || f.From.VM != ms[0].VM {
 		t.Fatalf("fetch %v, %v", f, ok)
 	}
 	tab.Done(f, Failed, start)
-	if next, ok := tab.Next(both, start); !ok || !next.Origin {
-		t.Errorf("after a spoilt chunk: %v, %v; want the origin", next, ok)
+	if next, ok := tab.Next(fullCapacity, start); !ok || !next.Origin {
+		t.Errorf("after a corrupted chunk: %v, %v; want the origin", next, ok)
 	}
 }
 
-// originShare is the part of a chunk that the origin's link of 9.9 Mbit/s sends in
-// a tick; all fetches in progress share it.
-const originShare = 1.3
+// originChunksPerTick is the number of chunks that the origin's link of 9.9 Mbit/s
+// sends in a tick. All fetches in progress share the link.
+const originChunksPerTick = 1.3
 
-// chunkTime is the time of a chunk on that link.
-const chunkTime = tickTime * 10 / 13
+// originChunkTime is the transfer time of a chunk on the origin's link.
+const originChunkTime = tickTime * 10 / 13
 
-// draw is a fetch from the origin in progress.
-type draw struct {
-	tab  *Table
-	f    Fetch
-	left float64
+// originFetch is a fetch from the origin in progress. remaining is the part of the
+// chunk that was not sent yet.
+type originFetch struct {
+	tab       *Table
+	f         Fetch
+	remaining float64
 }
 
-// advance sends a tick's worth of chunks to those who fetch from the origin.
-func advance(ds []*draw, now time.Time) (rest []*draw) {
-	for _, d := range ds {
-		d.left -= originShare / float64(len(ds))
-		if d.left > 0 {
-			rest = append(rest, d)
+// advanceOrigin advances the fetches from the origin by one tick and returns those
+// that are not complete.
+func advanceOrigin(fs []*originFetch, now time.Time) (active []*originFetch) {
+	for _, d := range fs {
+		d.remaining -= originChunksPerTick / float64(len(fs))
+		if d.remaining > 0 {
+			active = append(active, d)
 		} else {
 			d.tab.Done(d.f, Got, now)
 		}
 	}
-	return rest
+	return active
 }
 
-// spread lets all members fetch at the speed of their links: in a tick each takes
-// in one chunk of other members and passes one on. It returns the ticks until
-// nothing is missing.
-func spread(t *testing.T, ms []Member, chunks, most int) int {
+// simulateLinks lets all members fetch at the rate of their links: in each tick a
+// member receives at most one chunk from other members and sends at most one. It
+// returns the number of ticks until no chunk is missing.
+func simulateLinks(t *testing.T, ms []Member, chunks, maxTicks int) int {
 	t.Helper()
 	tables := map[fleet.VM]*Table{}
 	for _, m := range ms {
 		tables[m.VM] = NewTable(chunks, m, ms)
-		tables[m.VM].SpaceOrigin(chunkTime, start)
+		tables[m.VM].PaceOrigin(originChunkTime, start)
 	}
 	now := start
-	var drawn []*draw
-	for tick := range most {
-		sent, left := map[fleet.VM]bool{}, 0
+	var originFetches []*originFetch
+	for tick := range maxTicks {
+		sent, missing := map[fleet.VM]bool{}, 0
 		for _, m := range ms {
 			tab := tables[m.VM]
 			for range 32 {
-				f, ok := tab.Next(both, now)
+				f, ok := tab.Next(fullCapacity, now)
 				if !ok {
 					break
 				}
 				if f.Origin {
-					drawn = append(drawn, &draw{tab, f, 1})
+					originFetches = append(originFetches, &originFetch{tab, f, 1})
 					continue
 				}
 				out := Pending
-				if f.Ask || !sent[f.From.VM] {
-					out = answer(tables[f.From.VM], f)
+				if f.AnnounceOnly || !sent[f.From.VM] {
+					out = respond(tables[f.From.VM], f)
 				}
 				sent[f.From.VM] = sent[f.From.VM] || out == Got
 				tab.Done(f, out, now)
@@ -246,29 +249,30 @@
 					break
 				}
 			}
-			left += tab.Missing()
+			missing += tab.MissingCount()
 		}
-		if left == 0 {
+		if missing == 0 {
 			return tick
 		}
 		now = now.Add(tickTime)
-		drawn = advance(drawn, now)
+		originFetches = advanceOrigin(originFetches, now)
 	}
-	t.Fatalf("not complete after %d ticks", most)
+	t.Fatalf("not complete after %d ticks", maxTicks)
 	return 0
 }
 
-// tickTime is that of a chunk of 32 KiB on a link of 7.6 Mbit/s.
+// tickTime is the transfer time of a chunk of 32 KiB on a link of 7.6 Mbit/s.
 const tickTime = 38 * time.Millisecond
 
-// TestLargeRegions guards against a spread whose time grows with the members of a
-// region, because one member passes each chunk on to all others. It answers the
-// load of a fleet that grows from 24 to 88 engines. Gateways use no old weights in
-// the last 1.2 s of the bound of 8 s; staging and loading take a second, and 0.8 s
-// are left for engines that change in turn.
-func TestLargeRegions(t *testing.T) {
+// TestTransferTimeInLargeRegions guards against a transfer time that grows with the
+// number of members of a region because one member sends each chunk to all others.
+// It covers a fleet that grows from 24 to 88 engines. The limit of 5 s follows from
+// the bound of 8 s on a change of weights: gateways use no old weights in its last
+// 1.2 s, staging and loading take 1 s, and 0.8 s are left for engines that change
+// one after the other.
+func TestTransferTimeInLargeRegions(t *testing.T) {
 	for _, n := range []int{8, 30} {
-		ticks := spread(t, members(3, n), 64, 400)
+		ticks := simulateLinks(t, members(3, n), 64, 400)
 		if d := time.Duration(ticks) * tickTime; d > 5*time.Second {
 			t.Errorf("%d members a region: %v", n, d)
 		} else {
--- a/internal/core/chain/table.go
+++ b/internal/core/chain/table.go
@@ -10,38 +10,42 @@
 )
 
 const (
-	// pendingPause is the pause before a member that does not have a chunk yet is
-	// asked again. The member keeps the question for a while before it says so.
+	// pendingPause is the pause before a member is asked again for a chunk that it
+	// does not have yet. The member itself holds the request for a while before it
+	// answers.
 	pendingPause = 10 * time.Millisecond
-	// pendingPatience is the time after which a chunk that a member still does
-	// not have is asked for elsewhere.
-	pendingPatience = 1500 * time.Millisecond
-	// idlePause is the time for which a member that does not work towards the
-	// version is skipped.
+	// pendingTimeout is the time after which another source is asked for a chunk
+	// that a member still does not have.
+	pendingTimeout = 1500 * time.Millisecond
+	// idlePause is the time for which a member that does not fetch the version is
+	// skipped.
 	idlePause = 3 * time.Second
-	// failedPause is the same for a member that failed or sent a spoilt chunk.
+	// failedPause is the time for which a member that failed or sent a corrupted
+	// chunk is skipped.
 	failedPause = 2 * time.Second
-	// originPause is the pause after the origin failed.
+	// originPause is the pause before a chunk is requested again after a failed
+	// fetch from the origin.
 	originPause = 150 * time.Millisecond
-	// originActive bounds the fetches from the origin that a member has in
-	// progress. All members share the origin's link and its few connections.
-	originActive = 1
+	// maxOriginActive is the number of concurrent fetches from the origin per
+	// member. All members share the origin's link and its few connections.
+	maxOriginActive = 1
 )
 
 // Outcome is the result of one fetch.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a fetch.
 const (
-	// Got means that the chunk arrived and is verified.
+	// Got means that the chunk was received and verified.
 	Got Outcome = iota
-	// Pending means that the source will have the chunk.
+	// Pending means that the source does not have the chunk yet but fetches the
+	// version.
 	Pending
-	// Idle means that the source does not work towards the version.
+	// Idle means that the source does not fetch the version.
 	Idle
-	// Announced means that the source has the chunk.
+	// Announced means that the source has the chunk, which was not transferred.
 	Announced
-	// Failed means anything else, such as a lost or spoilt chunk.
+	// Failed means any other result, such as a broken transfer or a corrupted chunk.
 	Failed
 )
 
@@ -51,110 +55,115 @@
 	// Origin is set if the source is the origin; From is empty then.
 	Origin bool
 	From   Member
-	// Ask only asks the source to tell once it has the chunk. Many chunks may be
-	// asked for at a time, but only few sent, which would fill a narrow link.
-	Ask bool
+	// AnnounceOnly asks the source to report when it has the chunk, without sending
+	// it. Many such requests may be open at a time, but only a few transfers, which
+	// would otherwise saturate a slow link.
+	AnnounceOnly bool
 }
 
-// Room says what may be started now.
-type Room struct{ Ask, Data bool }
+// Capacity says which kinds of fetches the caller can start now: fetches with
+// AnnounceOnly set, and transfers of data.
+type Capacity struct{ AnnounceOnly, Data bool }
 
 type chunkState struct {
 	held, active bool
 	notBefore    time.Time
-	// asked is the member that was asked last, since the time in since.
-	asked fleet.VM
-	since time.Time
-	// ready is the member that has the chunk, or empty.
-	ready fleet.VM
-	// skip holds members that did not get the chunk in time.
+	// lastSource is the member that was asked last, and sourceSince the time of the
+	// first request to it.
+	lastSource  fleet.VM
+	sourceSince time.Time
+	// announcedBy is the member that announced the chunk, or empty.
+	announcedBy fleet.VM
+	// skip holds the members that did not obtain the chunk within pendingTimeout.
 	skip map[fleet.VM]bool
 }
 
-// Table holds the progress of one version. One lock guards it: a version has
-// some dozens of chunks, and each decision looks at several of them.
+// Table holds the progress of fetching one version. A single lock guards it: a
+// version has some dozens of chunks, and each decision looks at several of them.
 type Table struct {
-	mu       sync.Mutex
-	plan     *plan
-	chunks   []chunkState
-	order    []int
-	absent   map[fleet.VM]time.Time
-	missing  int
-	atOrigin int
-	// start and pace space the fetches from the origin.
-	start time.Time
-	pace  time.Duration
+	mu           sync.Mutex
+	plan         *plan
+	chunks       []chunkState
+	order        []int
+	skipUntil    map[fleet.VM]time.Time
+	missing      int
+	originActive int
+	// Chunk c is not fetched from the origin before originStart + c*originInterval.
+	originStart    time.Time
+	originInterval time.Duration
 }
 
-// NewTable returns the table of a version of which nothing is held.
+// NewTable returns a table in which no chunk is held.
 func NewTable(chunks int, self Member, ms []Member) *Table {
-	t := &Table{chunks: make([]chunkState, chunks), absent: map[fleet.VM]time.Time{}, missing: chunks}
+	t := &Table{chunks: make([]chunkState, chunks), skipUntil: map[fleet.VM]time.Time{}, missing: chunks}
 	t.SetMembers(self, ms)
 	return t
 }
 
-// originEarly is the part of the time of a chunk on the origin's link by which
-// chunks are spaced. Below one, the link has something to send at any time.
-const originEarly = 0.85
+// originSpacing is the interval between fetches from the origin, as a share of the
+// transfer time of a chunk. It is below one so that the link is never idle.
+const originSpacing = 0.85
 
-// SpaceOrigin makes the members fetch from the origin one chunk after the other,
-// as fast as its link sends them, which takes transfer for each. All at a time
-// would share the link, and hardly any would be there to pass on before all are.
-func (t *Table) SpaceOrigin(transfer time.Duration, now time.Time) {
+// PaceOrigin spaces the fetches from the origin so that the members together fetch
+// one chunk after the other, at the rate of the origin's link. transfer is the time
+// that the link takes for one chunk. Concurrent transfers would share the link, and
+// hardly any chunk would be complete and passed on before all of them are.
+func (t *Table) PaceOrigin(transfer time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.start, t.pace = now, time.Duration(originEarly*float64(transfer))
+	t.originStart, t.originInterval = now, time.Duration(originSpacing*float64(transfer))
 }
 
-// SetMembers replaces the members.
+// SetMembers replaces the set of members and derives the order of fetches from it.
 func (t *Table) SetMembers(self Member, ms []Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.plan = newPlan(self, ms)
 	t.order = t.order[:0]
-	place := map[int]int{}
+	priority := map[int]int{}
 	for c := range t.chunks {
 		t.order = append(t.order, c)
-		place[c] = t.plan.place(c)
+		priority[c] = t.plan.priority(c)
 	}
-	// Chunks that others wait for come first. Members start the rest at
-	// different places, so that not all ask the same member at once.
+	// Chunks that other members wait for come first. Each member starts the rest at
+	// a different chunk, so that they do not all ask the same member at once.
 	ring := t.plan.rings[self.Region]
-	at := slices.IndexFunc(ring, func(m Member) bool { return m.VM == self.VM })
-	shift := at * len(t.chunks) / len(ring)
+	selfIndex := slices.IndexFunc(ring, func(m Member) bool { return m.VM == self.VM })
+	shift := selfIndex * len(t.chunks) / len(ring)
 	n := len(t.chunks)
 	slices.SortStableFunc(t.order, func(a, b int) int {
 		return cmp.Or(
-			cmp.Compare(place[a], place[b]),
+			cmp.Compare(priority[a], priority[b]),
 			cmp.Compare((a+n-shift)%n, (b+n-shift)%n),
 		)
 	})
 }
 
-// Hold records a chunk that is there without a fetch.
-func (t *Table) Hold(c int) {
+// MarkHeld records that chunk c is held, also if it was not fetched.
+func (t *Table) MarkHeld(c int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.hold(c)
+	t.markHeld(c)
 }
 
-func (t *Table) hold(c int) {
+func (t *Table) markHeld(c int) {
 	if !t.chunks[c].held {
 		t.chunks[c].held = true
 		t.missing--
 	}
 }
 
-// Missing returns the number of chunks that are not held.
-func (t *Table) Missing() int {
+// MissingCount returns the number of chunks that are not held.
+func (t *Table) MissingCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.missing
 }
 
-// Next returns the fetch to start now, of those that there is room for. It returns
-// false if there is none; a later call may return one.
-func (t *Table) Next(room Room, now time.Time) (Fetch, bool) {
+// Next returns the next fetch that the capacity permits and records it as started;
+// the caller reports its end with Done. It returns false if there is none now; a
+// later call may return one.
+func (t *Table) Next(capacity Capacity, now time.Time) (Fetch, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	best, found := Fetch{}, false
@@ -163,50 +172,50 @@
 		if s.held || s.active || now.Before(s.notBefore) {
 			continue
 		}
-		// A chunk that was asked for longer ago goes first, so that some that are
-		// not there yet do not keep all others waiting.
+		// The chunk that became due first goes first, so that chunks which the
+		// sources do not have yet do not hold up all others.
 		if found && !s.notBefore.Before(t.chunks[best.Chunk].notBefore) {
 			continue
 		}
-		if f := t.source(c, now); t.fits(f, room, now) {
+		if f := t.nextSource(c, now); t.hasCapacity(f, capacity, now) {
 			best, found = f, true
 		}
 	}
 	if found {
-		t.begin(best, now)
+		t.startFetch(best, now)
 	}
 	return best, found
 }
 
-func (t *Table) fits(f Fetch, room Room, now time.Time) bool {
+func (t *Table) hasCapacity(f Fetch, capacity Capacity, now time.Time) bool {
 	switch {
-	case f.Ask:
-		return room.Ask
+	case f.AnnounceOnly:
+		return capacity.AnnounceOnly
 	case f.Origin:
-		turn := t.start.Add(time.Duration(f.Chunk) * t.pace)
-		return room.Data && t.atOrigin < originActive && !now.Before(turn)
+		earliest := t.originStart.Add(time.Duration(f.Chunk) * t.originInterval)
+		return capacity.Data && t.originActive < maxOriginActive && !now.Before(earliest)
 	default:
-		return room.Data
+		return capacity.Data
 	}
 }
 
-func (t *Table) begin(f Fetch, now time.Time) {
+func (t *Table) startFetch(f Fetch, now time.Time) {
 	s := &t.chunks[f.Chunk]
 	s.active = true
 	if f.Origin {
-		t.atOrigin++
+		t.originActive++
 	}
-	if s.asked != f.From.VM {
-		s.asked, s.since = f.From.VM, now
+	if s.lastSource != f.From.VM {
+		s.lastSource, s.sourceSince = f.From.VM, now
 	}
 }
 
-func (t *Table) source(c int, now time.Time) Fetch {
+func (t *Table) nextSource(c int, now time.Time) Fetch {
 	for _, m := range t.plan.sources(c) {
-		if now.Before(t.absent[m.VM]) || t.chunks[c].skip[m.VM] {
+		if now.Before(t.skipUntil[m.VM]) || t.chunks[c].skip[m.VM] {
 			continue
 		}
-		return Fetch{Chunk: c, From: m, Ask: t.chunks[c].ready != m.VM}
+		return Fetch{Chunk: c, From: m, AnnounceOnly: t.chunks[c].announcedBy != m.VM}
 	}
 	return Fetch{Chunk: c, Origin: true}
 }
@@ -218,32 +227,32 @@
 	s := &t.chunks[f.Chunk]
 	s.active = false
 	if o != Announced {
-		s.ready = ""
+		s.announcedBy = ""
 	}
 	if f.Origin {
-		t.atOrigin--
+		t.originActive--
 	}
 	switch {
 	case o == Got:
-		t.hold(f.Chunk)
+		t.markHeld(f.Chunk)
 	case f.Origin:
 		s.notBefore = now.Add(originPause)
-		// Members that were too slow before may have the chunk by now.
+		// Members that were skipped as too slow may have the chunk by now.
 		s.skip = nil
 	case o == Announced:
-		s.ready = f.From.VM
+		s.announcedBy = f.From.VM
 		s.notBefore = time.Time{}
 	case o == Pending:
 		s.notBefore = now.Add(pendingPause)
-		if now.Sub(s.since) >= pendingPatience {
+		if now.Sub(s.sourceSince) >= pendingTimeout {
 			if s.skip == nil {
 				s.skip = map[fleet.VM]bool{}
 			}
 			s.skip[f.From.VM] = true
 		}
 	case o == Idle:
-		t.absent[f.From.VM] = now.Add(idlePause)
+		t.skipUntil[f.From.VM] = now.Add(idlePause)
 	default:
-		t.absent[f.From.VM] = now.Add(failedPause)
+		t.skipUntil[f.From.VM] = now.Add(failedPause)
 	}
 }
