--- a/internal/app/loader/converge.go
+++ b/internal/app/loader/converge.go
@@ -9,7 +9,7 @@
 
 	"github.com/masticwing/masticwing/internal/adapter/logging"
 	"github.com/masticwing/masticwing/internal/core/fleet"
-	"github.com/masticwing/masticwing/internal/core/loadturn"
+	"github.com/masticwing/masticwing/internal/core/loadschedule"
 	"github.com/masticwing/masticwing/internal/port"
 )
 
@@ -129,7 +129,7 @@
 
 // due reports whether it is the engine's turn to leave service.
 func (l *Loader) due(g goal) bool {
-	return g.now || !l.deps.Clock.Now().Before(loadturn.At(g.since, l.set.WeightsBound, g.rank, g.count))
+	return g.now || !l.deps.Clock.Now().Before(loadschedule.ChangeTime(g.since, l.set.WeightsBound, g.rank, g.count))
 }
 
 // complete reports whether all chunks of a version are there.
--- a/internal/core/loadschedule/loadschedule.go
+++ b/internal/core/loadschedule/loadschedule.go
@@ -1,28 +1,31 @@
-// Package loadturn decides when each engine of a service changes to new weights,
-// so that all have changed within a bound and only a few are out of service at a
-// time.
-package loadturn
+// Package loadschedule schedules when each engine of a service changes to new weights,
+// so that all engines change within a bound and only a few are out of service at
+// the same time.
+package loadschedule
 
 import "time"
 
 const (
-	// fetchShare is the part of the bound that the transfer of the weights is
-	// expected to take; before it hardly any engine is ready.
-	fetchShare = 0.35
-	// lastShare is the part of the bound at which the last engine is ordered to
-	// change. From the order on it starts nothing on the old weights. Gateways send
-	// nothing to old weights in the last seventh of the bound.
-	lastShare = 0.8
+	// firstChangeShare is the share of the bound after which the first engine
+	// changes. Until then the weights are being transferred and hardly any engine
+	// has them.
+	firstChangeShare = 0.35
+	// lastChangeShare is the share of the bound after which the last engine is
+	// ordered to change. An engine starts no request on the old weights once it has
+	// the order, and gateways send no request to old weights in the last seventh of
+	// the bound.
+	lastChangeShare = 0.8
 )
 
-// At returns the time from which the engine with the given rank among count may
-// be ordered to change to weights that were declared at since and must be in use
-// within bound. An engine that serves nothing need not wait.
-func At(since time.Time, bound time.Duration, rank, count int) time.Time {
+// ChangeTime returns the earliest time at which the engine with the given rank
+// among count engines may be ordered to change to weights that were declared at
+// declared and must be in use within bound. Callers need not wait for it if the
+// engine serves nothing.
+func ChangeTime(declared time.Time, bound time.Duration, rank, count int) time.Time {
 	if count <= 1 {
-		return since
+		return declared
 	}
-	first := time.Duration(fetchShare * float64(bound))
-	last := time.Duration(lastShare * float64(bound))
-	return since.Add(first + (last-first)*time.Duration(rank)/time.Duration(count-1))
+	first := time.Duration(firstChangeShare * float64(bound))
+	last := time.Duration(lastChangeShare * float64(bound))
+	return declared.Add(first + (last-first)*time.Duration(rank)/time.Duration(count-1))
 }
