--- a/internal/app/feed/feed_test.go
+++ b/internal/app/feed/feed_test.go
@@ -20,49 +20,49 @@
 	"github.com/masticwing/masticwing/internal/port/porttest"
 )
 
-// network carries requests to hubs by address.
+// network passes requests to servers by address.
 type network struct {
-	hubs *shard.Map[fleet.Address, *Hub]
-	cut  atomic.Bool
+	servers      *shard.Map[fleet.Address, *Server]
+	disconnected atomic.Bool
 }
 
-var errCut = errors.New("connection cut")
+var errDisconnected = errors.New("disconnected")
 
 func (n *network) Feed(ctx context.Context, a fleet.Address, r port.FeedRequest) (port.FeedReply, error) {
-	h, ok := n.hubs.Get(a)
-	if n.cut.Load() || !ok {
-		return port.FeedReply{}, errCut
+	s, ok := n.servers.Get(a)
+	if n.disconnected.Load() || !ok {
+		return port.FeedReply{}, errDisconnected
 	}
-	return h.Feed(ctx, r)
+	return s.Feed(ctx, r)
 }
 
-// counted counts the calls that read a store.
-type counted struct {
+// countingStore counts the calls of List and Changes.
+type countingStore struct {
 	*porttest.Store
 	calls atomic.Int64
 }
 
-func (c *counted) List(ctx context.Context, prefix string) ([]port.Item, int64, error) {
+func (c *countingStore) List(ctx context.Context, prefix string) ([]port.Item, int64, error) {
 	c.calls.Add(1)
 	return c.Store.List(ctx, prefix)
 }
 
-func (c *counted) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]port.Change, int64, error) {
+func (c *countingStore) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]port.Change, int64, error) {
 	c.calls.Add(1)
 	return c.Store.Changes(ctx, prefix, after, wait)
 }
 
-// process is one that follows the prefix "p/".
+// process is a process that follows the prefix "p/".
 type process struct {
-	store  *counted
-	source *Source
-	hub    *Hub
-	age    atomic.Int64 // of its confirmation
-	seen   atomic.Pointer[string]
+	store           *countingStore
+	source          *Source
+	server          *Server
+	confirmationAge atomic.Int64           // age of the last confirmation
+	seen            atomic.Pointer[string] // last value of the key
 }
 
-// bed has a store and processes that follow others in it.
-type bed struct {
+// testNetwork is a store with processes that follow it and each other.
+type testNetwork struct {
 	t     *testing.T
 	store *porttest.Store
 	net   *network
@@ -70,51 +70,52 @@
 	wg    conc.WaitGroup
 }
 
-func newBed(t *testing.T) *bed {
+func newTestNetwork(t *testing.T) *testNetwork {
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &bed{t: t, store: porttest.NewStore(), net: &network{hubs: shard.New[fleet.Address, *Hub](0)}, ctx: ctx}
+	tn := &testNetwork{t: t, store: porttest.NewStore(), net: &network{servers: shard.New[fleet.Address, *Server](0)}, ctx: ctx}
 	t.Cleanup(func() {
 		cancel()
-		b.wg.Wait()
+		tn.wg.Wait()
 	})
-	return b
+	return tn
 }
 
 // add starts a process that asks readers for changes.
-func (b *bed) add(name string, readers ...string) *process {
-	return b.addWith(name, Prefix{Wait: 20 * time.Millisecond}, readers...)
+func (tn *testNetwork) add(name string, readers ...string) *process {
+	return tn.addWithOptions(name, PrefixOptions{Wait: 20 * time.Millisecond}, readers...)
 }
 
-// addReader starts a process that reads the store, and returns once it has.
-func (b *bed) addReader(name string) *process {
-	p := b.add(name)
-	b.until(func() bool { return p.source.Direct("p/") }, "%s has not listed", name)
+// addReader starts a process that reads the store, and returns once it has listed
+// the prefix.
+func (tn *testNetwork) addReader(name string) *process {
+	p := tn.add(name)
+	tn.waitUntil(func() bool { return p.source.FromStore("p/") }, "%s has not listed", name)
 	return p
 }
 
-// untilFed returns once a process follows another one.
-func (b *bed) untilFed(p *process) {
-	b.t.Helper()
-	b.until(func() bool { _, fed := p.source.Fed("p/"); return fed }, "nothing is passed on")
+// waitUntilFollowing returns once process p reads from another one.
+func (tn *testNetwork) waitUntilFollowing(p *process) {
+	tn.t.Helper()
+	tn.waitUntil(func() bool { _, following := p.source.FromReader("p/"); return following }, "the process follows no reader")
 }
 
-func (b *bed) addWith(name string, prefix Prefix, readers ...string) *process {
-	p := &process{store: &counted{Store: b.store}}
+func (tn *testNetwork) addWithOptions(name string, options PrefixOptions, readers ...string) *process {
+	p := &process{store: &countingStore{Store: tn.store}}
 	var ms []core.Member
 	for _, r := range readers {
 		ms = append(ms, core.Member{ID: r, Address: fleet.Address(r)})
 	}
 	log := logging.New(io.Discard, "x", name)
-	p.source = NewSource(p.store, b.net, sysclock.Clock{}, log, func() []core.Member { return ms },
-		map[string]Prefix{"p/": prefix})
-	p.hub = NewHub(sysclock.Clock{}, func() time.Duration { return time.Duration(p.age.Load()) })
-	pass, seen := p.hub.Serve("p/", func() bool { return p.source.Direct("p/") })
+	p.source = NewSource(p.store, tn.net, sysclock.Clock{}, log, func() []core.Member { return ms },
+		map[string]PrefixOptions{"p/": options})
+	p.server = NewServer(sysclock.Clock{}, func() time.Duration { return time.Duration(p.confirmationAge.Load()) })
+	apply, seen := p.server.AddPrefix("p/", func() bool { return p.source.FromStore("p/") })
 	f := follow.New(p.source, "p/", 100*time.Millisecond, func() time.Duration { return time.Millisecond }, sysclock.Clock{}, log)
-	f.Applied = seen
-	b.net.hubs.Put(fleet.Address(name), p.hub)
-	b.wg.Go(func() {
-		f.Run(b.ctx, func(e follow.Event) {
-			pass(e)
+	f.OnRevision = seen
+	tn.net.servers.Put(fleet.Address(name), p.server)
+	tn.wg.Go(func() {
+		f.Run(tn.ctx, func(e follow.Event) {
+			apply(e)
 			for _, c := range e.Changes {
 				v := string(c.Value)
 				p.seen.Store(&v)
@@ -124,147 +125,148 @@
 	return p
 }
 
-func (b *bed) put(value string, ps ...*process) {
-	b.t.Helper()
-	b.store.Put("p/k", value)
+func (tn *testNetwork) put(value string, ps ...*process) {
+	tn.t.Helper()
+	tn.store.Put("p/k", value)
 	for i, p := range ps {
-		b.until(func() bool { s := p.seen.Load(); return s != nil && *s == value }, "process %d does not see %s", i, value)
+		tn.waitUntil(func() bool { s := p.seen.Load(); return s != nil && *s == value }, "process %d does not see %s", i, value)
 	}
 }
 
-func (b *bed) until(ok func() bool, format string, args ...any) {
-	b.t.Helper()
+func (tn *testNetwork) waitUntil(ok func() bool, format string, args ...any) {
+	tn.t.Helper()
 	for start := time.Now(); !ok(); time.Sleep(time.Millisecond) {
 		if time.Since(start) > 5*time.Second {
-			b.t.Fatalf(format, args...)
+			tn.t.Fatalf(format, args...)
 		}
 	}
 }
 
-// TestFollowersSpareTheStore guards against processes that all read each change
-// from the store, which fills the links to its region.
-func TestFollowersSpareTheStore(t *testing.T) {
-	b := newBed(t)
-	reader := b.addReader("r")
-	follower := b.add("f", "r")
-	b.put("1", reader, follower)
-	b.untilFed(follower)
+// TestFollowersMakeNoStoreCalls guards against followers that also read each change
+// from the store, which saturates the links to its region.
+func TestFollowersMakeNoStoreCalls(t *testing.T) {
+	tn := newTestNetwork(t)
+	reader := tn.addReader("r")
+	follower := tn.add("f", "r")
+	tn.put("1", reader, follower)
+	tn.waitUntilFollowing(follower)
 	before := follower.store.calls.Load()
 	for _, v := range []string{"2", "3", "4", "5"} {
-		b.put(v, reader, follower)
+		tn.put(v, reader, follower)
 	}
 	if n := follower.store.calls.Load() - before; n != 0 {
 		t.Errorf("the follower made %d calls to the store", n)
 	}
-	if !reader.hub.Serving() || follower.hub.Serving() {
+	if !reader.server.HasFollowers() || follower.server.HasFollowers() {
 		t.Error("only the reader serves others")
 	}
 }
 
-// TestReaderInTrouble guards against a follower that stays with a reader that is
-// lost, or that the store has not confirmed for a while.
-func TestReaderInTrouble(t *testing.T) {
-	b := newBed(t)
-	reader := b.addReader("r")
-	follower := b.add("f", "r")
-	b.put("1", reader, follower)
-	b.untilFed(follower)
-	reader.age.Store(int64(serveAge + time.Millisecond))
-	b.until(func() bool { return follower.source.Direct("p/") }, "the follower stays with a stale reader")
-	b.put("2", follower)
-	reader.age.Store(0)
-	b.untilFed(follower)
-	b.net.cut.Store(true)
-	b.until(func() bool { return follower.source.Direct("p/") }, "the follower stays with a lost reader")
-	b.put("3", follower)
+// TestStaleAndLostReader guards against a follower that stays with a reader that
+// cannot be reached, or whose view the store has not confirmed for too long.
+func TestStaleAndLostReader(t *testing.T) {
+	tn := newTestNetwork(t)
+	reader := tn.addReader("r")
+	follower := tn.add("f", "r")
+	tn.put("1", reader, follower)
+	tn.waitUntilFollowing(follower)
+	reader.confirmationAge.Store(int64(maxConfirmationAge + time.Millisecond))
+	tn.waitUntil(func() bool { return follower.source.FromStore("p/") }, "the follower stays with a stale reader")
+	tn.put("2", follower)
+	reader.confirmationAge.Store(0)
+	tn.waitUntilFollowing(follower)
+	tn.net.disconnected.Store(true)
+	tn.waitUntil(func() bool { return follower.source.FromStore("p/") }, "the follower stays with a lost reader")
+	tn.put("3", follower)
 }
 
-// TestMutualFollowers guards against two processes that pass old news to each
-// other, because each takes the other for the first of the domain.
+// TestMutualFollowers guards against two processes that follow each other and miss
+// changes, because each takes the other for the first gateway of the domain.
 func TestMutualFollowers(t *testing.T) {
-	b := newBed(t)
-	x, y := b.add("x", "y"), b.add("y", "x")
+	tn := newTestNetwork(t)
+	x, y := tn.add("x", "y"), tn.add("y", "x")
 	for _, v := range []string{"1", "2", "3"} {
-		b.put(v, x, y)
+		tn.put(v, x, y)
 	}
 }
 
-// TestConfirmationAge guards against a follower that takes a confirmation for
-// younger than it is: a key that was taken away would be used for too long.
+// TestConfirmationAge guards against a follower that takes a confirmation for more
+// recent than it is. A revoked API key would then be accepted for too long.
 func TestConfirmationAge(t *testing.T) {
-	b := newBed(t)
-	reader := b.addReader("r")
-	const age = 700 * time.Millisecond
-	reader.age.Store(int64(age))
-	follower := b.add("f", "r")
-	b.untilFed(follower)
+	tn := newTestNetwork(t)
+	reader := tn.addReader("r")
+	const confirmationAge = 700 * time.Millisecond
+	reader.confirmationAge.Store(int64(confirmationAge))
+	follower := tn.add("f", "r")
+	tn.waitUntilFollowing(follower)
 	now := sysclock.Clock{}.SinceBoot()
-	if at, _ := follower.source.Fed("p/"); now-at < age || now-at > age+2*time.Second {
-		t.Errorf("confirmed %v ago, want at least %v", now-at, age)
+	if at, _ := follower.source.FromReader("p/"); now-at < confirmationAge || now-at > confirmationAge+2*time.Second {
+		t.Errorf("confirmed %v ago, want at least %v", now-at, confirmationAge)
 	}
 }
 
-// TestGap guards against a follower that takes changes for complete although the
-// reader has not seen those right after the follower's revision.
-func TestGap(t *testing.T) {
-	b := newBed(t)
-	b.store.Put("p/a", "1")
-	b.store.Put("p/b", "1")
-	reader := b.addReader("r")
-	_, err := reader.hub.Feed(b.ctx, port.FeedRequest{Prefix: "p/", After: 1})
+// TestMissingHistory guards against a follower that takes changes for complete
+// although the reader does not know those right after the follower's revision, and
+// against a reply for a prefix that the reader does not serve.
+func TestMissingHistory(t *testing.T) {
+	tn := newTestNetwork(t)
+	tn.store.Put("p/a", "1")
+	tn.store.Put("p/b", "1")
+	reader := tn.addReader("r")
+	_, err := reader.server.Feed(tn.ctx, port.FeedRequest{Prefix: "p/", After: 1})
 	if !errors.Is(err, ErrGap) {
 		t.Errorf("error %v, want %v", err, ErrGap)
 	}
-	if _, err = reader.hub.Feed(b.ctx, port.FeedRequest{Prefix: "q/"}); !errors.Is(err, ErrNotReader) {
+	if _, err = reader.server.Feed(tn.ctx, port.FeedRequest{Prefix: "q/"}); !errors.Is(err, ErrNotReader) {
 		t.Errorf("error %v, want %v", err, ErrNotReader)
 	}
 }
 
-// TestPatientPrefix guards against dozens of processes that all list a large
-// prefix at the store, at their start or when their reader is lost.
-func TestPatientPrefix(t *testing.T) {
-	b := newBed(t)
-	b.store.Put("p/k", "1")
-	p := b.addWith("f", Prefix{Wait: 20 * time.Millisecond, Patient: true}, "r")
-	time.Sleep(2 * patientRetry)
+// TestPreferReaders guards against dozens of processes that all list a large prefix
+// at the store, at their start or after the loss of their reader.
+func TestPreferReaders(t *testing.T) {
+	tn := newTestNetwork(t)
+	tn.store.Put("p/k", "1")
+	p := tn.addWithOptions("f", PrefixOptions{Wait: 20 * time.Millisecond, PreferReaders: true}, "r")
+	time.Sleep(2 * readerRetryPause)
 	if p.store.calls.Load() != 0 {
-		t.Fatal("the store was read although a reader may come")
+		t.Fatal("the store was read although a reader may become available")
 	}
-	reader := b.add("r")
-	b.put("2", reader, p)
-	b.net.cut.Store(true)
-	b.store.Put("p/k", "3")
-	time.Sleep(2 * patientRetry)
+	reader := tn.add("r")
+	tn.put("2", reader, p)
+	tn.net.disconnected.Store(true)
+	tn.store.Put("p/k", "3")
+	time.Sleep(2 * readerRetryPause)
 	if n := p.store.calls.Load(); n != 0 {
 		t.Errorf("%d calls to the store", n)
 	}
 }
 
-// TestNextReader guards against a follower that reads the store itself although
-// the next reader is about to.
+// TestNextReader guards against a follower that reads the store itself after the
+// loss of its reader, although the next reader is about to take over.
 func TestNextReader(t *testing.T) {
-	b := newBed(t)
-	first := b.addReader("r1")
-	second := b.add("r2", "r1")
-	third := b.add("r3", "r1", "r2")
-	b.put("1", first, second, third)
-	b.untilFed(third)
+	tn := newTestNetwork(t)
+	first := tn.addReader("r1")
+	second := tn.add("r2", "r1")
+	third := tn.add("r3", "r1", "r2")
+	tn.put("1", first, second, third)
+	tn.waitUntilFollowing(third)
 	before := third.store.calls.Load()
-	first.age.Store(int64(2 * serveAge))
-	b.until(func() bool { return second.source.Direct("p/") }, "the second does not take over")
-	b.put("2", second, third)
-	b.put("3", second, third)
+	first.confirmationAge.Store(int64(2 * maxConfirmationAge))
+	tn.waitUntil(func() bool { return second.source.FromStore("p/") }, "the second does not take over")
+	tn.put("2", second, third)
+	tn.put("3", second, third)
 	if n := third.store.calls.Load() - before; n != 0 {
 		t.Errorf("the third made %d calls to the store", n)
 	}
 }
 
-// TestSilentStoreIsNoticed guards against a whole domain that misses changes for
-// as long as one process waits on a connection that went silent.
-func TestSilentStoreIsNoticed(t *testing.T) {
+// TestMaxStoreWait guards against a whole domain that misses changes for as long as
+// its reader waits on a connection that went silent.
+func TestMaxStoreWait(t *testing.T) {
 	w := &porttest.Waits{}
 	s := NewSource(w, nil, sysclock.Clock{}, logging.New(io.Discard, "x", "1"), func() []core.Member { return nil },
-		map[string]Prefix{"p/": {Direct: time.Second}})
+		map[string]PrefixOptions{"p/": {MaxStoreWait: time.Second}})
 	for prefix, want := range map[string]time.Duration{"p/": time.Second, "q/": time.Minute} {
 		if _, _, err := s.Changes(context.Background(), prefix, 0, time.Minute); err != nil || w.Last != want {
 			t.Errorf("%s: waits %v, want %v; %v", prefix, w.Last, want, err)
@@ -272,23 +274,25 @@
 	}
 }
 
-// TestLostReaderAfterQuiet guards against followers that list a prefix at the
-// store after a quiet time, in which the store dropped its history.
+// TestLostReaderAfterQuiet guards against followers that list a prefix at the store
+// when their reader is lost after a time without changes, in which the store dropped
+// its history.
 func TestLostReaderAfterQuiet(t *testing.T) {
-	b := newBed(t)
-	reader := b.addReader("r")
-	follower := b.add("f", "r")
-	b.put("1", reader, follower)
-	b.untilFed(follower)
-	b.store.Put("q/other", "x")
-	// Both have gone on by then, the reader at the store and the other behind it.
+	tn := newTestNetwork(t)
+	reader := tn.addReader("r")
+	follower := tn.add("f", "r")
+	tn.put("1", reader, follower)
+	tn.waitUntilFollowing(follower)
+	tn.store.Put("q/other", "x")
+	// By then both know the new revision: the reader from the store, the follower
+	// from the reader.
 	time.Sleep(300 * time.Millisecond)
-	b.store.Forget()
-	lists := b.store.Lists()
-	b.net.cut.Store(true)
-	b.until(func() bool { return follower.source.Direct("p/") }, "the follower does not notice")
-	b.put("2", follower)
-	if n := b.store.Lists() - lists; n != 0 {
+	tn.store.Forget()
+	lists := tn.store.Lists()
+	tn.net.disconnected.Store(true)
+	tn.waitUntil(func() bool { return follower.source.FromStore("p/") }, "the follower does not notice the lost reader")
+	tn.put("2", follower)
+	if n := tn.store.Lists() - lists; n != 0 {
 		t.Errorf("%d listings", n)
 	}
 }
--- a/internal/app/feed/server.go
+++ b/internal/app/feed/server.go
@@ -1,6 +1,6 @@
-// Package feed passes changes of the platform's store on between processes, as
-// core/feed decides: Hub serves what a process has read, and Source reads from
-// other processes before it reads from the store.
+// Package feed forwards changes of the platform's store between processes, as
+// core/feed decides. Server serves the changes that a process has read, and Source
+// reads from other processes before it reads from the store.
 package feed
 
 import (
@@ -16,51 +16,58 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Errors of a process that passes nothing on. The caller reads the store.
+// Errors of a process that cannot serve changes. The caller then asks another
+// process or reads the store.
 var (
-	// ErrNotReader means that the process itself follows another one, or knows
-	// nothing yet.
+	// ErrNotReader means that the process itself follows another one, or has not
+	// read the prefix yet.
 	ErrNotReader = errors.Wrap(port.ErrFeedRefused, "process does not read the store")
-	// ErrStale means that the store has not confirmed the process's picture for
-	// too long.
-	ErrStale = errors.Wrap(port.ErrFeedRefused, "picture is not confirmed")
-	// ErrGap means that changes after the revision may be missing.
-	ErrGap = errors.Wrap(port.ErrFeedRefused, "changes after the revision are not known")
+	// ErrStale means that the store's last confirmation of the process's view is too
+	// old.
+	ErrStale = errors.Wrap(port.ErrFeedRefused, "last confirmation by the store is too old")
+	// ErrGap means that changes after the requested revision may be missing.
+	ErrGap = errors.Wrap(port.ErrFeedRefused, "changes after the requested revision may be missing")
 )
 
-// serveAge is the age of the last confirmation from which nothing is passed on.
-// Readers confirm every 0.6 s; a configuration must be in force within 2 s, in
-// which the others still have to notice and to read the store themselves.
-const serveAge = 1200 * time.Millisecond
+// maxConfirmationAge is the age of the last confirmation above which no changes are
+// served. Readers confirm their view every 0.6 s. A configuration must be in force
+// within 2 s, in which followers of a stale reader still have to notice it and to
+// read the store themselves.
+const maxConfirmationAge = 1200 * time.Millisecond
 
-// Hub implements port.FeedHandler.
-type Hub struct {
+// Server serves the changes that a process has read from the store to the processes
+// that follow it. It implements port.FeedHandler.
+type Server struct {
 	clock port.Clock
-	// age returns the time since the store confirmed the picture.
-	age  func() time.Duration
-	logs []*prefixLog
-	// asked is the time of the last request in Unix nanoseconds.
-	asked atomic.Int64
+	// confirmationAge returns the time since the store confirmed the process's view.
+	confirmationAge func() time.Duration
+	logs            []*prefixLog
+	// lastRequest is the time of the last request in Unix nanoseconds.
+	lastRequest atomic.Int64
 }
 
-var _ port.FeedHandler = (*Hub)(nil)
+var _ port.FeedHandler = (*Server)(nil)
 
 type prefixLog struct {
 	prefix string
 	log    *core.Log
-	// direct reports whether the prefix is read from the store.
-	direct func() bool
+	// fromStore reports whether the prefix is read from the store.
+	fromStore func() bool
 }
 
-// NewHub returns a hub without prefixes.
-func NewHub(clock port.Clock, age func() time.Duration) *Hub { return &Hub{clock: clock, age: age} }
+// NewServer returns a server without prefixes. confirmationAge returns the time
+// since the store confirmed the process's view.
+func NewServer(clock port.Clock, confirmationAge func() time.Duration) *Server {
+	return &Server{clock: clock, confirmationAge: confirmationAge}
+}
 
-// Serve adds a prefix before the hub is used, and returns the functions that take
-// in its news and the revision up to which all are known.
-func (h *Hub) Serve(prefix string, direct func() bool) (apply func(follow.Event), seen func(at int64)) {
-	p := &prefixLog{prefix, core.NewLog(), direct}
-	h.logs = append(h.logs, p)
-	return p.apply, p.log.Seen
+// AddPrefix adds a prefix that is served while fromStore returns true. It must be
+// called before the server is used. The caller passes each event of the prefix to
+// apply, and the revision up to which all changes are known to advance.
+func (s *Server) AddPrefix(prefix string, fromStore func() bool) (apply func(follow.Event), advance func(revision int64)) {
+	p := &prefixLog{prefix, core.NewLog(), fromStore}
+	s.logs = append(s.logs, p)
+	return p.apply, p.log.AdvanceTo
 }
 
 func (p *prefixLog) apply(e follow.Event) {
@@ -69,14 +76,14 @@
 		cs = append(cs, core.Change{Key: c.Key, Value: c.Value, Revision: c.Revision, Removed: c.Removed})
 	}
 	if e.Reset {
-		p.log.List(cs, e.At)
+		p.log.ApplyListing(cs, e.At)
 	} else {
-		p.log.Add(cs)
+		p.log.ApplyChanges(cs)
 	}
 }
 
-func (h *Hub) find(prefix string) *prefixLog {
-	for _, p := range h.logs {
+func (s *Server) findPrefix(prefix string) *prefixLog {
+	for _, p := range s.logs {
 		if strings.HasPrefix(prefix, p.prefix) {
 			return p
 		}
@@ -84,43 +91,43 @@
 	return nil
 }
 
-// servingTime is the time after a request for which a process counts as one that
-// others follow. Each of them asks at least every 3 s.
-const servingTime = 5 * time.Second
+// followerTimeout is the time without a request after which a process counts as
+// having no followers. Each follower sends a request at least every 3 s.
+const followerTimeout = 5 * time.Second
 
-// Serving reports whether other processes follow this one.
-func (h *Hub) Serving() bool {
-	return h.clock.Now().UnixNano()-h.asked.Load() < int64(servingTime)
+// HasFollowers reports whether other processes follow this one.
+func (s *Server) HasFollowers() bool {
+	return s.clock.Now().UnixNano()-s.lastRequest.Load() < int64(followerTimeout)
 }
 
 // Feed implements port.FeedHandler.
-func (h *Hub) Feed(ctx context.Context, r port.FeedRequest) (port.FeedReply, error) {
-	h.asked.Store(h.clock.Now().UnixNano())
-	p := h.find(r.Prefix)
+func (s *Server) Feed(ctx context.Context, r port.FeedRequest) (port.FeedReply, error) {
+	s.lastRequest.Store(s.clock.Now().UnixNano())
+	p := s.findPrefix(r.Prefix)
 	if p == nil {
 		return port.FeedReply{}, ErrNotReader
 	}
-	late := h.clock.After(r.Wait)
+	timeout := s.clock.After(r.Wait)
 	for waiting := true; ; {
-		if !p.direct() {
+		if !p.fromStore() {
 			return port.FeedReply{}, ErrNotReader
 		}
-		// The age comes first: the changes are at least as new as the picture that
-		// was confirmed.
-		age := h.age()
-		if age > serveAge {
+		// The age is read before the changes, so that the changes are at least as new
+		// as the view that was confirmed.
+		confirmationAge := s.confirmationAge()
+		if confirmationAge > maxConfirmationAge {
 			return port.FeedReply{}, ErrStale
 		}
-		changes, at, known, next := p.log.Since(r.Prefix, r.After)
+		changes, revision, known, next := p.log.Since(r.Prefix, r.After)
 		switch {
 		case !known:
 			return port.FeedReply{}, ErrGap
 		case len(changes) > 0 || !waiting:
-			return port.FeedReply{Changes: changes, At: at, Age: age}, nil
+			return port.FeedReply{Changes: changes, At: revision, Age: confirmationAge}, nil
 		}
 		select {
 		case <-next:
-		case <-late:
+		case <-timeout:
 			waiting = false
 		case <-ctx.Done():
 			return port.FeedReply{}, ctx.Err()
--- a/internal/app/feed/source.go
+++ b/internal/app/feed/source.go
@@ -14,47 +14,50 @@
 )
 
 const (
-	// avoidTime is the time for which a reader is not asked that could not be
-	// reached, and refusedTime the same for one that has nothing to pass on. The
-	// latter is below stagger, after which the next reader may have something.
-	avoidTime   = 2 * time.Second
-	refusedTime = 80 * time.Millisecond
-	// directWait bounds a wait for changes at the store while there are readers,
-	// which are to be asked again soon.
-	directWait = 3 * time.Second
-	// stagger is the time by which each reader's followers wait longer than those
-	// of the one before it, before they read the store. The next reader starts to
-	// read it meanwhile.
-	stagger = 100 * time.Millisecond
-	// patientTime is the time for which a patient prefix is not read from the store
-	// although there are readers.
-	patientTime = 6 * time.Second
-	// patientRetry is the pause between two tries to read such a prefix.
-	patientRetry = 500 * time.Millisecond
+	// unreachablePause is the time for which a reader is not asked after a failed
+	// call, and refusedPause the time after it refused a request. refusedPause is
+	// below takeoverStagger, after which the next reader may have taken over.
+	unreachablePause = 2 * time.Second
+	refusedPause     = 80 * time.Millisecond
+	// storeWaitWithReaders bounds the wait for changes at the store while there are
+	// readers, so that the readers are asked again soon.
+	storeWaitWithReaders = 3 * time.Second
+	// takeoverStagger is the delay per known reader before a follower that lost its
+	// reader reads the store itself. Within that time the next reader starts to read
+	// the store.
+	takeoverStagger = 100 * time.Millisecond
+	// preferReadersTime is the time for which the readers of a prefix with
+	// PreferReaders are asked before the store is read.
+	preferReadersTime = 6 * time.Second
+	// readerRetryPause is the pause between two such attempts.
+	readerRetryPause = 500 * time.Millisecond
 )
 
-// Prefix says how a prefix is read from other processes.
-type Prefix struct {
-	// Wait is the longest time that a reader is asked to wait for changes. Each
-	// reply also says how old the reader's picture is.
+// PrefixOptions says how a prefix is read from other processes and from the store.
+type PrefixOptions struct {
+	// Wait is the longest time that a reader is asked to wait for changes. It also
+	// bounds the time between two replies, each of which carries the age of the
+	// reader's last confirmation.
 	Wait time.Duration
-	// Direct bounds a wait at the store, or is zero. A connection that went silent is
-	// noticed after that, by the process and by those that follow it.
-	Direct time.Duration
-	// Patient prefixes are large and not urgent: while there are readers, the store
-	// is read only after all of them failed for a while.
-	Patient bool
+	// MaxStoreWait bounds the wait for changes at the store, unless it is zero. It is
+	// the time after which this process and its followers notice that the connection
+	// to the store went silent.
+	MaxStoreWait time.Duration
+	// PreferReaders is set for a prefix that is large and not urgent: while there are
+	// readers, the store is read only after all of them failed for preferReadersTime.
+	PreferReaders bool
 }
 
-// Clock also gives a time that goes on while the machine is suspended.
+// Clock is a port.Clock with a second time source that also advances while the
+// machine is suspended.
 type Clock interface {
 	port.Clock
 	// SinceBoot returns the time since the machine started.
 	SinceBoot() time.Duration
 }
 
-// Source is a store whose changes are read from other processes as far as
-// possible. All other calls go to the store.
+// Source is a store whose changes are read from other processes where possible and
+// otherwise from the underlying store. All other calls go to the underlying store.
 type Source struct {
 	port.Store
 	client port.FeedClient
@@ -63,47 +66,48 @@
 	// readers returns the processes to ask, in order.
 	readers func() []core.Member
 
-	state    *shard.Map[string, prefixState] // by prefix
-	avoid    *shard.Map[fleet.Address, time.Time]
-	prefixes map[string]Prefix
+	state     *shard.Map[string, prefixState] // by prefix
+	skipUntil *shard.Map[fleet.Address, time.Time]
+	prefixes  map[string]PrefixOptions
 }
 
 // prefixState says where a prefix was last read.
 type prefixState struct {
-	// fed is set if another process passed the changes on.
-	fed bool
+	// fromReader is set if the changes came from another process.
+	fromReader bool
 	// confirmed is the time since boot at which the store confirmed what that
 	// process knows.
-	confirmed time.Duration
+	confirmedAt time.Duration
 }
 
-// NewSource returns a source. readers must not block.
-func NewSource(s port.Store, c port.FeedClient, clock Clock, log *logging.Logger, readers func() []core.Member, prefixes map[string]Prefix) *Source {
+// NewSource returns a source that reads from the given readers before it reads from
+// store s. readers must not block.
+func NewSource(s port.Store, c port.FeedClient, clock Clock, log *logging.Logger, readers func() []core.Member, prefixes map[string]PrefixOptions) *Source {
 	return &Source{
 		Store: s, client: c, clock: clock, log: log, readers: readers,
-		state: shard.New[string, prefixState](0), avoid: shard.New[fleet.Address, time.Time](0), prefixes: prefixes,
+		state: shard.New[string, prefixState](0), skipUntil: shard.New[fleet.Address, time.Time](0), prefixes: prefixes,
 	}
 }
 
-// Fed reports whether another process passed the last changes of a prefix on, and
-// the time since boot at which the store confirmed them.
-func (s *Source) Fed(prefix string) (confirmed time.Duration, fed bool) {
+// FromReader reports whether the last changes of a prefix came from another process,
+// and the time since boot at which the store confirmed them.
+func (s *Source) FromReader(prefix string) (confirmedAt time.Duration, fromReader bool) {
 	st, _ := s.state.Get(prefix)
-	return st.confirmed, st.fed
+	return st.confirmedAt, st.fromReader
 }
 
-// Direct reports whether the prefix is read from the store.
-func (s *Source) Direct(prefix string) bool {
+// FromStore reports whether the prefix was last read from the store.
+func (s *Source) FromStore(prefix string) bool {
 	st, ok := s.state.Get(prefix)
-	return ok && !st.fed
+	return ok && !st.fromReader
 }
 
-// List implements port.Store. A listing is that of the store: one of another
-// process may be older than what is known here, which matters only for prefixes
-// that are not urgent.
+// List implements port.Store. It reads from the store, because the state of another
+// process may be older than what this process knows. Only prefixes with
+// PreferReaders, which are not urgent, are listed from readers.
 func (s *Source) List(ctx context.Context, prefix string) ([]port.Item, int64, error) {
-	if s.prefixes[prefix].Patient {
-		if reply, ok := s.patiently(ctx, port.FeedRequest{Prefix: prefix, After: core.All}); ok {
+	if s.prefixes[prefix].PreferReaders {
+		if reply, ok := s.askRepeatedly(ctx, port.FeedRequest{Prefix: prefix, After: core.FromStart}); ok {
 			var items []port.Item
 			for _, c := range changesOf(reply) {
 				items = append(items, c.Item)
@@ -111,11 +115,11 @@
 			return items, reply.At, nil
 		}
 	}
-	items, at, err := s.Store.List(ctx, prefix)
+	items, revision, err := s.Store.List(ctx, prefix)
 	if err == nil {
 		s.state.Put(prefix, prefixState{})
 	}
-	return items, at, err
+	return items, revision, err
 }
 
 // Changes implements port.Store.
@@ -125,48 +129,49 @@
 	if p.Wait > 0 {
 		r.Wait = min(wait, p.Wait)
 	}
-	reply, ok := s.ask(ctx, r)
-	_, fed := s.Fed(prefix)
+	reply, ok := s.askReaders(ctx, r)
+	_, fromReader := s.FromReader(prefix)
 	readers := len(s.readers())
 	switch {
 	case ok:
-	case p.Patient:
-		reply, ok = s.patiently(ctx, r)
-	case fed && readers > 0:
-		// The other followers of the same readers lost them as well.
-		s.sleep(ctx, time.Duration(readers)*stagger)
-		reply, ok = s.ask(ctx, r)
+	case p.PreferReaders:
+		reply, ok = s.askRepeatedly(ctx, r)
+	case fromReader && readers > 0:
+		// The other followers of these readers lost them too; the next reader of the
+		// domain is about to take over.
+		s.sleep(ctx, time.Duration(readers)*takeoverStagger)
+		reply, ok = s.askReaders(ctx, r)
 	}
 	if ok {
 		return changesOf(reply), max(after, reply.At), nil
 	}
 	if readers > 0 {
-		wait = min(wait, directWait)
+		wait = min(wait, storeWaitWithReaders)
 	}
-	if p.Direct > 0 {
-		wait = min(wait, p.Direct)
+	if p.MaxStoreWait > 0 {
+		wait = min(wait, p.MaxStoreWait)
 	}
-	// From here on others may follow: what is known is complete, and the next change
-	// comes from the store.
+	// From here on other processes may follow this one: its state is complete, and
+	// the next change comes from the store.
 	s.state.Put(prefix, prefixState{})
 	return s.Store.Changes(ctx, prefix, after, wait)
 }
 
-// patiently asks until a reader answers, or all have failed for a while.
-func (s *Source) patiently(ctx context.Context, r port.FeedRequest) (port.FeedReply, bool) {
-	for end := s.clock.Now().Add(patientTime); len(s.readers()) > 0 && s.clock.Now().Before(end) && ctx.Err() == nil; {
-		if reply, ok := s.ask(ctx, r); ok {
+// askRepeatedly asks the readers until one replies, for at most preferReadersTime.
+func (s *Source) askRepeatedly(ctx context.Context, r port.FeedRequest) (port.FeedReply, bool) {
+	for end := s.clock.Now().Add(preferReadersTime); len(s.readers()) > 0 && s.clock.Now().Before(end) && ctx.Err() == nil; {
+		if reply, ok := s.askReaders(ctx, r); ok {
 			return reply, true
 		}
-		s.sleep(ctx, patientRetry)
+		s.sleep(ctx, readerRetryPause)
 	}
 	return port.FeedReply{}, false
 }
 
-// ask asks the readers in order.
-func (s *Source) ask(ctx context.Context, r port.FeedRequest) (port.FeedReply, bool) {
+// askReaders asks the readers in order and returns the first reply.
+func (s *Source) askReaders(ctx context.Context, r port.FeedRequest) (port.FeedReply, bool) {
 	for _, m := range s.readers() {
-		if until, ok := s.avoid.Get(m.Address); ok && s.clock.Now().Before(until) {
+		if until, ok := s.skipUntil.Get(m.Address); ok && s.clock.Now().Before(until) {
 			continue
 		}
 		start := s.clock.SinceBoot()
@@ -175,10 +180,10 @@
 			return reply, false
 		}
 		if err == nil {
-			s.took(r.Prefix, m, start-reply.Age)
+			s.readerAnswered(r.Prefix, m, start-reply.Age)
 			return reply, true
 		}
-		s.lost(r.Prefix, m, err)
+		s.readerFailed(r.Prefix, m, err)
 	}
 	return port.FeedReply{}, false
 }
@@ -190,22 +195,22 @@
 	}
 }
 
-func (s *Source) lost(prefix string, m core.Member, err error) {
-	pause := avoidTime
+func (s *Source) readerFailed(prefix string, m core.Member, err error) {
+	pause := unreachablePause
 	if errors.Is(err, port.ErrFeedRefused) {
-		pause = refusedTime
+		pause = refusedPause
 	}
-	s.avoid.Put(m.Address, s.clock.Now().Add(pause))
-	if _, fed := s.Fed(prefix); fed {
+	s.skipUntil.Put(m.Address, s.clock.Now().Add(pause))
+	if _, fromReader := s.FromReader(prefix); fromReader {
 		s.log.Fault("lost the reader", err, logging.F("prefix", prefix), logging.F("reader", m.ID))
 	}
 }
 
-func (s *Source) took(prefix string, m core.Member, confirmed time.Duration) {
-	if _, fed := s.Fed(prefix); !fed {
+func (s *Source) readerAnswered(prefix string, m core.Member, confirmedAt time.Duration) {
+	if _, fromReader := s.FromReader(prefix); !fromReader {
 		s.log.State("following a reader", logging.F("prefix", prefix), logging.F("reader", m.ID))
 	}
-	s.state.Put(prefix, prefixState{fed: true, confirmed: confirmed})
+	s.state.Put(prefix, prefixState{fromReader: true, confirmedAt: confirmedAt})
 }
 
 func changesOf(r port.FeedReply) []port.Change {
--- a/internal/app/follow/follow.go
+++ b/internal/app/follow/follow.go
@@ -1,5 +1,6 @@
-// Package follow keeps up with the items under a prefix of the platform's
-// store, through outages and lost history.
+// Package follow reports all changes of the items under a prefix of the platform's
+// store. It continues after outages of the store, and lists the prefix again after
+// the store dropped part of its history.
 package follow
 
 import (
@@ -14,48 +15,50 @@
 )
 
 const (
-	// settleTime is the time after a listing in which changes are read soon: at the
-	// start of a deployment, and after a loss of power, many come together.
+	// settleTime is the time after a listing in which changes are read at short
+	// intervals, because many changes come together at the start of a deployment and
+	// after a loss of power.
 	settleTime = 4 * time.Second
-	// settlePause is the longest pause between two calls within that time.
-	settlePause = 500 * time.Millisecond
-	// retryMin and retryMax bound the pause after a failed call. The store
-	// counts refused calls as well.
+	// maxSettleDelay is the longest pause between two calls within settleTime.
+	maxSettleDelay = 500 * time.Millisecond
+	// retryMin and retryMax bound the pause after a failed call, which doubles with
+	// each failure. The store counts refused calls as well.
 	retryMin = 100 * time.Millisecond
 	retryMax = time.Second
 )
 
-// Event is news of a prefix. With Reset, Changes are all items that exist, and
-// all others are gone.
+// Event reports changes under a prefix. If Reset is set, Changes holds all items
+// that exist, and all other items are gone.
 type Event struct {
 	Reset   bool
 	Changes []port.Change
-	// At is the revision of a listing.
+	// At is the revision of the listing if Reset is set.
 	At int64
 }
 
-// Follower reads one prefix.
+// Follower reads the changes under one prefix.
 type Follower struct {
 	Store  port.Store
 	Prefix string
 	// Wait is the longest time that a call waits for changes.
 	Wait time.Duration
-	// Pause returns the time between two calls, in which changes collect.
-	Pause func() time.Duration
-	// Applied is called after each answer of the store was applied, also after one
-	// without changes, with the revision up to which all changes are known. It may be
+	// BatchDelay returns the pause between two calls. The changes within it are read
+	// with one call.
+	BatchDelay func() time.Duration
+	// OnRevision is called after each response of the store was applied, also if it
+	// held no changes, with the revision up to which all changes are known. It may be
 	// nil.
-	Applied func(at int64)
-	Clock   port.Clock
-	Log     *logging.Logger
+	OnRevision func(revision int64)
+	Clock      port.Clock
+	Log        *logging.Logger
 
-	relist chan struct{}
-	lost   bool
+	relist    chan struct{}
+	storeLost bool
 }
 
-// New returns a follower of a prefix.
-func New(s port.Store, prefix string, wait time.Duration, pause func() time.Duration, c port.Clock, l *logging.Logger) *Follower {
-	return &Follower{Store: s, Prefix: prefix, Wait: wait, Pause: pause, Clock: c, Log: l, relist: make(chan struct{}, 1)}
+// New returns a follower of a prefix. See the fields of Follower for the parameters.
+func New(s port.Store, prefix string, wait time.Duration, batchDelay func() time.Duration, c port.Clock, l *logging.Logger) *Follower {
+	return &Follower{Store: s, Prefix: prefix, Wait: wait, BatchDelay: batchDelay, Clock: c, Log: l, relist: make(chan struct{}, 1)}
 }
 
 // Relist makes the follower list the prefix again.
@@ -66,67 +69,70 @@
 	}
 }
 
-// Run calls apply with each event until ctx ends.
+// Run lists the prefix, then reads its changes, and calls apply with each event until
+// ctx ends.
 func (f *Follower) Run(ctx context.Context, apply func(Event)) {
 	pause := retryMin
 	for ctx.Err() == nil {
-		items, at, err := f.Store.List(ctx, f.Prefix)
+		items, revision, err := f.Store.List(ctx, f.Prefix)
 		if err != nil {
-			f.failed(ctx, err)
+			f.markLost(ctx, err)
 			f.sleep(ctx, pause)
 			pause = min(2*pause, retryMax)
 			continue
 		}
 		pause = retryMin
-		f.regained(at)
-		e := Event{Reset: true, At: at}
+		f.markRegained(revision)
+		e := Event{Reset: true, At: revision}
 		for _, it := range items {
 			e.Changes = append(e.Changes, port.Change{Item: it})
 		}
 		apply(e)
-		f.watch(ctx, at, apply)
+		f.watch(ctx, revision, apply)
 	}
 }
 
-// watch applies changes until the prefix has to be listed again.
-func (f *Follower) watch(ctx context.Context, at int64, apply func(Event)) {
+// watch applies the changes after a listing at the given revision, until the prefix
+// has to be listed again.
+func (f *Follower) watch(ctx context.Context, revision int64, apply func(Event)) {
 	pause := retryMin
 	listed := f.Clock.Now()
 	for ctx.Err() == nil {
-		changes, next, err := f.changes(ctx, at)
+		changes, next, err := f.changes(ctx, revision)
 		switch {
 		case errors.Is(err, port.ErrHistoryGone), errors.Is(err, errRelist):
-			f.Log.State("listing again", logging.F("prefix", f.Prefix), logging.F("after", at), logging.F("reason", err.Error()))
+			f.Log.State("listing again", logging.F("prefix", f.Prefix), logging.F("after", revision), logging.F("reason", err.Error()))
 			return
 		case err != nil:
-			f.failed(ctx, err)
+			f.markLost(ctx, err)
 			f.sleep(ctx, pause)
 			pause = min(2*pause, retryMax)
 			continue
 		}
 		pause = retryMin
-		f.regained(next)
-		at = next
+		f.markRegained(next)
+		revision = next
 		if len(changes) > 0 {
 			apply(Event{Changes: changes})
 		}
-		if f.Applied != nil {
-			f.Applied(at)
+		if f.OnRevision != nil {
+			f.OnRevision(revision)
 		}
 		if len(changes) > 0 {
-			pause := f.Pause()
+			pause := f.BatchDelay()
 			if f.Clock.Now().Sub(listed) < settleTime {
-				pause = min(pause, settlePause)
+				pause = min(pause, maxSettleDelay)
 			}
 			f.sleep(ctx, pause)
 		}
 	}
 }
 
-var errRelist = errors.New("picture differs from the store")
+var errRelist = errors.New("view differs from the store")
 
-// changes makes one call, which Relist ends early.
-func (f *Follower) changes(ctx context.Context, at int64) (changes []port.Change, next int64, err error) {
+// changes makes one call for the changes after a revision. Relist ends it early
+// with errRelist.
+func (f *Follower) changes(ctx context.Context, revision int64) (changes []port.Change, next int64, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -134,7 +140,7 @@
 	done := make(chan struct{})
 	wg.Go(func() {
 		defer close(done)
-		changes, next, err = f.Store.Changes(ctx, f.Prefix, at, f.Wait)
+		changes, next, err = f.Store.Changes(ctx, f.Prefix, revision, f.Wait)
 	})
 	select {
 	case <-done:
@@ -142,21 +148,21 @@
 	case <-f.relist:
 		cancel()
 		<-done
-		return nil, at, errRelist
+		return nil, revision, errRelist
 	}
 }
 
-func (f *Follower) failed(ctx context.Context, err error) {
-	if !f.lost && ctx.Err() == nil {
-		f.lost = true
+func (f *Follower) markLost(ctx context.Context, err error) {
+	if !f.storeLost && ctx.Err() == nil {
+		f.storeLost = true
 		f.Log.Fault("lost the store", err, logging.F("prefix", f.Prefix))
 	}
 }
 
-func (f *Follower) regained(at int64) {
-	if f.lost {
-		f.lost = false
-		f.Log.State("regained the store", logging.F("prefix", f.Prefix), logging.F("revision", at))
+func (f *Follower) markRegained(revision int64) {
+	if f.storeLost {
+		f.storeLost = false
+		f.Log.State("regained the store", logging.F("prefix", f.Prefix), logging.F("revision", revision))
 	}
 }
 
--- a/internal/app/follow/follow_test.go
+++ b/internal/app/follow/follow_test.go
@@ -15,45 +15,45 @@
 	"github.com/masticwing/masticwing/internal/port/porttest"
 )
 
-// picture is what a follower's events say.
-type picture struct {
-	mu sync.Mutex
-	m  map[string]string
+// view is the state of the keys according to the events of a follower.
+type view struct {
+	mu     sync.Mutex
+	values map[string]string
 }
 
-func (p *picture) apply(e Event) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (v *view) apply(e Event) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
 	if e.Reset {
-		p.m = map[string]string{}
+		v.values = map[string]string{}
 	}
 	for _, c := range e.Changes {
 		if c.Removed {
-			delete(p.m, c.Key)
+			delete(v.values, c.Key)
 		} else {
-			p.m[c.Key] = string(c.Value)
+			v.values[c.Key] = string(c.Value)
 		}
 	}
 }
 
-func (p *picture) wait(t *testing.T, want string) {
+func (v *view) wait(t *testing.T, want string) {
 	t.Helper()
 	got := ""
 	for start := time.Now(); time.Since(start) < 5*time.Second; time.Sleep(5 * time.Millisecond) {
-		p.mu.Lock()
-		got = fmt.Sprint(p.m)
-		p.mu.Unlock()
+		v.mu.Lock()
+		got = fmt.Sprint(v.values)
+		v.mu.Unlock()
 		if got == want {
 			return
 		}
 	}
-	t.Fatalf("picture %s, want %s", got, want)
+	t.Fatalf("view %s, want %s", got, want)
 }
 
-// TestFollowsThroughTrouble guards against a picture that misses a change: during
-// an outage, while the store drops its history, and one that no watch reports.
-func TestFollowsThroughTrouble(t *testing.T) {
-	s, p := porttest.NewStore(), &picture{}
+// TestFollowsThroughOutages guards against a view that misses a change: one during
+// an outage, one whose history the store dropped, and one that no watch reports.
+func TestFollowsThroughOutages(t *testing.T) {
+	s, v := porttest.NewStore(), &view{}
 	f := New(s, "p/", time.Second, func() time.Duration { return time.Millisecond }, sysclock.Clock{}, logging.New(io.Discard, "x", "1"))
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
@@ -61,27 +61,27 @@
 	defer cancel()
 	s.Put("p/a", "1")
 	s.Put("q/a", "1")
-	wg.Go(func() { f.Run(ctx, p.apply) })
-	p.wait(t, "map[p/a:1]")
+	wg.Go(func() { f.Run(ctx, v.apply) })
+	v.wait(t, "map[p/a:1]")
 	s.Put("p/b", "2")
-	p.wait(t, "map[p/a:1 p/b:2]")
+	v.wait(t, "map[p/a:1 p/b:2]")
 	s.SetDown(true)
 	time.Sleep(50 * time.Millisecond)
 	s.Put("p/a", "3")
 	s.SetDown(false)
-	p.wait(t, "map[p/a:3 p/b:2]")
+	v.wait(t, "map[p/a:3 p/b:2]")
 	s.Silently("p/c", "4")
 	s.Forget()
-	p.wait(t, "map[p/a:3 p/b:2 p/c:4]")
+	v.wait(t, "map[p/a:3 p/b:2 p/c:4]")
 	s.Silently("p/d", "5")
 	f.Relist()
-	p.wait(t, "map[p/a:3 p/b:2 p/c:4 p/d:5]")
+	v.wait(t, "map[p/a:3 p/b:2 p/c:4 p/d:5]")
 }
 
-// TestDownStoreIsNotHammered guards against calls in quick succession, which the
-// store counts and refuses. The pauses double from 0.1 s, so that 1.2 s have room
-// for five calls.
-func TestDownStoreIsNotHammered(t *testing.T) {
+// TestRetryBackoff guards against calls in quick succession to a store that is down,
+// which counts and refuses them. The pauses double from 0.1 s, so that at most five
+// calls fit into 1.2 s.
+func TestRetryBackoff(t *testing.T) {
 	s := porttest.NewStore()
 	f := New(s, "p/", time.Second, func() time.Duration { return time.Millisecond }, sysclock.Clock{}, logging.New(io.Discard, "x", "1"))
 	ctx, cancel := context.WithTimeout(context.Background(), 1200*time.Millisecond)
--- a/internal/app/gateway/follow.go
+++ b/internal/app/gateway/follow.go
@@ -56,7 +56,7 @@
 // the store.
 func (g *Gateway) follower(prefix string, pause time.Duration) *follow.Follower {
 	between := func() time.Duration {
-		if g.source.Direct(prefix) {
+		if g.source.FromStore(prefix) {
 			return pause
 		}
 		return fedPause
@@ -68,8 +68,8 @@
 // takes them in. Others get news no later than this gateway, since they take its
 // confirmations for theirs.
 func (g *Gateway) serve(f *follow.Follower, apply func(follow.Event)) func(follow.Event) {
-	pass, seen := g.hub.Serve(f.Prefix, func() bool { return !g.closing.Load() && g.source.Direct(f.Prefix) })
-	f.Applied = func(at int64) {
+	pass, seen := g.hub.AddPrefix(f.Prefix, func() bool { return !g.closing.Load() && g.source.FromStore(f.Prefix) })
+	f.OnRevision = func(at int64) {
 		seen(at)
 		if f == g.operator {
 			g.confirmFed()
@@ -132,7 +132,7 @@
 // confirmDue returns the time until the next check.
 func (g *Gateway) confirmDue() time.Duration {
 	every := confirmEvery
-	if g.hub.Serving() {
+	if g.hub.HasFollowers() {
 		every = confirmServing
 	}
 	return every - g.pictureAge()
@@ -140,7 +140,7 @@
 
 // confirmFed takes over the confirmation of the gateway that this one follows.
 func (g *Gateway) confirmFed() {
-	at, fed := g.source.Fed(g.operator.Prefix)
+	at, fed := g.source.FromReader(g.operator.Prefix)
 	if old := g.confirmed.Load(); fed && int64(at) > old {
 		g.confirmed.CompareAndSwap(old, int64(at))
 	}
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -48,7 +48,7 @@
 	refusing  atomic.Bool
 	active    *inflight.Counter
 	source    *feed.Source
-	hub       *feed.Hub
+	hub       *feed.Server
 	operator  *follow.Follower
 	// applyOperator takes in news of the operators' keys.
 	applyOperator func(follow.Event)
@@ -68,12 +68,12 @@
 	}
 	ps := d.Facts.Prefixes()
 	readers := func() []core.Member { return *g.picture.readers.Load() }
-	g.source = feed.NewSource(d.Store, d.Feed, d.Clock, d.Log, readers, map[string]feed.Prefix{
-		ps.Operator: {Wait: feedWaitOperator, Direct: directWaitOperator},
-		ps.Targets:  {Wait: feedWaitTargets, Direct: directWaitTargets},
-		ps.Members:  {Wait: feedWaitMembers, Direct: directWaitMembers},
+	g.source = feed.NewSource(d.Store, d.Feed, d.Clock, d.Log, readers, map[string]feed.PrefixOptions{
+		ps.Operator: {Wait: feedWaitOperator, MaxStoreWait: directWaitOperator},
+		ps.Targets:  {Wait: feedWaitTargets, MaxStoreWait: directWaitTargets},
+		ps.Members:  {Wait: feedWaitMembers, MaxStoreWait: directWaitMembers},
 	})
-	g.hub = feed.NewHub(d.Clock, g.pictureAge)
+	g.hub = feed.NewServer(d.Clock, g.pictureAge)
 	g.operator = g.follower(ps.Operator, operatorPause)
 	g.applyOperator = g.serve(g.operator, func(e follow.Event) {
 		at := d.Clock.SinceBoot()
--- a/internal/app/gateway/gauges.go
+++ b/internal/app/gateway/gauges.go
@@ -24,7 +24,7 @@
 	m.Gauge("gateway_requests_in_progress", float64(g.active.Count()))
 	m.Gauge("gateway_processes", g.picture.processes())
 	following := 0.0
-	if _, fed := g.source.Fed(g.operator.Prefix); fed {
+	if _, fed := g.source.FromReader(g.operator.Prefix); fed {
 		following = 1
 	}
 	m.Gauge("gateway_follows_reader", following)
--- a/internal/app/loader/loader.go
+++ b/internal/app/loader/loader.go
@@ -71,9 +71,9 @@
 		InRate: int64(inShare * float64(s.Link)), OutRate: int64(outShare * float64(s.Link)),
 	}, chunks.Deps{Peers: d.Peers, Origin: o, Clock: d.Clock, Metrics: d.Metrics, Members: v.peers, OriginRate: v.originRate})
 	ps := d.Facts.Prefixes()
-	source := feed.NewSource(d.Store, d.Feed, d.Clock, d.Log, v.readers, map[string]feed.Prefix{
-		ps.Weights: {Wait: feedWaitWeights, Direct: directWaitWeights}, ps.Config: {Wait: feedWait, Patient: true},
-		ps.Members: {Wait: feedWait, Direct: directWaitMembers},
+	source := feed.NewSource(d.Store, d.Feed, d.Clock, d.Log, v.readers, map[string]feed.PrefixOptions{
+		ps.Weights: {Wait: feedWaitWeights, MaxStoreWait: directWaitWeights}, ps.Config: {Wait: feedWait, PreferReaders: true},
+		ps.Members: {Wait: feedWait, MaxStoreWait: directWaitMembers},
 	})
 	return &Loader{set: s, deps: d, view: v, origin: o, chunks: f, source: source}
 }
--- a/internal/core/feed/feed.go
+++ b/internal/core/feed/feed.go
@@ -1,7 +1,8 @@
-// Package feed decides who reads the platform's store for whom, and what a reader
-// passes on. In each failure domain the first gateway reads the store and the
-// other processes of the domain follow it, so that the calls to the store and the
-// bytes between regions grow with the domains and not with the processes.
+// Package feed decides which processes read changes from the platform's store and
+// which changes a reader forwards to others. In each failure domain the first
+// gateway reads the store and the other processes of the domain follow it, so that
+// the calls to the store and the traffic between regions grow with the number of
+// domains and not with the number of processes.
 package feed
 
 import (
@@ -18,11 +19,11 @@
 	ID      string
 	Domain  fleet.Domain
 	Address fleet.Address
-	// Gateway is set for processes that others may follow.
+	// Gateway is set if the process is a gateway, which others may follow.
 	Gateway bool
 }
 
-// Change is the newest state of a key. Removed keys have no value.
+// Change is the newest state of a key. A removed key has no value.
 type Change struct {
 	Key      string
 	Value    []byte
@@ -30,14 +31,14 @@
 	Removed  bool
 }
 
-// readersAsked bounds the readers that a process asks before it reads the store
-// itself. Of a third of the VMs that are cut off, four hold one that is not in 99
-// of 100 cases.
-const readersAsked = 4
+// maxReaders bounds the readers that a process asks before it reads the store
+// itself. If a third of the VMs are cut off, four readers include a reachable one
+// in 99 of 100 cases.
+const maxReaders = 4
 
-// Readers returns the gateways of its failure domain that the process self asks
-// for changes, in order. It returns none for the first gateway, which reads the
-// store.
+// Readers returns the gateways of its own failure domain that the process self
+// asks for changes, in order. A gateway asks only gateways with a lower ID, so the
+// first one gets an empty list and reads the store.
 func Readers(self Member, members []Member) []Member {
 	var out []Member
 	for _, m := range members {
@@ -49,24 +50,24 @@
 	if self.Gateway {
 		out = slices.DeleteFunc(out, func(m Member) bool { return m.ID > self.ID })
 	}
-	return out[:min(readersAsked, len(out))]
+	return out[:min(maxReaders, len(out))]
 }
 
-// removedKept bounds the removed keys that a log keeps. A burst of a few hundred
-// targets that leave at a time has to fit.
-const removedKept = 2048
+// maxRemovedKeys bounds the removed keys that a log keeps. It must hold the keys of
+// a few hundred targets that leave at the same time.
+const maxRemovedKeys = 2048
 
 // Log holds the newest state of each key under a prefix, so that a process that
-// missed changes gets only the last one of each key. One lock guards it.
+// missed changes gets only the last change of each key. One lock guards all fields.
 type Log struct {
-	mu     sync.Mutex
-	listed bool
-	at     int64
-	// floor is the revision from which on all changes are known.
-	floor   int64
-	keys    map[string]Change
-	removed []string // in the order of removal
-	changed chan struct{}
+	mu       sync.Mutex
+	listed   bool
+	revision int64
+	// completeAfter is the revision after which all changes are known.
+	completeAfter int64
+	keys          map[string]Change
+	removed       []string // in the order of removal
+	changed       chan struct{}
 }
 
 // NewLog returns an empty log.
@@ -74,9 +75,9 @@
 	return &Log{keys: map[string]Change{}, changed: make(chan struct{})}
 }
 
-// List takes in all items that exist at a revision. Keys that are missing count
-// as removed at it.
-func (l *Log) List(items []Change, at int64) {
+// ApplyListing applies a listing of all items that exist at a revision. Known keys
+// that it lacks are recorded as removed at that revision.
+func (l *Log) ApplyListing(items []Change, revision int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	exists := map[string]bool{}
@@ -85,34 +86,35 @@
 		l.put(c)
 	}
 	for k, c := range l.keys {
-		if !exists[k] && !c.Removed && c.Revision <= at {
-			l.put(Change{Key: k, Revision: at, Removed: true})
+		if !exists[k] && !c.Removed && c.Revision <= revision {
+			l.put(Change{Key: k, Revision: revision, Removed: true})
 		}
 	}
 	if !l.listed {
-		l.listed, l.floor = true, at
+		l.listed, l.completeAfter = true, revision
 	}
-	l.advance(at)
+	l.advance(revision)
 }
 
-// Add takes in changes.
-func (l *Log) Add(changes []Change) {
+// ApplyChanges applies changes that follow the revision of the log.
+func (l *Log) ApplyChanges(changes []Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := l.at
+	revision := l.revision
 	for _, c := range changes {
 		l.put(c)
-		at = max(at, c.Revision)
+		revision = max(revision, c.Revision)
 	}
-	l.advance(at)
+	l.advance(revision)
 }
 
-// Seen takes in that there are no other changes up to a revision. Those who follow
-// go on from it: the store may have dropped the history since the last change.
-func (l *Log) Seen(at int64) {
+// AdvanceTo records that there are no other changes up to a revision. Followers
+// continue from it, because the store may have dropped its history since the last
+// change.
+func (l *Log) AdvanceTo(revision int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.at = max(l.at, at)
+	l.revision = max(l.revision, revision)
 }
 
 func (l *Log) put(c Change) {
@@ -125,40 +127,41 @@
 		return
 	}
 	l.removed = append(l.removed, c.Key)
-	for len(l.removed) > removedKept {
+	for len(l.removed) > maxRemovedKeys {
 		k := l.removed[0]
 		l.removed = l.removed[1:]
 		if x := l.keys[k]; x.Removed {
 			delete(l.keys, k)
-			l.floor = max(l.floor, x.Revision)
+			l.completeAfter = max(l.completeAfter, x.Revision)
 		}
 	}
 }
 
-// advance moves the log to a revision and wakes those who wait.
-func (l *Log) advance(at int64) {
-	l.at = max(l.at, at)
+// advance raises the revision of the log and wakes the callers that wait for a
+// change.
+func (l *Log) advance(revision int64) {
+	l.revision = max(l.revision, revision)
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// All is a revision before any other: with it, Since returns all that exists.
-const All = -1
+// FromStart is a revision before any other. Since then returns all existing keys.
+const FromStart = -1
 
 // Since returns the newest state of each key under a prefix that changed after a
-// revision, and the revision to go on from. known is false if changes after the
-// revision may be missing. next is closed with the next change of any key.
-func (l *Log) Since(prefix string, after int64) (changes []Change, at int64, known bool, next <-chan struct{}) {
+// revision, and the revision to continue from. known is false if changes after the
+// revision may be missing. next is closed on the next change of any key.
+func (l *Log) Since(prefix string, after int64) (changes []Change, revision int64, known bool, next <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.listed || after < l.floor && after != All {
+	if !l.listed || after < l.completeAfter && after != FromStart {
 		return nil, 0, false, l.changed
 	}
 	for k, c := range l.keys {
-		if c.Revision > after && !(after == All && c.Removed) && strings.HasPrefix(k, prefix) {
+		if c.Revision > after && !(after == FromStart && c.Removed) && strings.HasPrefix(k, prefix) {
 			changes = append(changes, c)
 		}
 	}
 	slices.SortFunc(changes, func(a, b Change) int { return cmp.Compare(a.Revision, b.Revision) })
-	return changes, max(l.at, after), true, l.changed
+	return changes, max(l.revision, after), true, l.changed
 }
--- a/internal/core/feed/feed_test.go
+++ b/internal/core/feed/feed_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestReaders guards against two gateways of a domain that follow each other, and
-// against a process that follows one of another domain.
+// against a process that follows a gateway of another domain.
 func TestReaders(t *testing.T) {
 	ms := []Member{
 		{ID: "g3", Domain: "a", Gateway: true}, {ID: "g1", Domain: "a", Gateway: true}, {ID: "g2", Domain: "a", Gateway: true},
@@ -31,7 +31,7 @@
 	}
 }
 
-// apply makes the state of a follower.
+// apply applies changes to the state of a follower: the revision of each key.
 func apply(state map[string]int64, cs []Change) {
 	for _, c := range cs {
 		if c.Removed {
@@ -42,98 +42,100 @@
 	}
 }
 
-// TestFollowerConverges guards against a follower that misses a change or a
-// removal, whatever it missed before: listings, changes, and many removals.
+// TestFollowerConverges guards against a follower that misses a change or a removal
+// when the log is fed by any mix of listings and changes and the follower reads it
+// at irregular times.
 func TestFollowerConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, truth := NewLog(), map[string]int64{}
-		followed, at := map[string]int64{}, int64(0)
+		l, stored := NewLog(), map[string]int64{}
+		followed, revision := map[string]int64{}, int64(0)
 		list := func(rev int64) {
 			var all []Change
-			for k, r := range truth {
+			for k, r := range stored {
 				all = append(all, Change{Key: k, Revision: r})
 			}
-			l.List(all, rev)
+			l.ApplyListing(all, rev)
 		}
 		list(1)
 		for rev := int64(2); rev < 40; rev++ {
 			key := fmt.Sprint("p/", rapid.IntRange(0, 5).Draw(t, "key"))
-			_, exists := truth[key]
+			_, exists := stored[key]
 			var c Change
 			if exists && rapid.Bool().Draw(t, "remove") {
-				delete(truth, key)
+				delete(stored, key)
 				c = Change{Key: key, Revision: rev, Removed: true}
 			} else {
-				truth[key] = rev
+				stored[key] = rev
 				c = Change{Key: key, Revision: rev}
 			}
 			if rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
 				list(rev)
 			} else {
-				l.Add([]Change{c})
+				l.ApplyChanges([]Change{c})
 			}
 			if rapid.IntRange(0, 2).Draw(t, "read") > 0 {
 				continue
 			}
-			cs, next, known, _ := l.Since("p/", at)
+			cs, next, known, _ := l.Since("p/", revision)
 			if !known {
 				cs, next, _, _ = l.Since("p/", 1)
 				clear(followed)
 			}
 			apply(followed, cs)
-			at = next
-			if fmt.Sprint(followed) != fmt.Sprint(truth) {
-				t.Fatalf("follower has %v, want %v", followed, truth)
+			revision = next
+			if fmt.Sprint(followed) != fmt.Sprint(stored) {
+				t.Fatalf("follower has %v, want %v", followed, stored)
 			}
 		}
 	})
 }
 
-// TestForgottenRemovals guards against a follower that keeps a key whose removal
-// the log has dropped.
-func TestForgottenRemovals(t *testing.T) {
+// TestDroppedRemovals guards against a follower that keeps a key because the log
+// has dropped the removal of the key.
+func TestDroppedRemovals(t *testing.T) {
 	l := NewLog()
-	l.List([]Change{{Key: "p/0", Revision: 1}}, 1)
-	for i := range int64(removedKept + 1) {
+	l.ApplyListing([]Change{{Key: "p/0", Revision: 1}}, 1)
+	for i := range int64(maxRemovedKeys + 1) {
 		k := fmt.Sprint("p/", i)
-		l.Add([]Change{{Key: k, Revision: 2 + 2*i}})
-		l.Add([]Change{{Key: k, Revision: 3 + 2*i, Removed: true}})
+		l.ApplyChanges([]Change{{Key: k, Revision: 2 + 2*i}})
+		l.ApplyChanges([]Change{{Key: k, Revision: 3 + 2*i, Removed: true}})
 	}
 	if _, _, known, _ := l.Since("p/", 1); known {
 		t.Error("changes are complete although a removal was dropped")
 	}
-	if cs, _, known, _ := l.Since("p/", 3); !known || len(cs) != removedKept {
+	if cs, _, known, _ := l.Since("p/", 3); !known || len(cs) != maxRemovedKeys {
 		t.Errorf("%d changes, known %v", len(cs), known)
 	}
 }
 
-// TestPrefixes guards against a follower of a part that gets all keys, each of
-// which may have some hundred kilobytes.
+// TestPrefixes guards against a follower that asks for a narrower prefix and gets
+// all keys of the log, each of which may have some hundred kilobytes.
 func TestPrefixes(t *testing.T) {
 	l := NewLog()
 	if _, _, known, _ := l.Since("op/", 0); known {
 		t.Error("a log without a listing is complete")
 	}
-	l.List([]Change{{Key: "op/config", Revision: 3}, {Key: "op/version/m", Revision: 5}}, 6)
-	cs, at, known, next := l.Since("op/version/", 6)
-	if len(cs) != 0 || at != 6 || !known {
-		t.Errorf("changes %v at %d", cs, at)
+	l.ApplyListing([]Change{{Key: "op/config", Revision: 3}, {Key: "op/version/m", Revision: 5}}, 6)
+	cs, revision, known, next := l.Since("op/version/", 6)
+	if len(cs) != 0 || revision != 6 || !known {
+		t.Errorf("changes %v at %d", cs, revision)
 	}
-	l.Add([]Change{{Key: "op/version/m", Revision: 9}, {Key: "op/config", Revision: 8}})
+	l.ApplyChanges([]Change{{Key: "op/version/m", Revision: 9}, {Key: "op/config", Revision: 8}})
 	<-next
-	if cs, at, _, _ = l.Since("op/version/", 6); len(cs) != 1 || at != 9 {
-		t.Errorf("changes %v at %d", cs, at)
+	if cs, revision, _, _ = l.Since("op/version/", 6); len(cs) != 1 || revision != 9 {
+		t.Errorf("changes %v at %d", cs, revision)
 	}
 }
 
-// TestSeenRevisions guards against followers that all list a prefix when their
-// reader is lost, because the store has dropped the history after its last change.
-func TestSeenRevisions(t *testing.T) {
+// TestAdvanceWithoutChanges guards against followers that all list a prefix when
+// their reader is lost, because the store has dropped the history after its last
+// change.
+func TestAdvanceWithoutChanges(t *testing.T) {
 	l := NewLog()
-	l.List([]Change{{Key: "p/a", Revision: 3}}, 5)
-	l.Seen(90)
-	l.Seen(80)
-	if cs, at, known, _ := l.Since("p/", 5); at != 90 || len(cs) != 0 || !known {
-		t.Errorf("changes %v, go on from %d", cs, at)
+	l.ApplyListing([]Change{{Key: "p/a", Revision: 3}}, 5)
+	l.AdvanceTo(90)
+	l.AdvanceTo(80)
+	if cs, revision, known, _ := l.Since("p/", 5); revision != 90 || len(cs) != 0 || !known {
+		t.Errorf("changes %v, go on from %d", cs, revision)
 	}
 }
