--- a/internal/app/weights/fetch.go
+++ b/internal/app/weights/fetch.go
@@ -27,7 +27,7 @@
 	defer cancel()
 	var active, outside atomic.Int64
 	for {
-		if b.table.Held() == len(b.man.Chunks) {
+		if b.table.HeldCount() == len(b.man.Chunks) {
 			v.complete.Store(true)
 			v.setReason("")
 			signal(v.m.changed)
@@ -49,7 +49,7 @@
 	for active.Load() < int64(l.Total) {
 		now := v.m.deps.Clock.Now()
 		resort := active.Load() == 0 && v.still(now) > resortAfter
-		ch, ok := b.table.Pick(now, l, resort, v.m.rand)
+		ch, ok := b.table.PickLocal(now, l, resort, v.m.rand)
 		if !ok {
 			return
 		}
@@ -63,17 +63,17 @@
 		return
 	}
 	now := v.m.deps.Clock.Now()
-	if !plan.Gateway || !b.table.Settled(now) {
+	if !plan.Gateway || !b.table.PeersReported(now) {
 		v.explain(b, now, false)
 		return
 	}
 	v.grant(b, plan, now)
 	blocked := false
-	for active.Load() < int64(plan.OutsideLimit(v.m.set.Limits.Outside)) {
+	for active.Load() < int64(plan.ExternalLimit(v.m.set.Limits.External)) {
 		now = v.m.deps.Clock.Now()
-		var ch spread.Choice
+		var ch spread.Fetch
 		var ok bool
-		ch, ok, blocked = b.table.PickOutside(now, v.outside(b, plan, now), v.m.rand)
+		ch, ok, blocked = b.table.PickExternal(now, v.outside(b, plan, now), v.m.rand)
 		if !ok {
 			break
 		}
@@ -86,22 +86,22 @@
 func (v *version) grant(b *body, plan *spread.Plan, now time.Time) {
 	first := b.man.Chunks[0].Bytes
 	if v.allow.IsSet() {
-		lost := func(vm fleet.VM) bool { return b.table.Unheard(vm, now) }
-		v.allow.Extend(first, now, v.still(now), plan.ExtendAfter(lost))
+		lost := func(vm fleet.VM) bool { return b.table.IsUnreachable(vm, now) }
+		v.allow.Extend(first, now, v.still(now), plan.ExtensionDelay(lost))
 		return
 	}
-	if lacking, _ := b.table.Lacking(now); lacking > 0 {
+	if lacking, _ := b.table.MissingInRegion(now); lacking > 0 {
 		mean := b.size / int64(len(b.man.Chunks))
 		v.allow.Set(int64(plan.Quota(lacking)) * max(mean, first))
 	}
 }
 
 // outside returns what this gateway may fetch from outside its region now.
-func (v *version) outside(b *body, plan *spread.Plan, now time.Time) spread.Outside {
-	sight := spread.Sight{
-		Idle:  func(vm fleet.VM) time.Duration { return b.table.Idle(vm, now) },
-		Lost:  func(vm fleet.VM) bool { return b.table.Unheard(vm, now) },
-		Fetch: v.allow.Average(),
+func (v *version) outside(b *body, plan *spread.Plan, now time.Time) spread.ExternalPolicy {
+	sight := spread.GatewayView{
+		IdleTime:    func(vm fleet.VM) time.Duration { return b.table.IdleTime(vm, now) },
+		Unreachable: func(vm fleet.VM) bool { return b.table.IsUnreachable(vm, now) },
+		FetchTime:   v.allow.AverageFetchTime(),
 	}
 	still := v.still(now)
 	may := func(c int) (fetch, origin bool) {
@@ -109,10 +109,10 @@
 		fetch = owner == v.m.set.VM || plan.MayTakeOver(c, sight)
 		// A region that draws chunk c from another region turns to the origin
 		// when nothing arrives any more.
-		origin = plan.Draws(c) || still > 2*spread.OriginStep
+		origin = plan.FetchesFromOrigin(c) || still > 2*spread.MinTakeoverDelay
 		return fetch, origin
 	}
-	return spread.Outside{May: may, OriginReady: v.allow.Ready(now, b.man.Chunks[0].Bytes)}
+	return spread.ExternalPolicy{MayFetch: may, OriginReady: v.allow.CanFetch(now, b.man.Chunks[0].Bytes)}
 }
 
 // explain sets the reason why the version stands still.
@@ -121,9 +121,9 @@
 		v.setReason("")
 		return
 	}
-	n, example := b.table.Lacking(now)
+	n, example := b.table.MissingInRegion(now)
 	switch {
-	case blocked && v.allow.Used(b.man.Chunks[0].Bytes):
+	case blocked && v.allow.Exhausted(b.man.Chunks[0].Bytes):
 		v.setReason("quota of the origin used")
 	case blocked:
 		v.setReason("waiting for origin")
@@ -134,11 +134,11 @@
 	}
 }
 
-func (v *version) start(ctx context.Context, b *body, wg *conc.WaitGroup, active *atomic.Int64, ch spread.Choice) {
+func (v *version) start(ctx context.Context, b *body, wg *conc.WaitGroup, active *atomic.Int64, ch spread.Fetch) {
 	active.Add(1)
 	wg.Go(func() {
 		defer func() {
-			b.table.Ended(ch)
+			b.table.EndFetch(ch)
 			active.Add(-1)
 			signal(v.wake)
 		}()
@@ -150,10 +150,10 @@
 	})
 }
 
-func (v *version) fetchOrigin(ctx context.Context, b *body, ch spread.Choice) {
+func (v *version) fetchOrigin(ctx context.Context, b *body, ch spread.Fetch) {
 	start := v.m.deps.Clock.Now()
 	size := b.man.Chunks[ch.Chunk].Bytes
-	v.allow.Spend(size)
+	v.allow.Reserve(size)
 	rc, err := v.m.deps.Origin.Chunk(ctx, v.id, ch.Chunk)
 	var data []byte
 	if err == nil {
@@ -161,14 +161,14 @@
 	}
 	now := v.m.deps.Clock.Now()
 	if err != nil {
-		v.allow.Failed(size-int64(len(data)), now)
+		v.allow.FetchFailed(size-int64(len(data)), now)
 		return
 	}
-	v.allow.Done(0, now.Sub(start))
+	v.allow.FetchDone(0, now.Sub(start))
 	v.accept(b, ch, data)
 }
 
-func (v *version) fetchPeer(ctx context.Context, b *body, ch spread.Choice) {
+func (v *version) fetchPeer(ctx context.Context, b *body, ch spread.Fetch) {
 	member, ok := v.watched.Get(ch.From)
 	if !ok {
 		return
@@ -193,36 +193,36 @@
 	}
 }
 
-func (v *version) fetchFailed(b *body, ch spread.Choice, err error) {
+func (v *version) fetchFailed(b *body, ch spread.Fetch, err error) {
 	now := v.m.deps.Clock.Now()
 	switch {
 	case errors.Is(err, port.ErrPeerBusy):
-		b.table.Refused(ch.From, ch.Chunk, true, now)
+		b.table.MarkRefused(ch.From, ch.Chunk, true, now)
 	case errors.Is(err, port.ErrChunkMissing):
-		b.table.Refused(ch.From, ch.Chunk, false, now)
+		b.table.MarkRefused(ch.From, ch.Chunk, false, now)
 	case errors.Is(err, errStalled):
-		b.table.Avoid(ch.From, now.Add(spread.AvoidStalled))
+		b.table.Avoid(ch.From, now.Add(spread.AvoidAfterStall))
 		signal(v.replan)
 	default:
-		b.table.Avoid(ch.From, now.Add(spread.AvoidFailed))
+		b.table.Avoid(ch.From, now.Add(spread.AvoidAfterFailure))
 	}
 }
 
 // accept verifies a chunk and keeps it.
-func (v *version) accept(b *body, ch spread.Choice, data []byte) {
+func (v *version) accept(b *body, ch spread.Fetch, data []byte) {
 	if err := b.man.Verify(ch.Chunk, data); err != nil {
 		v.m.counters.corruptedChunk()
 		if !ch.Origin {
-			b.table.Corrupted(ch.From, v.m.deps.Clock.Now())
+			b.table.MarkCorrupted(ch.From, v.m.deps.Clock.Now())
 			signal(v.replan)
 		}
 		return
 	}
 	if !ch.Origin {
-		b.table.Verified(ch.From)
+		b.table.MarkVerified(ch.From)
 	}
 	if v.store(b, ch.Chunk, data) {
-		b.credit.Took(int64(len(data)))
+		b.credit.AddReceived(int64(len(data)))
 	}
 }
 
@@ -240,7 +240,7 @@
 // receive reads a chunk at the pace of the link. It returns what arrived, also
 // with an error. A sender that gives more than the chunk's size is cut off.
 func (v *version) receive(
-	ctx context.Context, b *body, ch spread.Choice, rc io.ReadCloser, count func(int),
+	ctx context.Context, b *body, ch spread.Fetch, rc io.ReadCloser, count func(int),
 ) ([]byte, error) {
 	defer func() { _ = rc.Close() }()
 	size := int(b.man.Chunks[ch.Chunk].Bytes)
@@ -255,7 +255,7 @@
 			return data, v.stalled(start, errors.Wrap(err, "receiving chunk"))
 		}
 		if n > 0 {
-			b.table.Progress(ch.Chunk, now)
+			b.table.MarkProgress(ch.Chunk, now)
 		}
 		if err := v.m.sleep(ctx, v.m.link.In.Reserve(now, n)); err != nil {
 			return data, err
--- a/internal/app/weights/manager.go
+++ b/internal/app/weights/manager.go
@@ -44,7 +44,7 @@
 
 func (s Settings) withDefaults() Settings {
 	if s.Limits == (spread.Limits{}) {
-		s.Limits = spread.Limits{Total: 6, PerPeer: 2, Outside: 2}
+		s.Limits = spread.Limits{Total: 6, PerPeer: 2, External: 2}
 	}
 	return s
 }
@@ -64,7 +64,7 @@
 	set      Settings
 	deps     Deps
 	link     pace.Link
-	slots    *spread.Slots
+	slots    *spread.UploadSlots
 	versions *shard.Map[fleet.Version, *version]
 	counters counters
 	changed  chan struct{}
@@ -86,7 +86,7 @@
 		set:      s.withDefaults(),
 		deps:     d,
 		link:     pace.NewLink(s.InRate, s.OutRate, d.Clock.Now()),
-		slots:    spread.NewSlots(spread.MaxUploads),
+		slots:    spread.NewUploadSlots(spread.MaxUploads),
 		versions: shard.New[fleet.Version, *version](0),
 		changed:  make(chan struct{}, 1),
 		wake:     make(chan struct{}, 1),
--- a/internal/app/weights/peers.go
+++ b/internal/app/weights/peers.go
@@ -71,7 +71,7 @@
 		if man, ok := v.manifestFromPeers(others, round); ok {
 			return man, true
 		}
-		step := time.Duration(min(max(0, rank-manifestFirst+1), manifestSteps)) * spread.OriginStep
+		step := time.Duration(min(max(0, rank-manifestFirst+1), manifestSteps)) * spread.MinTakeoverDelay
 		if v.m.deps.Clock.Now().Sub(start) >= step {
 			man, err := v.m.deps.Origin.Manifest(v.ctx, v.id)
 			if err == nil && man.Check(v.id) == nil {
@@ -140,7 +140,7 @@
 // neighbours any more or have another address, and opens those to new ones.
 func (v *version) makePlan(ctx context.Context, b *body, wg *conc.WaitGroup, cancels map[fleet.VM]context.CancelFunc) {
 	now := v.m.deps.Clock.Now()
-	avoid := func(vm fleet.VM) bool { return b.table.Avoided(vm, now) }
+	avoid := func(vm fleet.VM) bool { return b.table.IsAvoided(vm, now) }
 	ms := v.m.members(v.id)
 	p := spread.NewPlan(v.id, len(b.man.Chunks), v.m.self(), ms, v.m.set.OriginRegion, avoid)
 	next := map[fleet.VM]fleet.Address{}
@@ -190,7 +190,7 @@
 		if v.followPeer(ctx, b, n) {
 			pause = reconnectMin
 		}
-		b.table.Lost(n.VM)
+		b.table.MarkDisconnected(n.VM)
 		signal(v.wake)
 		_ = v.m.sleep(ctx, pause)
 		pause = min(2*pause, reconnectMax)
@@ -219,7 +219,7 @@
 	now := v.m.deps.Clock.Now()
 	for i := range min(len(b.man.Chunks), 8*len(u.Bitmap)) {
 		if u.Bitmap[i/8]&(1<<(i%8)) != 0 {
-			b.table.Holds(n.VM, i, false, now)
+			b.table.AddHolder(n.VM, i, false, now)
 		}
 	}
 	plan := v.plan.Load()
@@ -228,9 +228,9 @@
 			continue
 		}
 		owner, _ := plan.Owner(i)
-		b.table.Holds(n.VM, i, owner == n.VM, now)
+		b.table.AddHolder(n.VM, i, owner == n.VM, now)
 	}
-	b.table.Heard(n.VM, now)
+	b.table.MarkAlive(n.VM, now)
 	if !u.Heartbeat {
 		signal(v.wake)
 	}
--- a/internal/app/weights/uploads.go
+++ b/internal/app/weights/uploads.go
@@ -134,7 +134,7 @@
 	}
 	t, err := m.waitSlot(ctx, r.From)
 	if err != nil {
-		b.credit.Return(r.Index, size)
+		b.credit.Refund(r.Index, size)
 		return err
 	}
 	s := &upload{m: m, ticket: t, bytes: size}
--- a/internal/app/weights/version.go
+++ b/internal/app/weights/version.go
@@ -41,7 +41,7 @@
 	size   int64
 	table  *spread.Table
 	chunks *shard.Map[int, []byte]
-	credit *spread.Credit
+	credit *spread.UploadCredit
 }
 
 // version is one wanted version on its way to completion and after it.
@@ -59,7 +59,7 @@
 	watchers *shard.Map[uint64, *watcher]
 	watched  *shard.Map[fleet.VM, spread.Member]
 	nextID   atomic.Uint64
-	allow    spread.Allowance
+	allow    spread.OriginQuota
 	wake     chan struct{}
 	replan   chan struct{}
 
@@ -106,7 +106,7 @@
 	now := v.m.deps.Clock.Now()
 	b := &body{
 		man: man, size: man.Bytes(), table: spread.NewTable(len(man.Chunks)),
-		chunks: shard.New[int, []byte](0), credit: spread.NewCredit(man.Bytes(), now),
+		chunks: shard.New[int, []byte](0), credit: spread.NewUploadCredit(man.Bytes(), now),
 	}
 	v.body.Store(b)
 	signal(v.m.changed)
@@ -180,7 +180,7 @@
 // was missing.
 func (v *version) store(b *body, i int, data []byte) bool {
 	b.chunks.Put(i, data)
-	if !b.table.Have(i) {
+	if !b.table.MarkHeld(i) {
 		return false
 	}
 	v.gained(v.m.deps.Clock.Now())
@@ -201,7 +201,7 @@
 		return p
 	}
 	p.State = StateFetching
-	p.Chunks, p.ChunksHave, p.BytesTotal = len(b.man.Chunks), b.table.Held(), b.size
+	p.Chunks, p.ChunksHave, p.BytesTotal = len(b.man.Chunks), b.table.HeldCount(), b.size
 	if v.complete.Load() {
 		p.State, p.Reason = StateComplete, ""
 	}
--- a/internal/core/spread/members.go
+++ b/internal/core/spread/members.go
@@ -1,6 +1,6 @@
-// Package spread decides how a version of the weights spreads between agents:
-// which agents talk to each other, which chunk an agent requests next and from
-// whom, who may ask the origin, and which requests a peer serves.
+// Package spread decides how a version of the weights is distributed between agents:
+// which agents watch each other, which chunk an agent requests next and from which
+// source, which agents may fetch from the origin, and which requests a peer serves.
 package spread
 
 import (
@@ -12,25 +12,28 @@
 )
 
 const (
-	// MaxNeighbours is the number of peers of the own region whose chunks an
+	// MaxNeighbours is the maximum number of peers of its own region whose chunks an
 	// agent watches.
 	MaxNeighbours = 8
-	// remoteNeighbours is the number of agents per other region that a gateway
-	// watches.
+	// remoteNeighbours is the number of agents that a gateway watches in each other
+	// region.
 	remoteNeighbours = 2
-	// MaxGateways bounds the agents of a region that may ask the origin.
+	// MaxGateways is the maximum number of agents of a region that may fetch from
+	// the origin.
 	MaxGateways = 16
-	// OriginCopies is the budget of copies that the origin gives in all.
+	// OriginCopies is the number of copies of a version that the origin may send to
+	// all regions together.
 	OriginCopies = 4
-	// maxDrawing is the number of regions that draw one chunk from the origin.
-	maxDrawing = 3
-	// OriginStep is the least time that a gateway waits for the owner of a
+	// maxOriginRegions is the number of regions that fetch the same chunk from the
+	// origin.
+	maxOriginRegions = 3
+	// MinTakeoverDelay is the minimum time that a gateway waits for the owner of a
 	// chunk before it takes the chunk over.
-	OriginStep = 2 * time.Second
-	// patienceFactor is the number of average origin fetches after which an
-	// owner without progress counts as stalled. On a slow region link a chunk
-	// may take much longer than OriginStep, and a takeover then costs a copy.
-	patienceFactor = 4
+	MinTakeoverDelay = 2 * time.Second
+	// takeoverFetches is the takeover delay in average fetch times from the origin.
+	// On a slow region link a chunk may take much longer than MinTakeoverDelay, and a
+	// premature takeover costs another copy of the chunk.
+	takeoverFetches = 4
 )
 
 // Member is an agent that is selected for a version or holds it.
@@ -38,10 +41,12 @@
 	VM      fleet.VM
 	Region  fleet.Region
 	Address fleet.Address
-	// Suspect members stay neighbours but are no gateways.
+	// Suspect is set if the directory suspects that the member failed. A suspect
+	// member may be a neighbour but not a gateway.
 	Suspect bool
 }
 
+// mix is the finalizer of SplitMix64, which spreads similar inputs over all bits.
 func mix(h uint64) uint64 {
 	h ^= h >> 30
 	h *= 0xbf58476d1ce4e5b9
@@ -50,7 +55,8 @@
 	return h ^ h>>31
 }
 
-// hash is FNV-1a over the parts with a final mix. All agents compute the same.
+// hash returns the FNV-1a hash of the parts with a final mix. Every agent computes
+// the same value.
 func hash(parts ...string) uint64 {
 	h := uint64(14695981039346656037)
 	for _, p := range parts {
@@ -81,8 +87,9 @@
 	return out
 }
 
-// byRegion groups the members and always contains the region of self.
-func byRegion(self Member, ms []Member) map[fleet.Region][]Member {
+// groupByRegion groups the members by region. The group of self's region always
+// contains self.
+func groupByRegion(self Member, ms []Member) map[fleet.Region][]Member {
 	out := map[fleet.Region][]Member{self.Region: {self}}
 	for _, m := range ms {
 		if m.VM != self.VM {
@@ -92,18 +99,18 @@
 	return out
 }
 
-// ringNeighbours returns up to n other members at fixed distances on a ring by
-// hash. With one ring in all views, each member is watched by as many peers as
-// it watches, which keeps the load of uploads even. Members to avoid are
-// replaced by the next ones on the ring.
+// ringNeighbours returns up to n other members at fixed distances on a ring that is
+// ordered by hash. As all agents compute the same ring, each member is watched by as
+// many peers as it watches, which balances the uploads. Members for which avoid
+// returns true are replaced by the next ones on the ring.
 func ringNeighbours(v fleet.Version, self Member, ms []Member, n int, avoid func(fleet.VM) bool) []Member {
 	ring := sortByHash(ms, string(v))
-	at := slices.IndexFunc(ring, func(m Member) bool { return m.VM == self.VM })
+	selfIndex := slices.IndexFunc(ring, func(m Member) bool { return m.VM == self.VM })
 	var out []Member
 	taken := map[fleet.VM]bool{self.VM: true}
 	for _, d := range ringDistances(v, len(ring), n) {
 		for i := range len(ring) {
-			m := ring[(at+d+i)%len(ring)]
+			m := ring[(selfIndex+d+i)%len(ring)]
 			if taken[m.VM] || avoid(m.VM) {
 				continue
 			}
@@ -115,14 +122,14 @@
 	return out
 }
 
-// ringDistances returns up to n distinct distances: the successor, so that the
-// ring is connected, and others spread by hash over the whole ring.
+// ringDistances returns up to n distinct distances on a ring: one to the successor,
+// so that the ring is connected, and others spread by hash over the whole ring.
 func ringDistances(v fleet.Version, size, n int) []int {
 	n = min(n, size-1)
 	var out []int
 	used := map[int]bool{0: true}
 	for i := range n {
-		// Each distance comes from its own section of the ring.
+		// Each distance is taken from a separate section of the ring.
 		low, high := 1+i*(size-1)/n, 1+(i+1)*(size-1)/n
 		d := low
 		if i > 0 && high > low {
--- a/internal/core/spread/pick.go
+++ b/internal/core/spread/pick.go
@@ -7,59 +7,60 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// Choice is a fetch to start.
-type Choice struct {
+// Fetch is a chunk to fetch and the source to fetch it from.
+type Fetch struct {
 	Chunk int
-	// From is the peer to ask, unless Origin is set.
+	// From is the peer to fetch from, unless Origin is set.
 	From   fleet.VM
 	Origin bool
 }
 
-// attempts bounds how often a choice that another goroutine claimed first is
-// repeated.
-const attempts = 3
+// maxClaimAttempts bounds the attempts to pick a fetch if another goroutine claims
+// the picked chunk first.
+const maxClaimAttempts = 3
 
-// Pick chooses the chunk that the fewest peers of the region have and a peer to
-// ask for it, and claims it. Ties are random, so that agents with the same view
-// request different chunks. Peers that sent a corrupted chunk not long ago are
-// asked only if resort is true: in a small region they may be the only ones.
-func (t *Table) Pick(now time.Time, l Limits, resort bool, rnd Rand) (Choice, bool) {
-	for range attempts {
-		m := t.masks(now, l.PerPeer)
-		c, set, ok := t.rarest(now, &m, m.usable&m.local&^m.spare, rnd)
-		if !ok && m.spare != 0 {
-			c, set, ok = t.rarest(now, &m, m.usable&m.local, rnd)
+// PickLocal picks the chunk that the fewest peers of the region have and a peer of
+// the region to fetch it from, and claims it. Ties are broken at random, so that
+// agents with the same view request different chunks. Peers that recently sent a
+// corrupted chunk are asked only if lastResort is true, because they may be the only
+// ones in a small region.
+func (t *Table) PickLocal(now time.Time, l Limits, lastResort bool, rnd Rand) (Fetch, bool) {
+	for range maxClaimAttempts {
+		m := t.peerMasks(now, l.PerPeer)
+		c, set, ok := t.rarestChunk(now, &m, m.usable&m.local&^m.backup, rnd)
+		if !ok && m.backup != 0 {
+			c, set, ok = t.rarestChunk(now, &m, m.usable&m.local, rnd)
 		}
-		if !ok && resort {
-			c, set, ok = t.rarest(now, &m, m.resort&m.local, rnd)
+		if !ok && lastResort {
+			c, set, ok = t.rarestChunk(now, &m, m.lastResort&m.local, rnd)
 		}
 		if !ok {
-			return Choice{}, false
+			return Fetch{}, false
 		}
-		ch := Choice{Chunk: c, From: m.vms[m.least(set, rnd)]}
-		if t.claim(ch, now) {
-			return ch, true
+		f := Fetch{Chunk: c, From: m.vms[m.leastLoaded(set, rnd)]}
+		if t.claim(f, now) {
+			return f, true
 		}
 	}
-	return Choice{}, false
+	return Fetch{}, false
 }
 
-func (t *Table) rarest(now time.Time, m *masks, usable uint64, rnd Rand) (chunk int, set uint64, ok bool) {
+func (t *Table) rarestChunk(now time.Time, m *peerMasks, usable uint64, rnd Rand) (chunk int, set uint64, ok bool) {
 	rarity, ties := 0, 0
-	t.chunks.Range(func(c int, s missing) bool {
-		avail := s.available(now, usable)
-		if avail == 0 || !s.free(now) {
+	t.chunks.Range(func(c int, s missingChunk) bool {
+		available := s.availableHolders(now, usable)
+		if available == 0 || !s.fetchable(now) {
 			return true
 		}
-		// A second fetch of a chunk comes after all first ones.
-		n := bits.OnesCount64(s.holders&m.local) + s.active*maxSlots
+		// Second fetches rank after all first fetches.
+		n := bits.OnesCount64(s.holders&m.local) + s.fetches*maxPeers
 		switch {
 		case !ok || n < rarity:
-			chunk, set, rarity, ties, ok = c, avail, n, 1, true
+			chunk, set, rarity, ties, ok = c, available, n, 1, true
 		case n == rarity:
 			ties++
 			if rnd(ties) == 0 {
-				chunk, set = c, avail
+				chunk, set = c, available
 			}
 		}
 		return true
@@ -67,92 +68,93 @@
 	return chunk, set, ok
 }
 
-func (s missing) available(now time.Time, usable uint64) uint64 {
+func (s missingChunk) availableHolders(now time.Time, usable uint64) uint64 {
 	set := s.holders & usable
-	if now.Before(s.until) {
-		set &^= s.denied
+	if now.Before(s.refusedUntil) {
+		set &^= s.refused
 	}
 	return set
 }
 
-func (s missing) free(now time.Time) bool {
-	return s.active == 0 || s.active == 1 && now.Sub(s.since) > hedgeAfter
+func (s missingChunk) fetchable(now time.Time) bool {
+	return s.fetches == 0 || s.fetches == 1 && now.Sub(s.progressAt) > hedgeDelay
 }
 
-func (t *Table) claim(ch Choice, now time.Time) bool {
-	done := false
-	t.updateMissing(ch.Chunk, func(m *missing) {
-		if !m.free(now) {
+func (t *Table) claim(f Fetch, now time.Time) bool {
+	claimed := false
+	t.updateMissing(f.Chunk, func(m *missingChunk) {
+		if !m.fetchable(now) {
 			return
 		}
-		if !now.Before(m.until) {
-			m.denied = 0
+		if !now.Before(m.refusedUntil) {
+			m.refused = 0
 		}
-		m.active++
-		m.since = now
-		done = true
+		m.fetches++
+		m.progressAt = now
+		claimed = true
 	})
-	if done && !ch.Origin {
-		t.updatePeer(ch.From, func(p *peer) {
-			p.active++
-			p.taken++
+	if claimed && !f.Origin {
+		t.updatePeer(f.From, func(p *peer) {
+			p.fetches++
+			p.fetchesTotal++
 		})
 	}
-	return done
+	return claimed
 }
 
-// Outside says what may be fetched from outside the region.
-type Outside struct {
-	// May reports whether this agent may fetch chunk c, and whether it may ask
-	// the origin for it.
-	May func(c int) (fetch, origin bool)
-	// OriginReady is false while the origin is avoided or the quota is used.
+// ExternalPolicy says which chunks may be fetched from external sources.
+type ExternalPolicy struct {
+	// MayFetch reports whether this agent may fetch chunk c, and whether it may fetch
+	// the chunk from the origin.
+	MayFetch func(c int) (fetch, origin bool)
+	// OriginReady is false during the backoff after a failed fetch from the origin,
+	// and while the quota is exhausted.
 	OriginReady bool
 }
 
-// PickOutside chooses a chunk that no trusted peer of the region has, and
-// claims it. The origin is asked where it may be; otherwise a peer of another
-// region that has the chunk. blocked reports that a chunk could be fetched from
-// the origin only, which is not ready.
-func (t *Table) PickOutside(now time.Time, o Outside, rnd Rand) (ch Choice, ok, blocked bool) {
-	for range attempts {
-		m := t.masks(now, maxSlots)
-		var free []int
-		t.chunks.Range(func(c int, s missing) bool {
-			if s.holders&m.trusted == 0 && s.free(now) {
-				free = append(free, c)
+// PickExternal picks a random chunk that no trusted peer of the region has, and
+// claims it. The source is the origin where the policy permits, and otherwise a peer
+// of another region that has the chunk. blocked reports that some chunk could be
+// fetched only from the origin, which is not permitted now.
+func (t *Table) PickExternal(now time.Time, o ExternalPolicy, rnd Rand) (f Fetch, ok, blocked bool) {
+	for range maxClaimAttempts {
+		m := t.peerMasks(now, maxPeers)
+		var fetchable []int
+		t.chunks.Range(func(c int, s missingChunk) bool {
+			if s.holders&m.trusted == 0 && s.fetchable(now) {
+				fetchable = append(fetchable, c)
 			}
 			return true
 		})
-		ch, ok, blocked = t.outside(now, &m, free, o, rnd)
-		if !ok || t.claim(ch, now) {
-			return ch, ok, blocked
+		f, ok, blocked = t.pickFetchable(now, &m, fetchable, o, rnd)
+		if !ok || t.claim(f, now) {
+			return f, ok, blocked
 		}
 	}
-	return Choice{}, false, blocked
+	return Fetch{}, false, blocked
 }
 
-func (t *Table) outside(now time.Time, m *masks, free []int, o Outside, rnd Rand) (Choice, bool, bool) {
-	var best Choice
+func (t *Table) pickFetchable(now time.Time, m *peerMasks, fetchable []int, o ExternalPolicy, rnd Rand) (Fetch, bool, bool) {
+	var best Fetch
 	found, blocked, ties := false, false, 0
-	for _, c := range free {
-		fetch, origin := o.May(c)
+	for _, c := range fetchable {
+		fetch, origin := o.MayFetch(c)
 		if !fetch {
 			continue
 		}
 		s, _ := t.chunks.Get(c)
-		set := s.available(now, m.usable&^m.local)
-		ch := Choice{Chunk: c, Origin: origin && o.OriginReady}
-		if !ch.Origin {
+		set := s.availableHolders(now, m.usable&^m.local)
+		f := Fetch{Chunk: c, Origin: origin && o.OriginReady}
+		if !f.Origin {
 			if set == 0 {
 				blocked = true
 				continue
 			}
-			ch.From = m.vms[m.least(set, rnd)]
+			f.From = m.vms[m.leastLoaded(set, rnd)]
 		}
 		ties++
 		if rnd(ties) == 0 {
-			best, found = ch, true
+			best, found = f, true
 		}
 	}
 	return best, found, blocked
--- a/internal/core/spread/plan.go
+++ b/internal/core/spread/plan.go
@@ -14,49 +14,51 @@
 	Self Member
 	// Neighbours are the members whose chunks this agent watches.
 	Neighbours []Member
-	// Gateways are the agents of the own region that may fetch from outside.
+	// Gateways are the agents of the own region that may fetch from external sources:
+	// the origin and peers of other regions.
 	Gateways []Member
-	// Gateway reports whether this agent is one of them.
+	// Gateway is set if this agent is one of Gateways.
 	Gateway bool
 
 	version fleet.Version
-	// home is the region of the origin, or empty if the origin stands outside
-	// all regions.
-	home    fleet.Region
-	chunks  int
-	ring    int // the first of Neighbours are neighbours on the ring
-	regions []fleet.Region
-	owners  []uint8 // index into Gateways by chunk
-	salts   []uint64
+	// originRegion is the region of the origin, or empty if the origin is in none of
+	// the regions.
+	originRegion fleet.Region
+	chunks       int
+	ringCount    int // the first of Neighbours are neighbours on the ring
+	regions      []fleet.Region
+	owners       []uint8 // index into Gateways by chunk
+	ownerSalts   []uint64
 }
 
-// NewPlan returns the plan of self for a version of the given number of
-// chunks. home is the region of the origin, if it stands in one. Avoided
-// members are not chosen as neighbours.
+// NewPlan returns the plan of self for a version of the given number of chunks.
+// originRegion may be empty. Members for which avoid returns true are not chosen as
+// neighbours.
 func NewPlan(
-	v fleet.Version, chunks int, self Member, ms []Member, home fleet.Region, avoid func(fleet.VM) bool,
+	v fleet.Version, chunks int, self Member, ms []Member, originRegion fleet.Region, avoid func(fleet.VM) bool,
 ) *Plan {
-	groups := byRegion(self, ms)
-	p := &Plan{Self: self, version: v, home: home, chunks: chunks, regions: slices.Sorted(maps.Keys(groups))}
+	groups := groupByRegion(self, ms)
+	p := &Plan{Self: self, version: v, originRegion: originRegion, chunks: chunks, regions: slices.Sorted(maps.Keys(groups))}
 	own := groups[self.Region]
-	p.Gateways = p.gatewaysOf(self.Region, own)
+	p.Gateways = p.selectGateways(self.Region, own)
 	p.Gateway = slices.ContainsFunc(p.Gateways, func(m Member) bool { return m.VM == self.VM })
 	for _, g := range p.Gateways {
-		p.salts = append(p.salts, hash(string(v), "owner", string(g.VM)))
+		p.ownerSalts = append(p.ownerSalts, hash(string(v), "owner", string(g.VM)))
 	}
 	p.assignOwners()
 	p.Neighbours = ringNeighbours(v, self, own, MaxNeighbours, avoid)
-	p.ring = len(p.Neighbours)
+	p.ringCount = len(p.Neighbours)
 	if p.Gateway {
 		p.addGatewayNeighbours(groups, avoid)
 	}
 	return p
 }
 
-// addGatewayNeighbours lets gateways of a region watch each other, so that a
-// takeover follows from what the owner announces, and watch some gateways of
-// other regions. Gateways of the origin's region are not watched: fetching from
-// them costs that region's link as much as fetching from the origin.
+// addGatewayNeighbours makes the gateways of a region watch each other, so that they
+// notice when an owner announces no more chunks and take over, and makes them watch
+// some gateways of other regions. Gateways of the origin's region are not watched,
+// because a fetch from them loads that region's link as much as a fetch from the
+// origin.
 func (p *Plan) addGatewayNeighbours(groups map[fleet.Region][]Member, avoid func(fleet.VM) bool) {
 	add := func(m Member) {
 		has := slices.ContainsFunc(p.Neighbours, func(n Member) bool { return n.VM == m.VM })
@@ -68,11 +70,11 @@
 		add(g)
 	}
 	for _, r := range p.regions {
-		if r == p.Self.Region || r == p.home {
+		if r == p.Self.Region || r == p.originRegion {
 			continue
 		}
 		left := remoteNeighbours
-		for _, m := range sortByHash(p.gatewaysOf(r, groups[r]), string(p.Self.VM)) {
+		for _, m := range sortByHash(p.selectGateways(r, groups[r]), string(p.Self.VM)) {
 			if left > 0 && !avoid(m.VM) {
 				add(m)
 				left--
@@ -81,85 +83,85 @@
 	}
 }
 
-func (p *Plan) gatewaysOf(r fleet.Region, ms []Member) []Member {
+func (p *Plan) selectGateways(r fleet.Region, ms []Member) []Member {
 	live := slices.DeleteFunc(slices.Clone(ms), func(m Member) bool { return m.Suspect && m.VM != p.Self.VM })
 	n := gatewayCount(p.chunks, len(p.regions), len(live))
-	if n == 0 && p.drawsAny(r) {
+	if n == 0 && p.regionFetchesAny(r) {
 		n = 1
 	}
 	return sortByHash(live, string(p.version), string(r))[:min(n, len(live))]
 }
 
-// gatewayCount returns the largest set, up to MaxGateways, in which each
-// gateway's quota exceeds its even share, so that the others can replace a
-// lost gateway. It is zero if the version has too few chunks for one gateway
-// in each region.
+// gatewayCount returns the largest number of gateways, up to MaxGateways, with which
+// each gateway's quota exceeds its even share of the chunks, so that the others can
+// replace a lost gateway. It is zero if the version has too few chunks for one
+// gateway in each region.
 func gatewayCount(chunks, regions, live int) int {
-	most := min(MaxGateways, live)
-	drawn := chunks * min(maxDrawing, regions) / regions
-	for g := most; g > 0; g-- {
-		if quota(chunks, regions, g) > (drawn+g-1)/g {
+	limit := min(MaxGateways, live)
+	drawn := chunks * min(maxOriginRegions, regions) / regions
+	for g := limit; g > 0; g-- {
+		if gatewayQuota(chunks, regions, g) > (drawn+g-1)/g {
 			return g
 		}
 	}
-	return min(most, OriginCopies*chunks/regions)
+	return min(limit, OriginCopies*chunks/regions)
 }
 
-func quota(chunks, regions, gateways int) int {
+func gatewayQuota(chunks, regions, gateways int) int {
 	return OriginCopies * chunks / (regions * max(1, gateways))
 }
 
-// Quota returns the number of chunks that this agent may draw from the origin
-// when its region lacks the given number of chunks. A gateway that joins later
-// is given a share of what is still missing only.
+// Quota returns the number of chunks that this agent may fetch from the origin when
+// its region misses the given number of chunks. A gateway that joins later thus gets
+// a share of only those chunks that are still missing.
 func (p *Plan) Quota(missing int) int {
 	if !p.Gateway || missing <= 0 {
 		return 0
 	}
-	return max(1, quota(missing, len(p.regions), len(p.Gateways)))
+	return max(1, gatewayQuota(missing, len(p.regions), len(p.Gateways)))
 }
 
-// Draws reports whether the own region draws chunk c from the origin rather
-// than from another region.
-func (p *Plan) Draws(c int) bool { return p.regionDraws(p.Self.Region, c) }
+// FetchesFromOrigin reports whether the own region fetches chunk c from the origin
+// rather than from another region.
+func (p *Plan) FetchesFromOrigin(c int) bool { return p.regionFetchesFromOrigin(p.Self.Region, c) }
 
-// regionDraws reports whether region r draws chunk c from the origin. If the
-// origin stands in a region, each chunk leaves that region once, to one other
+// regionFetchesFromOrigin reports whether region r fetches chunk c from the origin.
+// If the origin is in a region, each chunk leaves that region once, to one other
 // region, which passes it on to the rest.
-func (p *Plan) regionDraws(r fleet.Region, c int) bool {
-	draw := maxDrawing
-	if p.home != "" {
-		draw = 1
+func (p *Plan) regionFetchesFromOrigin(r fleet.Region, c int) bool {
+	maxRegions := maxOriginRegions
+	if p.originRegion != "" {
+		maxRegions = 1
 	}
-	if r == p.home || len(p.regions) <= draw {
+	if r == p.originRegion || len(p.regions) <= maxRegions {
 		return true
 	}
-	mine := p.drawRank(r, c)
+	rank := p.originRank(r, c)
 	ahead := 0
 	for _, o := range p.regions {
-		if o != r && o != p.home && p.drawRank(o, c) < mine {
+		if o != r && o != p.originRegion && p.originRank(o, c) < rank {
 			ahead++
 		}
 	}
-	return ahead < draw
+	return ahead < maxRegions
 }
 
-func (p *Plan) drawRank(r fleet.Region, c int) uint64 {
+func (p *Plan) originRank(r fleet.Region, c int) uint64 {
 	return mix(hash(string(p.version), "draw", string(r)) + uint64(c))
 }
 
-func (p *Plan) drawsAny(r fleet.Region) bool {
+func (p *Plan) regionFetchesAny(r fleet.Region) bool {
 	for c := range p.chunks {
-		if p.regionDraws(r, c) {
+		if p.regionFetchesFromOrigin(r, c) {
 			return true
 		}
 	}
 	return false
 }
 
-// assignOwners gives each chunk to the gateway that ranks first among those
-// with fewer than an even share. Plain rendezvous hashing would give some
-// gateways more chunks than their quota.
+// assignOwners assigns each chunk to the gateway that ranks first among those with
+// fewer chunks than an even share. Plain rendezvous hashing would give some gateways
+// more chunks than their quota.
 func (p *Plan) assignOwners() {
 	if len(p.Gateways) == 0 {
 		return
@@ -170,7 +172,7 @@
 	for c := range p.chunks {
 		best := -1
 		for g := range p.Gateways {
-			if load[g] < share && (best < 0 || p.rank(g, c) < p.rank(best, c)) {
+			if load[g] < share && (best < 0 || p.ownerRank(g, c) < p.ownerRank(best, c)) {
 				best = g
 			}
 		}
@@ -179,10 +181,10 @@
 	}
 }
 
-func (p *Plan) rank(g, c int) uint64 { return mix(p.salts[g] + uint64(c)) }
+func (p *Plan) ownerRank(g, c int) uint64 { return mix(p.ownerSalts[g] + uint64(c)) }
 
-// Owner returns the gateway of the own region that fetches chunk c from
-// outside.
+// Owner returns the gateway of the own region that fetches chunk c from an external
+// source.
 func (p *Plan) Owner(c int) (fleet.VM, bool) {
 	if c >= len(p.owners) {
 		return "", false
@@ -190,87 +192,89 @@
 	return p.Gateways[p.owners[c]].VM, true
 }
 
-// Sight is what a gateway sees of the others.
-type Sight struct {
-	// Idle returns the time since a gateway last announced a chunk of its own.
-	Idle func(fleet.VM) time.Duration
-	// Lost reports whether a gateway cannot be heard. A gateway that has all of
-	// its own chunks is idle but not lost, and still takes over before others.
-	Lost func(fleet.VM) bool
-	// Fetch is the time that an origin fetch takes here.
-	Fetch time.Duration
+// GatewayView is what a gateway knows of the other gateways of its region.
+type GatewayView struct {
+	// IdleTime returns the time since a gateway last announced a chunk of its own.
+	IdleTime func(fleet.VM) time.Duration
+	// Unreachable reports whether the stream of a gateway ended or went silent. A
+	// gateway that has all of its own chunks is idle but reachable, and keeps its
+	// place in the order of takeovers.
+	Unreachable func(fleet.VM) bool
+	// FetchTime is the average time of this agent's fetches from the origin.
+	FetchTime time.Duration
 }
 
-// MayTakeOver reports whether this gateway, which does not own chunk c, may
-// fetch it from outside. The k-th gateway after the owner waits k times the
-// patience; lost ones are not counted.
-func (p *Plan) MayTakeOver(c int, s Sight) bool {
+// MayTakeOver reports whether this gateway, which does not own chunk c, may fetch it
+// from an external source because the owner is idle. The k-th gateway after the
+// owner waits k times the takeover delay; unreachable gateways are not counted.
+func (p *Plan) MayTakeOver(c int, s GatewayView) bool {
 	owner, ok := p.Owner(c)
 	if !ok || !p.Gateway {
 		return false
 	}
-	patience := max(OriginStep, patienceFactor*s.Fetch)
-	quiet := s.Idle(owner)
-	if quiet < patience {
+	delay := max(MinTakeoverDelay, takeoverFetches*s.FetchTime)
+	idleTime := s.IdleTime(owner)
+	if idleTime < delay {
 		return false
 	}
-	me := slices.IndexFunc(p.Gateways, func(m Member) bool { return m.VM == p.Self.VM })
+	selfIndex := slices.IndexFunc(p.Gateways, func(m Member) bool { return m.VM == p.Self.VM })
 	steps := 1
 	for g, m := range p.Gateways {
-		if m.VM != owner && g != me && p.rank(g, c) < p.rank(me, c) && !s.Lost(m.VM) {
+		if m.VM != owner && g != selfIndex && p.ownerRank(g, c) < p.ownerRank(selfIndex, c) && !s.Unreachable(m.VM) {
 			steps++
 		}
 	}
-	return quiet >= time.Duration(steps)*patience
+	return idleTime >= time.Duration(steps)*delay
 }
 
-// ExtendAfter returns the standstill after which this gateway may draw a chunk
-// beyond its allowance. The k-th of the gateways that can be heard waits k times
-// the least one, so that one of them does it for the region.
-func (p *Plan) ExtendAfter(lost func(fleet.VM) bool) time.Duration {
-	turn := 1
+// ExtensionDelay returns the time without a new chunk after which this gateway may
+// fetch a chunk from the origin beyond its quota. The k-th of the reachable gateways
+// waits k times minExtensionDelay, so that one of them does so for the region.
+func (p *Plan) ExtensionDelay(unreachable func(fleet.VM) bool) time.Duration {
+	position := 1
 	for _, g := range p.Gateways {
 		if g.VM == p.Self.VM {
 			break
 		}
-		if !lost(g.VM) {
-			turn++
+		if !unreachable(g.VM) {
+			position++
 		}
 	}
-	return time.Duration(turn) * standstill
+	return time.Duration(position) * minExtensionDelay
 }
 
-// soloGateways is the number of gateways from which each fetches one chunk at a
-// time from outside.
-const soloGateways = 4
+// singleFetchGateways is the number of gateways in a region at which each of them is
+// limited to one fetch from external sources at a time.
+const singleFetchGateways = 4
 
-// OutsideLimit returns the number of fetches from outside that this agent may
-// have in progress, at most most. Many gateways share the link of their region;
-// with fewer fetches at a time each chunk is complete, and passed on, earlier.
-func (p *Plan) OutsideLimit(most int) int {
-	if len(p.Gateways) >= soloGateways {
-		return min(1, most)
+// ExternalLimit returns the number of concurrent fetches from external sources that
+// this agent may have, at most limit. Many gateways share the link of their region;
+// with fewer concurrent fetches each chunk is complete, and passed on, earlier.
+func (p *Plan) ExternalLimit(limit int) int {
+	if len(p.Gateways) >= singleFetchGateways {
+		return min(1, limit)
 	}
-	return most
+	return limit
 }
 
-// Role returns what a neighbour of the plan is used for.
+// Role returns the role of member m, which must be one of Neighbours.
 func (p *Plan) Role(m Member) Role {
-	at := slices.IndexFunc(p.Neighbours, func(n Member) bool { return n.VM == m.VM })
+	index := slices.IndexFunc(p.Neighbours, func(n Member) bool { return n.VM == m.VM })
 	switch {
 	case m.Region != p.Self.Region:
 		return Remote
-	case at >= p.ring:
-		return Spare
+	case index >= p.ringCount:
+		return Backup
 	default:
 		return Neighbour
 	}
 }
 
-// ManifestSources returns the other members of the region in the order in which
-// they ask the origin for the manifest, and the number of them before self.
+// ManifestSources returns the other members of the region in the order in which they
+// ask the origin for the manifest, and the rank of self: the number of members
+// before it.
 func ManifestSources(v fleet.Version, self Member, ms []Member) (others []Member, rank int) {
-	ring := sortByHash(byRegion(self, ms)[self.Region], string(v), "manifest")
+	ring := sortByHash(groupByRegion(self, ms)[self.Region], string(v), "manifest")
 	rank = slices.IndexFunc(ring, func(m Member) bool { return m.VM == self.VM })
 	return slices.Delete(ring, rank, rank+1), rank
 }
--- a/internal/core/spread/spread_test.go
+++ b/internal/core/spread/spread_test.go
@@ -13,7 +13,7 @@
 
 const version = fleet.Version("v1")
 
-func nobody(fleet.VM) bool { return false }
+func noneAvoided(fleet.VM) bool { return false }
 
 func drawMembers(t *rapid.T, maxRegions int) ([]Member, int) {
 	regions := rapid.IntRange(1, maxRegions).Draw(t, "regions")
@@ -28,34 +28,34 @@
 func plans(ms []Member, chunks int) []*Plan {
 	var out []*Plan
 	for _, m := range ms {
-		out = append(out, NewPlan(version, chunks, m, ms, "", nobody))
+		out = append(out, NewPlan(version, chunks, m, ms, "", noneAvoided))
 	}
 	return out
 }
 
-// TestOriginBudget guards against quotas whose sum exceeds the origin's budget,
-// and against a chunk that no region or more than three regions may draw, or
-// that has no single owner in a region.
+// TestOriginBudget guards against quotas whose sum exceeds the copies that the origin
+// may send, against a chunk that no region or more than three regions fetch from the
+// origin, and against a chunk with several owners in a region.
 func TestOriginBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms, regions := drawMembers(t, 6)
 		chunks := rapid.IntRange(1, 300).Draw(t, "chunks")
 		total := 0
 		owners := make([]map[fleet.Region]fleet.VM, chunks)
-		drawing := make([]map[fleet.Region]bool, chunks)
+		fetching := make([]map[fleet.Region]bool, chunks)
 		for _, p := range plans(ms, chunks) {
 			total += p.Quota(chunks)
 			for c := range chunks {
 				if owners[c] == nil {
-					owners[c], drawing[c] = map[fleet.Region]fleet.VM{}, map[fleet.Region]bool{}
+					owners[c], fetching[c] = map[fleet.Region]fleet.VM{}, map[fleet.Region]bool{}
 				}
 				owner, ok := p.Owner(c)
 				if prev, seen := owners[c][p.Self.Region]; seen && prev != owner {
 					t.Fatalf("chunk %d has owners %s and %s in %s", c, prev, owner, p.Self.Region)
 				}
 				owners[c][p.Self.Region] = owner
-				if ok && p.Draws(c) {
-					drawing[c][p.Self.Region] = true
+				if ok && p.FetchesFromOrigin(c) {
+					fetching[c][p.Self.Region] = true
 				}
 			}
 		}
@@ -63,48 +63,48 @@
 			t.Fatalf("quotas add up to %d chunks of %d", total, chunks)
 		}
 		for c := range chunks {
-			if n := len(drawing[c]); n != min(regions, maxDrawing) {
-				t.Fatalf("%d of %d regions draw chunk %d", n, regions, c)
+			if n := len(fetching[c]); n != min(regions, maxOriginRegions) {
+				t.Fatalf("%d of %d regions fetch chunk %d from the origin", n, regions, c)
 			}
 		}
 	})
 }
 
-// TestOriginInsideRegion guards against an origin that stands in a region and
-// sends a chunk over that region's link more than once, and against a region
-// that fetches from the origin's region through its agents instead.
+// TestOriginInsideRegion guards against an origin in a region that sends a chunk over
+// that region's link more than once, and against a region that fetches chunks from
+// agents in the origin's region instead.
 func TestOriginInsideRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms, regions := drawMembers(t, 6)
-		const home, chunks = fleet.Region("r0"), 50
-		drawing := make([]map[fleet.Region]bool, chunks)
+		const originRegion, chunks = fleet.Region("r0"), 50
+		fetching := make([]map[fleet.Region]bool, chunks)
 		for _, m := range ms {
-			p := NewPlan(version, chunks, m, ms, home, nobody)
+			p := NewPlan(version, chunks, m, ms, originRegion, noneAvoided)
 			for c := range chunks {
-				if drawing[c] == nil {
-					drawing[c] = map[fleet.Region]bool{}
+				if fetching[c] == nil {
+					fetching[c] = map[fleet.Region]bool{}
 				}
-				if p.Draws(c) {
-					drawing[c][m.Region] = true
+				if p.FetchesFromOrigin(c) {
+					fetching[c][m.Region] = true
 				}
 			}
 			for _, n := range p.Neighbours {
-				if m.Region != home && n.Region == home {
+				if m.Region != originRegion && n.Region == originRegion {
 					t.Fatalf("%s in %s watches %s in the origin's region", m.VM, m.Region, n.VM)
 				}
 			}
 		}
-		for c, d := range drawing {
-			if !d[home] || len(d) != min(regions, 2) {
-				t.Fatalf("chunk %d is drawn by %v of %d regions", c, d, regions)
+		for c, d := range fetching {
+			if !d[originRegion] || len(d) != min(regions, 2) {
+				t.Fatalf("chunk %d is fetched from the origin by %v of %d regions", c, d, regions)
 			}
 		}
 	})
 }
 
-// TestQuotaCoversLostGateways guards against quotas that the survivors of lost
-// gateways cannot finish a version with when a quarter is lost. Quotas are
-// rounded down to whole chunks.
+// TestQuotaCoversLostGateways guards against quotas with which the remaining gateways
+// cannot complete a version after a quarter of the gateways is lost. Quotas are
+// rounded down to whole chunks, hence the +1.
 func TestQuotaCoversLostGateways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms, regions := drawMembers(t, 3)
@@ -115,14 +115,14 @@
 				continue
 			}
 			if alive := g - g/4; alive*(p.Quota(chunks)+1) < chunks {
-				t.Fatalf("%d of %d gateways draw %d chunks each, of %d", alive, g, p.Quota(chunks), chunks)
+				t.Fatalf("%d of %d gateways fetch %d chunks each, of %d", alive, g, p.Quota(chunks), chunks)
 			}
 		}
 	})
 }
 
-// TestOneTakeover guards against several gateways that take over a chunk of a
-// dead owner at once, and against none that does.
+// TestOneTakeover guards against several gateways that take over a chunk of a dead
+// owner at the same time, and against a chunk that no gateway takes over.
 func TestOneTakeover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms, _ := drawMembers(t, 1)
@@ -134,25 +134,25 @@
 		c := rapid.IntRange(0, chunks-1).Draw(t, "chunk")
 		owner, _ := ps[0].Owner(c)
 		fetch := time.Duration(rapid.IntRange(0, 5000).Draw(t, "fetch_ms")) * time.Millisecond
-		patience := max(OriginStep, patienceFactor*fetch)
-		quiet := time.Duration(0)
-		// The other gateways have all of their own chunks and are idle as well.
-		sight := Sight{
-			Idle:  func(fleet.VM) time.Duration { return quiet },
-			Lost:  func(vm fleet.VM) bool { return vm == owner },
-			Fetch: fetch,
+		delay := max(MinTakeoverDelay, takeoverFetches*fetch)
+		idleTime := time.Duration(0)
+		// The other gateways have all of their own chunks and are therefore idle too.
+		view := GatewayView{
+			IdleTime:    func(fleet.VM) time.Duration { return idleTime },
+			Unreachable: func(vm fleet.VM) bool { return vm == owner },
+			FetchTime:   fetch,
 		}
 		count := func() (n int) {
 			for _, p := range ps {
-				if p.Self.VM != owner && p.MayTakeOver(c, sight) {
+				if p.Self.VM != owner && p.MayTakeOver(c, view) {
 					n++
 				}
 			}
 			return n
 		}
-		for quiet = 0; quiet < patience; quiet += patience / 4 {
+		for idleTime = 0; idleTime < delay; idleTime += delay / 4 {
 			if n := count(); n != 0 {
-				t.Fatalf("%d gateways take over after %v of %v", n, quiet, patience)
+				t.Fatalf("%d gateways take over after %v of %v", n, idleTime, delay)
 			}
 		}
 		if n := count(); n != 1 {
@@ -161,15 +161,16 @@
 	})
 }
 
-// TestNeighboursConnect guards against a ring in which some agent cannot be
-// reached, or is watched by many more agents than others.
+// TestNeighboursConnect guards against an agent that is not connected to the others
+// through neighbours, and against one that is watched by many more agents than
+// others.
 func TestNeighboursConnect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms, _ := drawMembers(t, 1)
 		watchers := map[fleet.VM]int{}
 		next := map[fleet.VM][]fleet.VM{}
 		for _, p := range plans(ms, 1000) {
-			for _, n := range p.Neighbours[:p.ring] {
+			for _, n := range p.Neighbours[:p.ringCount] {
 				watchers[n.VM]++
 				next[n.VM] = append(next[n.VM], p.Self.VM)
 			}
@@ -196,68 +197,68 @@
 	})
 }
 
-// TestAllowanceExtends guards against a version that can never be complete
-// because corrupted chunks used the allowance, and against an extension while
-// the spread still moves.
-func TestAllowanceExtends(t *testing.T) {
+// TestQuotaExtension guards against a version that can never be complete because
+// corrupted chunks exhausted the quota, and against an extension while chunks still
+// arrive.
+func TestQuotaExtension(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var a Allowance
-	a.Set(10)
-	a.Spend(10)
-	a.Extend(10, now, standstill/2, standstill)
-	if a.Ready(now, 10) {
+	var q OriginQuota
+	q.Set(10)
+	q.Reserve(10)
+	q.Extend(10, now, minExtensionDelay/2, minExtensionDelay)
+	if q.CanFetch(now, 10) {
 		t.Fatal("extended while chunks arrive")
 	}
-	a.Extend(10, now, 2*standstill, standstill)
-	a.Extend(10, now, 2*standstill, standstill)
-	if !a.Ready(now, 10) || a.Ready(now, 11) {
+	q.Extend(10, now, 2*minExtensionDelay, minExtensionDelay)
+	q.Extend(10, now, 2*minExtensionDelay, minExtensionDelay)
+	if !q.CanFetch(now, 10) || q.CanFetch(now, 11) {
 		t.Fatal("not extended by one chunk")
 	}
-	a.Spend(10)
-	a.Extend(10, now.Add(standstill), 3*standstill, standstill)
-	if a.Ready(now, 10) {
+	q.Reserve(10)
+	q.Extend(10, now.Add(minExtensionDelay), 3*minExtensionDelay, minExtensionDelay)
+	if q.CanFetch(now, 10) {
 		t.Fatal("extended again at once after a corrupted chunk")
 	}
-	a.Extend(10, now.Add(standstill+1), 3*standstill, standstill)
-	if !a.Ready(now, 10) {
+	q.Extend(10, now.Add(minExtensionDelay+1), 3*minExtensionDelay, minExtensionDelay)
+	if !q.CanFetch(now, 10) {
 		t.Fatal("not extended again")
 	}
 }
 
-// simulation spreads a version in rounds without links: each agent starts up
-// to two fetches a round, which end in the next.
+// simulation distributes a version in rounds, without a model of links: each agent
+// starts up to two fetches per round, which complete at the end of the round.
 type simulation struct {
-	plans   []*Plan
-	tables  []*Table
-	allow   []*Allowance
-	at      map[fleet.VM]int
-	dead    map[int]bool
-	now     time.Time
-	origin  int
-	outside map[fleet.Region]int
-	rnd     Rand
-	// gain is when each agent got its last chunk; bad is the number of draws
-	// that still arrive corrupted. drawn counts the correct ones by agent, and
-	// wasted those that were corrupted.
-	gain   []time.Time
-	bad    int
-	drawn  []int
-	wasted int
-	// fixed turns extensions off.
-	fixed bool
+	plans           []*Plan
+	tables          []*Table
+	quotas          []*OriginQuota
+	index           map[fleet.VM]int
+	dead            map[int]bool
+	now             time.Time
+	originFetches   int
+	externalFetches map[fleet.Region]int
+	rnd             Rand
+	// lastChunkAt is the time at which each agent received its last chunk. corrupt is
+	// the number of further fetches from the origin that arrive corrupted. fetched
+	// counts the correct fetches from the origin by agent, wasted the corrupted ones.
+	lastChunkAt []time.Time
+	corrupt     int
+	fetched     []int
+	wasted      int
+	// noExtensions disables extensions of quotas.
+	noExtensions bool
 }
 
 func newSimulation(ms []Member, chunks int, rnd Rand) *simulation {
 	s := &simulation{
-		plans: plans(ms, chunks), at: map[fleet.VM]int{}, dead: map[int]bool{},
-		now: time.Unix(1000, 0), outside: map[fleet.Region]int{}, rnd: rnd,
+		plans: plans(ms, chunks), index: map[fleet.VM]int{}, dead: map[int]bool{},
+		now: time.Unix(1000, 0), externalFetches: map[fleet.Region]int{}, rnd: rnd,
 	}
 	for i, p := range s.plans {
-		s.at[p.Self.VM] = i
+		s.index[p.Self.VM] = i
 		s.tables = append(s.tables, NewTable(chunks))
-		s.allow = append(s.allow, &Allowance{})
-		s.allow[i].Set(int64(p.Quota(chunks)))
-		s.gain, s.drawn = append(s.gain, s.now), append(s.drawn, 0)
+		s.quotas = append(s.quotas, &OriginQuota{})
+		s.quotas[i].Set(int64(p.Quota(chunks)))
+		s.lastChunkAt, s.fetched = append(s.lastChunkAt, s.now), append(s.fetched, 0)
 		for _, n := range p.Neighbours {
 			s.tables[i].AddPeer(n.VM, p.Role(n), s.now)
 		}
@@ -265,205 +266,205 @@
 	return s
 }
 
-// round lets every live agent fetch and tells its watchers.
-func (s *simulation) round() (left int) {
+// runRound lets every live agent fetch, updates the agents that watch it, and returns
+// the number of chunks that were missing at live agents before.
+func (s *simulation) runRound() (missing int) {
 	s.now = s.now.Add(200 * time.Millisecond)
 	for i, t := range s.tables {
 		for _, n := range s.plans[i].Neighbours {
-			if s.dead[s.at[n.VM]] {
-				t.Lost(n.VM)
+			if s.dead[s.index[n.VM]] {
+				t.MarkDisconnected(n.VM)
 				continue
 			}
-			t.Heard(n.VM, s.now)
+			t.MarkAlive(n.VM, s.now)
 		}
 	}
-	var got []Choice
-	var by []int
+	var fetches []Fetch
+	var fetchers []int
 	for i, t := range s.tables {
 		if s.dead[i] {
 			continue
 		}
-		left += t.count - t.Held()
-		if ch, ok := s.pickOutside(i); ok {
-			got, by = append(got, ch), append(by, i)
+		missing += t.total - t.HeldCount()
+		if f, ok := s.pickExternal(i); ok {
+			fetches, fetchers = append(fetches, f), append(fetchers, i)
 		}
-		if ch, ok := t.Pick(s.now, Limits{Total: 2, PerPeer: 1}, false, s.rnd); ok {
-			got, by = append(got, ch), append(by, i)
+		if f, ok := t.PickLocal(s.now, Limits{Total: 2, PerPeer: 1}, false, s.rnd); ok {
+			fetches, fetchers = append(fetches, f), append(fetchers, i)
 		}
 	}
-	for k, ch := range got {
-		s.finish(by[k], ch)
+	for k, f := range fetches {
+		s.finishFetch(fetchers[k], f)
 	}
-	return left
+	return missing
 }
 
-func (s *simulation) pickOutside(i int) (Choice, bool) {
+func (s *simulation) pickExternal(i int) (Fetch, bool) {
 	p, t := s.plans[i], s.tables[i]
-	sight := Sight{
-		Idle: func(vm fleet.VM) time.Duration { return t.Idle(vm, s.now) },
-		Lost: func(vm fleet.VM) bool { return t.Unheard(vm, s.now) },
+	view := GatewayView{
+		IdleTime:    func(vm fleet.VM) time.Duration { return t.IdleTime(vm, s.now) },
+		Unreachable: func(vm fleet.VM) bool { return t.IsUnreachable(vm, s.now) },
 	}
-	still := s.now.Sub(s.gain[i])
-	if p.Gateway && !s.fixed {
-		s.allow[i].Extend(1, s.now, still, p.ExtendAfter(sight.Lost))
+	stalledFor := s.now.Sub(s.lastChunkAt[i])
+	if p.Gateway && !s.noExtensions {
+		s.quotas[i].Extend(1, s.now, stalledFor, p.ExtensionDelay(view.Unreachable))
 	}
 	may := func(c int) (bool, bool) {
 		owner, _ := p.Owner(c)
-		return p.Gateway && (owner == p.Self.VM || p.MayTakeOver(c, sight)), p.Draws(c) || still > 2*OriginStep
+		return p.Gateway && (owner == p.Self.VM || p.MayTakeOver(c, view)), p.FetchesFromOrigin(c) || stalledFor > 2*MinTakeoverDelay
 	}
-	ch, ok, _ := t.PickOutside(s.now, Outside{May: may, OriginReady: s.allow[i].Ready(s.now, 1)}, s.rnd)
-	if ok && ch.Origin {
-		s.allow[i].Spend(1)
+	f, ok, _ := t.PickExternal(s.now, ExternalPolicy{MayFetch: may, OriginReady: s.quotas[i].CanFetch(s.now, 1)}, s.rnd)
+	if ok && f.Origin {
+		s.quotas[i].Reserve(1)
 	}
-	return ch, ok
+	return f, ok
 }
 
-func (s *simulation) finish(i int, ch Choice) {
+func (s *simulation) finishFetch(i int, f Fetch) {
 	t, p := s.tables[i], s.plans[i]
-	defer t.Ended(ch)
-	from, ok := s.at[ch.From]
-	if !ch.Origin && (!ok || s.dead[from]) {
-		t.Avoid(ch.From, s.now.Add(AvoidStalled))
+	defer t.EndFetch(f)
+	from, ok := s.index[f.From]
+	if !f.Origin && (!ok || s.dead[from]) {
+		t.Avoid(f.From, s.now.Add(AvoidAfterStall))
 		return
 	}
-	if ch.Origin {
-		s.origin++
-		if s.bad > 0 {
-			s.bad--
+	if f.Origin {
+		s.originFetches++
+		if s.corrupt > 0 {
+			s.corrupt--
 			s.wasted++
 			return
 		}
-		s.drawn[i]++
+		s.fetched[i]++
 	}
-	s.gain[i] = s.now
-	if ch.Origin || s.plans[from].Self.Region != p.Self.Region {
-		s.outside[p.Self.Region]++
+	s.lastChunkAt[i] = s.now
+	if f.Origin || s.plans[from].Self.Region != p.Self.Region {
+		s.externalFetches[p.Self.Region]++
 	}
-	t.Have(ch.Chunk)
+	t.MarkHeld(f.Chunk)
 	for j, q := range s.plans {
-		owner, _ := q.Owner(ch.Chunk)
-		s.tables[j].Holds(p.Self.VM, ch.Chunk, owner == p.Self.VM, s.now)
+		owner, _ := q.Owner(f.Chunk)
+		s.tables[j].AddHolder(p.Self.VM, f.Chunk, owner == p.Self.VM, s.now)
 	}
 }
 
-// TestSpreadReachesEveryChunk guards against a chunk that nobody may fetch when
-// gateways die, against an origin that gives more than its budget, and against
-// a region that draws a chunk from outside more than about once.
-func TestSpreadReachesEveryChunk(t *testing.T) {
+// TestAllChunksArrive guards against a chunk that no agent may fetch after gateways
+// died, against an origin that sends more copies than OriginCopies, and against a
+// region that fetches chunks from external sources much more than once each.
+func TestAllChunksArrive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms, regions := drawMembers(t, 5)
 		chunks := rapid.IntRange(8*regions, 8*regions+16).Draw(t, "chunks")
 		src := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		s := newSimulation(ms, chunks, src.IntN)
 		deaths := rapid.IntRange(0, len(ms)/10).Draw(t, "deaths")
-		half := rapid.IntRange(0, 40).Draw(t, "death_round")
+		deathRound := rapid.IntRange(0, 40).Draw(t, "death_round")
 		for r := range 2000 {
-			if r == half {
+			if r == deathRound {
 				for i := range deaths {
 					s.dead[(i*7)%len(ms)] = true
 				}
 			}
-			if s.round() == 0 {
+			if s.runRound() == 0 {
 				break
 			}
 		}
-		if left := s.round(); left != 0 {
-			t.Fatalf("%d chunks are missing at live agents", left)
+		if missing := s.runRound(); missing != 0 {
+			t.Fatalf("%d chunks are missing at live agents", missing)
 		}
-		if s.origin > OriginCopies*chunks {
-			t.Fatalf("the origin gave %d of %d chunks", s.origin, chunks)
+		if s.originFetches > OriginCopies*chunks {
+			t.Fatalf("the origin sent %d of %d chunks", s.originFetches, chunks)
 		}
-		for r, n := range s.outside {
+		for r, n := range s.externalFetches {
 			if float64(n) > 1.2*float64(chunks)+1 {
-				t.Fatalf("region %s drew %d of %d chunks from outside", r, n, chunks)
+				t.Fatalf("region %s fetched %d of %d chunks from external sources", r, n, chunks)
 			}
 		}
 	})
 }
 
-// TestOriginBoundUnderFaults guards against an origin that gives more than its
-// budget and what was wasted: draws that arrived corrupted, and draws of
-// machines that died. It guards as well against a version that is never
-// complete because the budget was wasted; that is why more than the budget is
-// given at all.
+// TestOriginBoundUnderFaults guards against an origin that sends more than
+// OriginCopies plus the wasted chunks: those that arrived corrupted, and those sent to
+// agents that died later. It also guards against a version that is never complete
+// because its quotas were wasted, which is why the origin may exceed OriginCopies.
 func TestOriginBoundUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms, regions := drawMembers(t, 5)
 		chunks := rapid.IntRange(8*regions, 8*regions+16).Draw(t, "chunks")
 		src := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		s := newSimulation(ms, chunks, src.IntN)
-		s.bad = rapid.IntRange(0, 2*chunks).Draw(t, "corrupted")
+		s.corrupt = rapid.IntRange(0, 2*chunks).Draw(t, "corrupted")
 		deaths := rapid.IntRange(0, len(ms)/3).Draw(t, "deaths")
-		at := rapid.IntRange(0, 60).Draw(t, "death_round")
+		deathRound := rapid.IntRange(0, 60).Draw(t, "death_round")
 		dead := map[fleet.Region]int{}
 		const rounds = 40_000
-		left := 1
-		for r := 0; r < rounds && left > 0; r++ {
-			for i := 0; r == at && i < deaths; i++ {
+		missing := 1
+		for r := 0; r < rounds && missing > 0; r++ {
+			for i := 0; r == deathRound && i < deaths; i++ {
 				k := (i * 7) % len(ms)
 				if region := ms[k].Region; (dead[region]+1)*2 <= len(ms)/regions {
 					s.dead[k] = true
 					dead[region]++
 				}
 			}
-			left = s.round()
+			missing = s.runRound()
 		}
 		lost := 0
 		for i := range s.dead {
-			lost += s.drawn[i]
+			lost += s.fetched[i]
 		}
-		if left > 0 {
-			t.Fatalf("%d chunks are missing; the origin gave %d of %d, %d wasted, %d lost", left, s.origin, chunks, s.wasted, lost)
+		if missing > 0 {
+			t.Fatalf("%d chunks are missing; the origin sent %d of %d, %d wasted, %d lost", missing, s.originFetches, chunks, s.wasted, lost)
 		}
-		if s.origin > OriginCopies*chunks+s.wasted+lost {
-			t.Fatalf("the origin gave %d of %d chunks, %d wasted, %d lost", s.origin, chunks, s.wasted, lost)
+		if s.originFetches > OriginCopies*chunks+s.wasted+lost {
+			t.Fatalf("the origin sent %d of %d chunks, %d wasted, %d lost", s.originFetches, chunks, s.wasted, lost)
 		}
 	})
 }
 
-// TestDistrustedHolder guards against a chunk that is never fetched from outside
-// because the only peer of the region that has it corrupts all it sends, and
-// against one that is fetched from outside after a single corrupted chunk.
+// TestDistrustedHolder guards against a chunk that is never fetched from an external
+// source because the only peer of the region that has it corrupts everything, and
+// against one that is fetched from there after a single corrupted chunk.
 func TestDistrustedHolder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tb := NewTable(1)
 	tb.AddPeer("bad", Neighbour, now)
-	tb.Holds("bad", 0, true, now)
-	o := Outside{May: func(int) (bool, bool) { return true, true }, OriginReady: true}
+	tb.AddHolder("bad", 0, true, now)
+	o := ExternalPolicy{MayFetch: func(int) (bool, bool) { return true, true }, OriginReady: true}
 	for i, want := range []bool{false, false, true} {
-		ch, ok, _ := tb.PickOutside(now, o, func(int) int { return 0 })
-		if n, _ := tb.Lacking(now); ok != want || (n == 1) != want {
-			t.Fatalf("after %d corrupted chunks: fetched from outside %v, %d lacking", i, ok, n)
+		f, ok, _ := tb.PickExternal(now, o, func(int) int { return 0 })
+		if n, _ := tb.MissingInRegion(now); ok != want || (n == 1) != want {
+			t.Fatalf("after %d corrupted chunks: fetched from an external source %v, %d missing", i, ok, n)
 		}
 		if ok {
-			tb.Ended(ch)
+			tb.EndFetch(f)
 		}
-		tb.Corrupted("bad", now)
+		tb.MarkCorrupted("bad", now)
 	}
-	tb.Verified("bad")
-	if _, ok, _ := tb.PickOutside(now, o, func(int) int { return 0 }); ok {
-		t.Fatal("fetched from outside although the peer sends correct chunks again")
+	tb.MarkVerified("bad")
+	if _, ok, _ := tb.PickExternal(now, o, func(int) int { return 0 }); ok {
+		t.Fatal("fetched from an external source although the peer sends correct chunks again")
 	}
 }
 
-// TestBudgetMayNotSuffice shows why allowances are extended: with a budget that
-// is fixed, corrupted draws leave a version incomplete for ever.
-func TestBudgetMayNotSuffice(t *testing.T) {
+// TestExtensionsAreNecessary shows why quotas are extended: without extensions,
+// corrupted chunks from the origin leave a version incomplete for ever.
+func TestExtensionsAreNecessary(t *testing.T) {
 	var ms []Member
 	for i := range 6 {
 		ms = append(ms, Member{VM: fleet.VM(fmt.Sprint("vm", i)), Region: fleet.Region(fmt.Sprint("r", i%2))})
 	}
 	const chunks = 20
-	for _, fixed := range []bool{true, false} {
+	for _, noExtensions := range []bool{true, false} {
 		s := newSimulation(ms, chunks, rand.New(rand.NewPCG(1, 1)).IntN)
-		s.bad, s.fixed = 3*chunks, fixed
-		left := 1
-		for r := 0; r < 40_000 && left > 0; r++ {
-			left = s.round()
-		}
-		t.Logf("fixed %v: %d missing, origin gave %d of %d", fixed, left, s.origin, chunks)
-		if fixed != (left > 0) || fixed && s.origin > OriginCopies*chunks {
-			t.Fatalf("fixed %v: %d missing, origin gave %d of %d", fixed, left, s.origin, chunks)
+		s.corrupt, s.noExtensions = 3*chunks, noExtensions
+		missing := 1
+		for r := 0; r < 40_000 && missing > 0; r++ {
+			missing = s.runRound()
+		}
+		t.Logf("without extensions %v: %d missing, origin sent %d of %d", noExtensions, missing, s.originFetches, chunks)
+		if noExtensions != (missing > 0) || noExtensions && s.originFetches > OriginCopies*chunks {
+			t.Fatalf("without extensions %v: %d missing, origin sent %d of %d", noExtensions, missing, s.originFetches, chunks)
 		}
 	}
 }
--- a/internal/core/spread/table.go
+++ b/internal/core/spread/table.go
@@ -9,98 +9,100 @@
 )
 
 const (
-	// AvoidCorrupted is how long the sender of a corrupted chunk is avoided. It
-	// is asked earlier only as a last resort.
-	AvoidCorrupted = 10 * time.Second
-	// AvoidStalled is how long a peer is avoided after a fetch without
-	// progress.
-	AvoidStalled = 5 * time.Second
-	// refuseCorrupted is the part of that time in which it is not asked at all.
-	// It doubles with each further corrupted chunk, so that a sender that
-	// corrupts everything wastes little of the link.
-	refuseCorrupted = time.Second
-	// distrustAfter is the number of corrupted chunks in a row after which an
-	// avoided peer counts as having nothing. Chunks that only it has are then
-	// fetched from outside; a region whose owner of some chunks corrupts all of
-	// them would never get these otherwise.
-	distrustAfter = 2
-	// AvoidFailed is how long a peer is avoided after a failed call.
-	AvoidFailed = time.Second
-	// quietAfter is the silence after which no fetch is started from a peer.
-	// Its stream carries a heartbeat each 500 ms.
-	quietAfter = 1200 * time.Millisecond
-	// hedgeAfter is the time without progress after which another fetch of the
-	// same chunk may start, so that a frozen peer delays nobody until the
-	// fetch is abandoned.
-	hedgeAfter = time.Second
-	// denyFor is how long a peer is not asked again for a chunk that it
+	// AvoidAfterCorruption is how long the sender of a corrupted chunk is avoided.
+	// Within that time it is asked only as a last resort.
+	AvoidAfterCorruption = 10 * time.Second
+	// AvoidAfterStall is how long a peer is avoided after a fetch without progress.
+	AvoidAfterStall = 5 * time.Second
+	// blockAfterCorruption is the initial part of AvoidAfterCorruption in which the
+	// sender is not asked at all. It doubles with each further corrupted chunk, so
+	// that a sender that corrupts everything wastes little of the link.
+	blockAfterCorruption = time.Second
+	// distrustThreshold is the number of corrupted chunks in a row after which an
+	// avoided peer counts as having no chunks. Chunks that only it has are then
+	// fetched from external sources. Otherwise a region would never get the chunks
+	// of an owner that corrupts all of them.
+	distrustThreshold = 2
+	// AvoidAfterFailure is how long a peer is avoided after a failed call.
+	AvoidAfterFailure = time.Second
+	// heartbeatTimeout is the time without a message after which no fetch is started
+	// from a peer. Its stream carries a heartbeat every 500 ms.
+	heartbeatTimeout = 1200 * time.Millisecond
+	// hedgeDelay is the time without progress after which a second fetch of the same
+	// chunk may start, so that a frozen peer does not delay the chunk until its fetch
+	// is abandoned.
+	hedgeDelay = time.Second
+	// refusalPause is how long a peer is not asked again for a chunk that it
 	// refused.
-	denyFor = 60 * time.Millisecond
-	// answerTime is how long a watched peer may take to say what it holds.
-	answerTime = time.Second
-	// maxSlots is the number of peers that a table can watch at one time.
-	maxSlots = 64
+	refusalPause = 60 * time.Millisecond
+	// holdingsTimeout is how long a watched peer may take to report its chunks.
+	holdingsTimeout = time.Second
+	// maxPeers is the maximum number of peers in a table, each of which has a bit in
+	// a mask of 64.
+	maxPeers = 64
 )
 
 // Rand returns a number in [0, n).
 type Rand func(n int) int
 
-// Limits bounds the fetches in progress.
+// Limits bounds the concurrent fetches of one version.
 type Limits struct {
 	// Total bounds all fetches from peers.
 	Total int
 	// PerPeer bounds the fetches from one peer.
 	PerPeer int
-	// Outside bounds the fetches from the origin and from other regions.
-	Outside int
+	// External bounds the fetches from external sources: the origin and peers of
+	// other regions.
+	External int
 }
 
-// missing is the state of a chunk that is not yet held.
-type missing struct {
-	holders uint64 // peers that have it, by slot
-	denied  uint64 // holders that refused it
-	until   time.Time
-	active  int // fetches in progress
-	since   time.Time
+// missingChunk is the state of a chunk that is not yet held.
+type missingChunk struct {
+	holders      uint64 // mask of the peers that have it
+	refused      uint64 // mask of the holders that refused it
+	refusedUntil time.Time
+	fetches      int       // in progress
+	progressAt   time.Time // last progress of a fetch
 }
 
+// peer is the state of a watched peer.
 type peer struct {
-	slot   int
-	local  bool
-	spare  bool
-	active int
-	taken  int
-	avoid  time.Time
-	resort time.Time // from here to avoid, asked as a last resort
-	// corrupted counts the corrupted chunks since the last correct one.
-	corrupted int
-	heard     time.Time
-	gone      bool
-	known     bool      // it sent its chunks or could not be reached
-	since     time.Time // start of the watch
-	own       time.Time // last announcement of a chunk that the peer owns
+	slot         int
+	local        bool
+	backup       bool
+	fetches      int
+	fetchesTotal int
+	avoidUntil   time.Time
+	lastResort   time.Time // from then until avoidUntil, asked only as a last resort
+	// corruptedInRow counts the corrupted chunks since the last correct one.
+	corruptedInRow int
+	heardAt        time.Time
+	disconnected   bool
+	reported       bool      // reported its chunks or could not be reached
+	watchedSince   time.Time // start of the watch
+	ownChunk       time.Time // last announcement of a chunk that the peer owns
 }
 
-// Table is what an agent knows of the missing chunks of one version and of the
-// peers that it watches. Its state is sharded by chunk and by peer; no method
-// holds two shard locks.
+// Table is what an agent knows of the missing chunks of one version and of the peers
+// that it watches. Its state is sharded by chunk and by peer. No method holds two
+// shard locks at the same time.
 type Table struct {
-	chunks *shard.Map[int, missing]
+	chunks *shard.Map[int, missingChunk]
 	peers  *shard.Map[fleet.VM, peer]
 	slots  *shard.Map[int, fleet.VM]
-	count  int
+	total  int
 }
 
 // NewTable returns a table in which all chunks are missing.
 func NewTable(chunks int) *Table {
 	t := &Table{
-		chunks: shard.New[int, missing](0),
+		chunks: shard.New[int, missingChunk](0),
 		peers:  shard.New[fleet.VM, peer](0),
 		slots:  shard.New[int, fleet.VM](0),
-		count:  chunks,
+		total:  chunks,
 	}
 	for c := range chunks {
-		t.chunks.Put(c, missing{})
+		t.chunks.Put(c, missingChunk{})
 	}
 	return t
 }
@@ -108,26 +110,26 @@
 // Role says what a watched peer is used for.
 type Role uint8
 
-// The roles of peers.
+// Roles of peers.
 const (
 	// Neighbour is a peer of the own region.
 	Neighbour Role = iota
-	// Spare is a peer of the own region that is asked only if no neighbour can
-	// be. Gateways watch each other as spares: if they drew on each other like
-	// on neighbours, their uploads would be shared by more requesters than
-	// those of other agents.
-	Spare
+	// Backup is a peer of the own region that is asked only if no neighbour can be.
+	// Gateways watch each other as backups: if they requested from each other as from
+	// neighbours, their uploads would be shared by more requesters than those of
+	// other agents.
+	Backup
 	// Remote is a peer of another region.
 	Remote
 )
 
-// AddPeer starts to track a peer. It reports false if it is tracked already or
+// AddPeer starts to track a peer. It returns false if the peer is tracked already or
 // the table is full.
 func (t *Table) AddPeer(vm fleet.VM, role Role, now time.Time) bool {
 	if _, ok := t.peers.Get(vm); ok {
 		return false
 	}
-	for s := range maxSlots {
+	for s := range maxPeers {
 		free := false
 		t.slots.Update(s, func(old fleet.VM, ok bool) (fleet.VM, bool) {
 			if ok {
@@ -137,14 +139,14 @@
 			return vm, true
 		})
 		if free {
-			t.peers.Put(vm, peer{slot: s, local: role != Remote, spare: role == Spare, heard: now, since: now, own: now})
+			t.peers.Put(vm, peer{slot: s, local: role != Remote, backup: role == Backup, heardAt: now, watchedSince: now, ownChunk: now})
 			return true
 		}
 	}
 	return false
 }
 
-// RemovePeer forgets a peer. The caller ends its stream first.
+// RemovePeer stops tracking a peer. The caller must end its stream first.
 func (t *Table) RemovePeer(vm fleet.VM) {
 	p, ok := t.peers.Get(vm)
 	if !ok {
@@ -158,19 +160,19 @@
 func (t *Table) clearHolder(slot int) {
 	bit := uint64(1) << slot
 	var held []int
-	t.chunks.Range(func(c int, m missing) bool {
+	t.chunks.Range(func(c int, m missingChunk) bool {
 		if m.holders&bit != 0 {
 			held = append(held, c)
 		}
 		return true
 	})
 	for _, c := range held {
-		t.updateMissing(c, func(m *missing) { m.holders &^= bit })
+		t.updateMissing(c, func(m *missingChunk) { m.holders &^= bit })
 	}
 }
 
-func (t *Table) updateMissing(c int, f func(*missing)) {
-	t.chunks.Update(c, func(m missing, ok bool) (missing, bool) {
+func (t *Table) updateMissing(c int, f func(*missingChunk)) {
+	t.chunks.Update(c, func(m missingChunk, ok bool) (missingChunk, bool) {
 		if ok {
 			f(&m)
 		}
@@ -187,28 +189,29 @@
 	})
 }
 
-// Heard records that the stream of a peer is alive.
-func (t *Table) Heard(vm fleet.VM, now time.Time) {
-	t.updatePeer(vm, func(p *peer) { p.heard, p.gone, p.known = now, false, true })
+// MarkAlive records a message on the stream of a peer.
+func (t *Table) MarkAlive(vm fleet.VM, now time.Time) {
+	t.updatePeer(vm, func(p *peer) { p.heardAt, p.disconnected, p.reported = now, false, true })
 }
 
-// Settled reports whether each peer of the region has said what it holds, or
-// had the time to. Before that a chunk may look missing in the whole region.
-func (t *Table) Settled(now time.Time) bool {
-	settled := true
+// PeersReported returns true once each peer of the region has reported its chunks or
+// has had holdingsTimeout to do so. Before that a chunk may look missing in the whole
+// region.
+func (t *Table) PeersReported(now time.Time) bool {
+	allReported := true
 	t.peers.Range(func(_ fleet.VM, p peer) bool {
-		settled = !p.local || p.known || now.Sub(p.since) > answerTime
-		return settled
+		allReported = !p.local || p.reported || now.Sub(p.watchedSince) > holdingsTimeout
+		return allReported
 	})
-	return settled
+	return allReported
 }
 
-// Lacking returns the number of chunks that no trusted peer of the region has,
-// and one of them, or -1.
-func (t *Table) Lacking(now time.Time) (n, example int) {
-	m := t.masks(now, maxSlots)
+// MissingInRegion returns the number of chunks that no trusted peer of the region
+// has, and the lowest of them or -1.
+func (t *Table) MissingInRegion(now time.Time) (n, example int) {
+	m := t.peerMasks(now, maxPeers)
 	example = -1
-	t.chunks.Range(func(c int, s missing) bool {
+	t.chunks.Range(func(c int, s missingChunk) bool {
 		if s.holders&m.trusted == 0 {
 			n++
 			if example < 0 || c < example {
@@ -220,163 +223,167 @@
 	return n, example
 }
 
-// Lost records that the stream of a peer ended. Its chunks are forgotten until
-// it sends them again.
-func (t *Table) Lost(vm fleet.VM) {
+// MarkDisconnected records that the stream of a peer ended. The peer counts as having
+// no chunks until it reports them again.
+func (t *Table) MarkDisconnected(vm fleet.VM) {
 	slot := -1
-	t.updatePeer(vm, func(p *peer) { p.gone, p.known, slot = true, true, p.slot })
+	t.updatePeer(vm, func(p *peer) { p.disconnected, p.reported, slot = true, true, p.slot })
 	if slot >= 0 {
 		t.clearHolder(slot)
 	}
 }
 
-// Holds records that a peer has chunk c. own marks a chunk that the peer
-// fetches from outside for its region.
-func (t *Table) Holds(vm fleet.VM, c int, own bool, now time.Time) {
+// AddHolder records that a peer has chunk c. ownChunk is set if the peer announced
+// the chunk and owns it: the peer fetches it from an external source for its region.
+func (t *Table) AddHolder(vm fleet.VM, c int, ownChunk bool, now time.Time) {
 	slot := -1
 	t.updatePeer(vm, func(p *peer) {
 		slot = p.slot
-		if own {
-			p.own = now
+		if ownChunk {
+			p.ownChunk = now
 		}
 	})
 	if slot >= 0 {
-		t.updateMissing(c, func(m *missing) { m.holders |= 1 << slot })
+		t.updateMissing(c, func(m *missingChunk) { m.holders |= 1 << slot })
 	}
 }
 
-// Idle returns the time since a gateway last announced a chunk of its own, or
-// since this agent began to watch it. One that is not watched does not count as
-// idle.
-func (t *Table) Idle(vm fleet.VM, now time.Time) time.Duration {
+// IdleTime returns the time since a gateway last announced a chunk that it owns, or
+// since this agent began to watch it. It is zero for a gateway that is not watched.
+func (t *Table) IdleTime(vm fleet.VM, now time.Time) time.Duration {
 	p, ok := t.peers.Get(vm)
 	if !ok {
 		return 0
 	}
-	return now.Sub(p.own)
+	return now.Sub(p.ownChunk)
 }
 
-// Unheard reports whether the stream of a watched peer ended or went quiet.
-func (t *Table) Unheard(vm fleet.VM, now time.Time) bool {
+// IsUnreachable reports whether the stream of a watched peer ended or went silent.
+func (t *Table) IsUnreachable(vm fleet.VM, now time.Time) bool {
 	p, ok := t.peers.Get(vm)
-	return ok && p.quiet(now)
+	return ok && p.unreachable(now)
 }
 
-// distrusted reports whether the chunks of a peer do not count.
+// distrusted reports whether the peer counts as having no chunks.
 func (p peer) distrusted(now time.Time) bool {
-	return p.corrupted >= distrustAfter && now.Before(p.avoid)
+	return p.corruptedInRow >= distrustThreshold && now.Before(p.avoidUntil)
 }
 
-func (p peer) quiet(now time.Time) bool { return p.gone || now.Sub(p.heard) > quietAfter }
+func (p peer) unreachable(now time.Time) bool {
+	return p.disconnected || now.Sub(p.heardAt) > heartbeatTimeout
+}
 
-// Avoided reports whether fetches from a peer are suspended after a fault.
-func (t *Table) Avoided(vm fleet.VM, now time.Time) bool {
+// IsAvoided reports whether fetches from a peer are suspended after a fault.
+func (t *Table) IsAvoided(vm fleet.VM, now time.Time) bool {
 	p, ok := t.peers.Get(vm)
-	return ok && now.Before(p.avoid)
+	return ok && now.Before(p.avoidUntil)
 }
 
-// Avoid suspends fetches from a peer.
-func (t *Table) Avoid(vm fleet.VM, until time.Time) { t.avoid(vm, until, until) }
+// Avoid suspends fetches from a peer until the given time.
+func (t *Table) Avoid(vm fleet.VM, until time.Time) { t.avoidUntil(vm, until, until) }
 
-// Corrupted suspends fetches from a peer that sent a corrupted chunk.
-func (t *Table) Corrupted(vm fleet.VM, now time.Time) {
-	refuse := refuseCorrupted
+// MarkCorrupted records that a peer sent a corrupted chunk and suspends fetches from
+// it.
+func (t *Table) MarkCorrupted(vm fleet.VM, now time.Time) {
+	block := blockAfterCorruption
 	t.updatePeer(vm, func(p *peer) {
-		for range p.corrupted {
-			refuse = min(2*refuse, AvoidCorrupted)
+		for range p.corruptedInRow {
+			block = min(2*block, AvoidAfterCorruption)
 		}
-		p.corrupted++
+		p.corruptedInRow++
 	})
-	t.avoid(vm, now.Add(AvoidCorrupted), now.Add(refuse))
+	t.avoidUntil(vm, now.Add(AvoidAfterCorruption), now.Add(block))
 }
 
-// Verified records that a peer sent a correct chunk.
-func (t *Table) Verified(vm fleet.VM) { t.updatePeer(vm, func(p *peer) { p.corrupted = 0 }) }
+// MarkVerified records that a peer sent a correct chunk.
+func (t *Table) MarkVerified(vm fleet.VM) { t.updatePeer(vm, func(p *peer) { p.corruptedInRow = 0 }) }
 
-func (t *Table) avoid(vm fleet.VM, until, resort time.Time) {
+func (t *Table) avoidUntil(vm fleet.VM, until, lastResort time.Time) {
 	t.updatePeer(vm, func(p *peer) {
-		if until.After(p.avoid) {
-			p.avoid = until
+		if until.After(p.avoidUntil) {
+			p.avoidUntil = until
 		}
-		if resort.After(p.resort) {
-			p.resort = resort
+		if lastResort.After(p.lastResort) {
+			p.lastResort = lastResort
 		}
 	})
 }
 
-// Refused records that a peer refused chunk c for now, or does not have it.
-func (t *Table) Refused(vm fleet.VM, c int, has bool, now time.Time) {
+// MarkRefused records that a peer did not send chunk c: it refused for now if
+// hasChunk is set, and does not have the chunk otherwise.
+func (t *Table) MarkRefused(vm fleet.VM, c int, hasChunk bool, now time.Time) {
 	p, ok := t.peers.Get(vm)
 	if !ok {
 		return
 	}
-	t.updateMissing(c, func(m *missing) {
-		if !has {
+	t.updateMissing(c, func(m *missingChunk) {
+		if !hasChunk {
 			m.holders &^= 1 << p.slot
 			return
 		}
-		m.denied |= 1 << p.slot
-		m.until = now.Add(denyFor)
+		m.refused |= 1 << p.slot
+		m.refusedUntil = now.Add(refusalPause)
 	})
 }
 
-// Progress records that bytes of chunk c arrived.
-func (t *Table) Progress(c int, now time.Time) {
-	t.updateMissing(c, func(m *missing) { m.since = now })
+// MarkProgress records that bytes of chunk c arrived.
+func (t *Table) MarkProgress(c int, now time.Time) {
+	t.updateMissing(c, func(m *missingChunk) { m.progressAt = now })
 }
 
-// Ended records the end of a fetch that Pick or PickOutside returned.
-func (t *Table) Ended(ch Choice) {
-	t.updateMissing(ch.Chunk, func(m *missing) { m.active-- })
-	if !ch.Origin {
-		t.updatePeer(ch.From, func(p *peer) { p.active = max(0, p.active-1) })
+// EndFetch records the end of a fetch that PickLocal or PickExternal returned.
+func (t *Table) EndFetch(f Fetch) {
+	t.updateMissing(f.Chunk, func(m *missingChunk) { m.fetches-- })
+	if !f.Origin {
+		t.updatePeer(f.From, func(p *peer) { p.fetches = max(0, p.fetches-1) })
 	}
 }
 
-// Have records that chunk c is verified and held. It reports false if it was
-// held before.
-func (t *Table) Have(c int) bool { return t.chunks.Delete(c) }
+// MarkHeld records that chunk c is verified and held. It returns false if the chunk
+// was held before.
+func (t *Table) MarkHeld(c int) bool { return t.chunks.Delete(c) }
 
-// Missing reports whether chunk c is not yet held.
-func (t *Table) Missing(c int) bool {
+// IsMissing reports whether chunk c is not yet held.
+func (t *Table) IsMissing(c int) bool {
 	_, ok := t.chunks.Get(c)
 	return ok
 }
 
-// Held returns the number of chunks held.
-func (t *Table) Held() int { return t.count - t.chunks.Len() }
-
-// masks are the peers by what they can be used for at one moment.
-type masks struct {
-	local   uint64 // peers of the own region
-	trusted uint64 // those of them that do not corrupt what they send
-	spare   uint64 // peers that are asked last
-	usable  uint64 // peers from which a fetch may start
-	resort  uint64 // peers from which one may start as a last resort
-	vms     [maxSlots]fleet.VM
-	active  [maxSlots]int
-	taken   [maxSlots]int
+// HeldCount returns the number of chunks held.
+func (t *Table) HeldCount() int { return t.total - t.chunks.Len() }
+
+// peerMasks is a snapshot of the peers. Each mask has a bit per slot; the arrays are
+// indexed by slot.
+type peerMasks struct {
+	local        uint64 // peers of the own region
+	trusted      uint64 // peers of the own region that are not distrusted
+	backup       uint64 // peers with the role Backup
+	usable       uint64 // peers from which a fetch may start
+	lastResort   uint64 // peers from which a fetch may start at least as a last resort
+	vms          [maxPeers]fleet.VM
+	fetches      [maxPeers]int
+	fetchesTotal [maxPeers]int
 }
 
-func (t *Table) masks(now time.Time, perPeer int) masks {
-	var m masks
+func (t *Table) peerMasks(now time.Time, perPeer int) peerMasks {
+	var m peerMasks
 	t.peers.Range(func(vm fleet.VM, p peer) bool {
 		bit := uint64(1) << p.slot
-		m.vms[p.slot], m.active[p.slot], m.taken[p.slot] = vm, p.active, p.taken
+		m.vms[p.slot], m.fetches[p.slot], m.fetchesTotal[p.slot] = vm, p.fetches, p.fetchesTotal
 		if p.local {
 			m.local |= bit
 			if !p.distrusted(now) {
 				m.trusted |= bit
 			}
 		}
-		if p.spare {
-			m.spare |= bit
+		if p.backup {
+			m.backup |= bit
 		}
-		if p.quiet(now) || p.active >= perPeer || now.Before(p.resort) {
+		if p.unreachable(now) || p.fetches >= perPeer || now.Before(p.lastResort) {
 			return true
 		}
-		m.resort |= bit
-		if !now.Before(p.avoid) {
+		m.lastResort |= bit
+		if !now.Before(p.avoidUntil) {
 			m.usable |= bit
 		}
 		return true
@@ -384,16 +391,16 @@
 	return m
 }
 
-// least returns the slot of the peer with the fewest fetches in progress, then
-// the fewest chunks taken, with random ties.
-func (m *masks) least(set uint64, rnd Rand) int {
+// leastLoaded returns the slot of the peer in set with the fewest fetches in
+// progress and then the fewest fetches in total. Ties are broken at random.
+func (m *peerMasks) leastLoaded(set uint64, rnd Rand) int {
 	best, ties := -1, 0
 	for ; set != 0; set &= set - 1 {
 		s := bits.TrailingZeros64(set)
 		switch {
-		case best < 0 || m.less(s, best):
+		case best < 0 || m.lessLoaded(s, best):
 			best, ties = s, 1
-		case !m.less(best, s):
+		case !m.lessLoaded(best, s):
 			ties++
 			if rnd(ties) == 0 {
 				best = s
@@ -403,9 +410,9 @@
 	return best
 }
 
-func (m *masks) less(a, b int) bool {
-	if m.active[a] != m.active[b] {
-		return m.active[a] < m.active[b]
+func (m *peerMasks) lessLoaded(a, b int) bool {
+	if m.fetches[a] != m.fetches[b] {
+		return m.fetches[a] < m.fetches[b]
 	}
-	return m.taken[a] < m.taken[b]
+	return m.fetchesTotal[a] < m.fetchesTotal[b]
 }
--- a/internal/core/spread/uploads.go
+++ b/internal/core/spread/uploads.go
@@ -10,113 +10,119 @@
 )
 
 const (
-	// MaxUploads is the number of chunks that an agent sends at one time.
+	// MaxUploads is the maximum number of chunks that an agent sends at the same time.
 	MaxUploads = 4
 	// maxQueued bounds the requests that wait for an upload slot.
 	maxQueued = 16
-	// maxRecords bounds the requesters whose bytes are remembered. Requesters
-	// come and go, and forgetting all of them only restarts their order.
-	maxRecords = 1024
-	// copiesPerChunk is the number of times that an agent gives one chunk
-	// readily. Two make a tree of each chunk, whose inner nodes differ from
-	// chunk to chunk, so that no machine gives much more than one copy of the
-	// version.
+	// maxRequesters bounds the requesters whose received bytes are counted. When it
+	// is exceeded all counts are dropped, which only resets the order of requesters.
+	maxRequesters = 1024
+	// copiesPerChunk is the number of copies of one chunk that an agent sends without
+	// further conditions. With two, each chunk is distributed along a binary tree,
+	// whose inner nodes differ from chunk to chunk, so that no machine sends much more
+	// than one copy of the version.
 	copiesPerChunk = 2
-	// firstSlackPercent and moreSlackPercent are how much more than it took an
-	// agent gives, in percent of the version. First copies of a chunk have
-	// more slack, since nobody else may have the chunk.
-	firstSlackPercent = 12
-	moreSlackPercent  = 6
-	// idleSlackPercent is how far below what it took an agent has to be to
-	// give further copies of a chunk.
-	idleSlackPercent = -5
-	// extraSeconds is the time in which an agent gives one more copy of a
-	// version beyond these limits, so that a late agent is served by peers
-	// that have given their share.
-	extraSeconds = 30
+	// firstSlackPercent and repeatSlackPercent are how far the bytes that an agent
+	// sends may exceed those that it received, in percent of the version, for the
+	// first and for repeated copies of a chunk. A first copy has more slack, because
+	// no other agent may have the chunk.
+	firstSlackPercent  = 12
+	repeatSlackPercent = 6
+	// extraSlackPercent is the same limit for copies beyond copiesPerChunk. It is
+	// negative: the agent must have sent less than it received.
+	extraSlackPercent = -5
+	// extraCopySeconds is the time in which an agent may send one more copy of a
+	// version beyond these limits, so that a late agent is served by peers that have
+	// already sent their share.
+	extraCopySeconds = 30
 )
 
-// Credit limits what an agent gives of one version.
-type Credit struct {
-	bytes int64
-	given *shard.Map[int, int]
-	extra *pace.Bucket
+// UploadCredit limits the bytes that an agent sends of one version, depending on the
+// bytes that it received.
+type UploadCredit struct {
+	bytes       int64
+	copiesSent  *shard.Map[int, int]
+	extraCopies *pace.Bucket
 
-	mu    sync.Mutex
-	taken int64
-	gave  int64
+	mu       sync.Mutex
+	received int64
+	sent     int64
 }
 
-// NewCredit returns the credit of a version with the given size.
-func NewCredit(bytes int64, now time.Time) *Credit {
-	rate := max(1, bytes/extraSeconds)
-	return &Credit{bytes: bytes, given: shard.New[int, int](0), extra: pace.NewBucket(rate, now)}
+// NewUploadCredit returns the credit for a version with the given size.
+func NewUploadCredit(bytes int64, now time.Time) *UploadCredit {
+	rate := max(1, bytes/extraCopySeconds)
+	return &UploadCredit{bytes: bytes, copiesSent: shard.New[int, int](0), extraCopies: pace.NewBucket(rate, now)}
 }
 
-// Took records bytes that the agent received.
-func (c *Credit) Took(n int64) {
+// AddReceived records bytes that the agent received.
+func (c *UploadCredit) AddReceived(n int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.taken += n
+	c.received += n
 }
 
-// Allow reports whether chunk i may be given now, and records it.
-func (c *Credit) Allow(i int, n int64, now time.Time) bool {
-	copies, _ := c.given.Get(i)
-	slack := int64(moreSlackPercent)
+// Allow reports whether chunk i of n bytes may be sent now, and records it as sent
+// if so.
+func (c *UploadCredit) Allow(i int, n int64, now time.Time) bool {
+	copies, _ := c.copiesSent.Get(i)
+	slack := int64(repeatSlackPercent)
 	switch {
 	case copies == 0:
 		slack = firstSlackPercent
 	case copies >= copiesPerChunk:
-		slack = idleSlackPercent
+		slack = extraSlackPercent
 	}
-	if !c.within(slack) && !c.extra.Take(now, int(n)) {
+	if !c.withinSlack(slack) && !c.extraCopies.Take(now, int(n)) {
 		return false
 	}
-	c.given.Update(i, func(k int, _ bool) (int, bool) { return k + 1, true })
+	c.copiesSent.Update(i, func(k int, _ bool) (int, bool) { return k + 1, true })
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gave += n
+	c.sent += n
 	return true
 }
 
-// Return takes back what Allow recorded for an upload that did not happen.
-func (c *Credit) Return(i int, n int64) {
-	c.given.Update(i, func(k int, _ bool) (int, bool) { return k - 1, k > 1 })
+// Refund undoes a successful Allow whose upload did not happen.
+func (c *UploadCredit) Refund(i int, n int64) {
+	c.copiesSent.Update(i, func(k int, _ bool) (int, bool) { return k - 1, k > 1 })
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gave -= n
+	c.sent -= n
 }
 
-// within reports whether the agent gave at most slack percent of the version
-// more than it took.
-func (c *Credit) within(slack int64) bool {
+// withinSlack reports whether the bytes sent exceed the bytes received by at most
+// slack percent of the version.
+func (c *UploadCredit) withinSlack(slack int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gave <= c.taken+c.bytes*slack/100
+	return c.sent <= c.received+c.bytes*slack/100
 }
 
-// Slots grants upload slots. The waiting requester that was given the fewest
-// bytes goes first.
-type Slots struct {
-	mu     sync.Mutex
-	free   int
-	given  map[fleet.VM]int64
-	queued []*Ticket
+// UploadSlots grants a fixed number of upload slots. The waiting requester that
+// received the fewest bytes is served first.
+type UploadSlots struct {
+	mu        sync.Mutex
+	free      int
+	bytesSent map[fleet.VM]int64
+	queued    []*Ticket
 }
 
-// Ticket waits for a slot.
+// Ticket is a request for a slot.
 type Ticket struct {
 	vm fleet.VM
 	// Granted is closed when the slot is granted.
 	Granted chan struct{}
 }
 
-// NewSlots returns n free slots.
-func NewSlots(n int) *Slots { return &Slots{free: n, given: map[fleet.VM]int64{}} }
+// NewUploadSlots returns an UploadSlots with n free slots.
+func NewUploadSlots(n int) *UploadSlots {
+	return &UploadSlots{free: n, bytesSent: map[fleet.VM]int64{}}
+}
 
-// Request returns a ticket, or nil if too many requests wait.
-func (s *Slots) Request(vm fleet.VM) *Ticket {
+// Request returns a ticket that is granted at once or waits for a slot, or nil if
+// too many requests wait.
+func (s *UploadSlots) Request(vm fleet.VM) *Ticket {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := &Ticket{vm: vm, Granted: make(chan struct{})}
@@ -132,9 +138,9 @@
 	return t
 }
 
-// Cancel gives up a ticket. It reports false if the slot was granted already,
-// which then has to be released.
-func (s *Slots) Cancel(t *Ticket) bool {
+// Cancel withdraws a waiting ticket. It returns false if the slot was granted
+// already; the caller must then release it.
+func (s *UploadSlots) Cancel(t *Ticket) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, q := range s.queued {
@@ -146,22 +152,22 @@
 	return false
 }
 
-// Release returns a slot after n bytes were given to its requester, and grants
-// it to the next.
-func (s *Slots) Release(t *Ticket, n int64) {
+// Release returns a slot after n bytes were sent to its requester, and grants it to
+// the next one.
+func (s *UploadSlots) Release(t *Ticket, n int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.given) >= maxRecords {
-		clear(s.given)
+	if len(s.bytesSent) >= maxRequesters {
+		clear(s.bytesSent)
 	}
-	s.given[t.vm] += n
+	s.bytesSent[t.vm] += n
 	if len(s.queued) == 0 {
 		s.free++
 		return
 	}
 	best := 0
 	for i, q := range s.queued {
-		if s.given[q.vm] < s.given[s.queued[best].vm] {
+		if s.bytesSent[q.vm] < s.bytesSent[s.queued[best].vm] {
 			best = i
 		}
 	}
