--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -191,7 +191,7 @@
 	default:
 		return nil, -1
 	}
-	h, age := d.rev.Current(d.deps.Clock.Now())
+	h, age := d.rev.Snapshot(d.deps.Clock.Now())
 	return h.Declaration, age
 }
 
@@ -239,7 +239,7 @@
 		return 0, errors.Wrap(err, "reading declaration")
 	}
 	now := d.deps.Clock.Now()
-	if !d.rev.Accept(revision.Snapshot{Declaration: decl, Encoded: stored}, age, now) {
+	if !d.rev.Accept(revision.Snapshot{Declaration: decl, Stored: stored}, age, now) {
 		return decl.Revision, nil
 	}
 	d.deps.Metrics.Gauge("directory_revision", float64(decl.Revision))
--- a/internal/app/directory/handler.go
+++ b/internal/app/directory/handler.go
@@ -33,11 +33,11 @@
 
 // Declaration implements port.MemberHandler.
 func (d handler) Declaration(context.Context) (port.Document, error) {
-	h, age := d.rev.Current(d.deps.Clock.Now())
+	h, age := d.rev.Snapshot(d.deps.Clock.Now())
 	if h.Declaration == nil {
 		return port.Document{}, ErrNoDeclaration
 	}
-	return port.Document{Revision: h.Declaration.Revision, Stored: h.Encoded, Age: age}, nil
+	return port.Document{Revision: h.Declaration.Revision, Stored: h.Stored, Age: age}, nil
 }
 
 // Members implements port.MemberHandler. Dead members are included, so that
--- a/internal/app/directory/record.go
+++ b/internal/app/directory/record.go
@@ -77,7 +77,7 @@
 
 // fromMessage adds the revision.
 func (d *Directory) fromMessage(m membership.Message[port.MemberRecord]) port.ExchangeMessage {
-	h, age := d.rev.Current(d.deps.Clock.Now())
+	h, age := d.rev.Snapshot(d.deps.Clock.Now())
 	out := port.ExchangeMessage{
 		From: m.From, Age: age, Digest: m.Digest, Compare: m.Compare, Group: uint32(m.Group), Digests: m.Digests, Want: m.Want,
 	}
--- a/internal/app/directory/startup.go
+++ b/internal/app/directory/startup.go
@@ -124,7 +124,7 @@
 	for d.sleep(ctx, meterEvery) {
 		now := d.deps.Clock.Now()
 		d.deps.Metrics.Gauge("directory_members", float64(len(d.table.Live(now))))
-		if _, age := d.rev.Current(now); age >= 0 {
+		if _, age := d.rev.Snapshot(now); age >= 0 {
 			d.deps.Metrics.Gauge("directory_age_seconds", age.Seconds())
 		}
 		for _, t := range d.Traffic() {
--- a/internal/app/ledger/ledger.go
+++ b/internal/app/ledger/ledger.go
@@ -61,8 +61,8 @@
 	opts  Options
 
 	table   *core.Table
-	answers *core.Answers[kept]
-	pacer   *core.Pacer
+	answers *core.ResponseCache[kept]
+	pacer   *core.WriteLimiter
 	leases  *leases
 	// waiters receive the outcome of their attempt. The channels hold one.
 	waiters *shard.Map[core.Attempt, chan core.Decision]
@@ -87,8 +87,8 @@
 	l := &Ledger{
 		kv: kv, clock: clock, rand: rand, opts: o,
 		table:   core.NewTable(o.Window),
-		answers: core.NewAnswers[kept](o.AnswerBytes),
-		pacer:   core.NewPacer(o.WritesPerSecond),
+		answers: core.NewResponseCache[kept](o.AnswerBytes),
+		pacer:   core.NewWriteLimiter(o.WritesPerSecond),
 		waiters: shard.New[core.Attempt, chan core.Decision](0),
 		workers: inflight.New(),
 		ctx:     ctx, cancel: cancel,
@@ -103,7 +103,7 @@
 // Begin implements port.Ledger.
 func (l *Ledger) Begin(ctx context.Context, k port.LedgerKey, content port.CallContent) (port.LedgerTicket, *port.StoredAnswer, error) {
 	now := l.clock.Now()
-	key, bad := core.CheckKey(k.Service, k.Customer, k.Key, now, l.opts.Window)
+	key, bad := core.ParseKey(k.Service, k.Customer, k.Key, now, l.opts.Window)
 	if bad != nil {
 		return nil, nil, bad
 	}
@@ -132,7 +132,7 @@
 	ch := make(chan core.Decision, 1)
 	l.waiters.Put(a, ch)
 	defer l.waiters.Delete(a)
-	dec, start := l.table.Join(key, a, now)
+	dec, start := l.table.Submit(key, a, now)
 	if dec != core.Queued {
 		return dec
 	}
@@ -146,7 +146,7 @@
 	case <-l.clock.After(l.opts.MaxWait):
 	case <-l.ctx.Done():
 	}
-	l.table.Abandon(key, a)
+	l.table.Cancel(key, a)
 	select {
 	case dec = <-ch:
 	default:
@@ -179,7 +179,7 @@
 // call of another content: its caller would take the answer for its own.
 func (k kept) replay(content port.CallContent) (port.LedgerTicket, *port.StoredAnswer, error) {
 	if k.content != content {
-		return nil, nil, core.ErrReused()
+		return nil, nil, core.ErrKeyReused()
 	}
 	c := *k.answer
 	c.Head.Replayed = true
--- a/internal/app/ledger/ledger_test.go
+++ b/internal/app/ledger/ledger_test.go
@@ -169,7 +169,7 @@
 	l, _ := start(t, w, Options{})
 	small, large := newKey(), newKey()
 	begin(t, l, small).Done(&port.StoredAnswer{Head: port.AnswerHead{Status: 201}, Body: []byte("ordered")})
-	begin(t, l, large).Done(&port.StoredAnswer{Body: bytes.Repeat([]byte{'x'}, core.MaxAnswerBytes+1)})
+	begin(t, l, large).Done(&port.StoredAnswer{Body: bytes.Repeat([]byte{'x'}, core.MaxResponseBytes+1)})
 	tk, a, err := l.Begin(t.Context(), small, port.CallContent{})
 	if tk != nil || err != nil || string(a.Body) != "ordered" || a.Head.Status != 201 || !a.Head.Replayed {
 		t.Errorf("repeat = %v, %+v, %v", tk, a, err)
--- a/internal/app/ledger/run.go
+++ b/internal/app/ledger/run.go
@@ -27,7 +27,7 @@
 		case <-ctx.Done():
 		case <-l.clock.After(flushInterval):
 			now := l.clock.Now()
-			l.flush(l.pacer.Spare(now))
+			l.flush(l.pacer.SpareWrites(now))
 			if now.Sub(swept) >= sweepInterval {
 				swept = now
 				l.table.Sweep(now)
@@ -43,7 +43,7 @@
 
 // flush starts the writes of up to n documents with marks.
 func (l *Ledger) flush(n int) {
-	for _, d := range l.table.Flushable(n) {
+	for _, d := range l.table.ClaimDirty(n) {
 		l.work(d)
 	}
 }
@@ -51,10 +51,10 @@
 // stop writes the marks that are left within stopTimeout and ends the workers.
 func (l *Ledger) stop() error {
 	end := l.clock.After(stopTimeout)
-	for l.flushed(end) && l.table.Marks() > 0 && l.pauseBefore(end) {
+	for l.flushed(end) && l.table.DirtyDocuments() > 0 && l.pauseBefore(end) {
 	}
 	l.Kill()
-	if left := l.table.Marks(); left > 0 {
+	if left := l.table.DirtyDocuments(); left > 0 {
 		return errors.Errorf("%d documents with ends of calls that were not written", left)
 	}
 	return nil
@@ -75,7 +75,7 @@
 // flushed starts the writes of all marks and waits until no worker is left. It
 // returns false if end comes first.
 func (l *Ledger) flushed(end <-chan time.Time) bool {
-	l.flush(l.table.Marks())
+	l.flush(l.table.DirtyDocuments())
 	for !l.workers.Idle() {
 		select {
 		case <-l.workers.IdleSignal():
--- a/internal/app/ledger/worker.go
+++ b/internal/app/ledger/worker.go
@@ -44,10 +44,10 @@
 	if w.l.ctx.Err() != nil {
 		return false
 	}
-	switch w.l.table.Step(w.name) {
-	case core.Read:
+	switch w.l.table.NextStep(w.name) {
+	case core.StepRead:
 		return w.read()
-	case core.Write:
+	case core.StepWrite:
 		return w.write()
 	default:
 		return false
@@ -61,7 +61,7 @@
 		return w.unreachable()
 	}
 	w.backoff = minBackoff
-	out, unchanged := w.l.table.Loaded(w.name, rec, rev, w.l.clock.Now())
+	out, unchanged := w.l.table.ReadSucceeded(w.name, rec, rev, w.l.clock.Now())
 	if unchanged {
 		w.l.leases.forget(w.name.Bucket)
 	}
@@ -72,7 +72,7 @@
 // unreachable tells the calls that wait, and that no write carried yet, that
 // the platform is out of reach.
 func (w *worker) unreachable() bool {
-	out, retry := w.l.table.Unread(w.name)
+	out, retry := w.l.table.ReadFailed(w.name)
 	w.l.deliver(out)
 	return retry && w.pause()
 }
@@ -119,7 +119,7 @@
 	if !w.l.sleep(w.l.pacer.Reserve(w.l.clock.Now())) {
 		return false
 	}
-	rec, rev, out, ok := w.l.table.Compose(w.name, w.l.clock.Now())
+	rec, rev, out, ok := w.l.table.PrepareWrite(w.name, w.l.clock.Now())
 	w.l.deliver(out)
 	if !ok {
 		return true
@@ -137,17 +137,17 @@
 func (w *worker) result(rev int64, err error) bool {
 	switch {
 	case err == nil:
-		w.l.deliver(w.l.table.Landed(w.name, rev, w.l.clock.Now()))
+		w.l.deliver(w.l.table.WriteSucceeded(w.name, rev, w.l.clock.Now()))
 		return true
 	case errors.Is(err, port.ErrUnavailable):
 		return w.refused()
 	case errors.Is(err, port.ErrConflict):
 		w.l.opts.Metrics.Count("ledger_conflicts", 1)
-		w.l.table.Uncertain(w.name, true)
+		w.l.table.WriteUnconfirmed(w.name, true)
 		return true
 	default:
 		w.l.opts.Metrics.Count("ledger_unknown_writes", 1)
-		w.l.table.Uncertain(w.name, false)
+		w.l.table.WriteUnconfirmed(w.name, false)
 		return true
 	}
 }
@@ -156,7 +156,7 @@
 // worker goes on for calls that came meanwhile.
 func (w *worker) refused() bool {
 	w.l.opts.Metrics.Count("ledger_refused_writes", 1)
-	out, retry := w.l.table.Refused(w.name)
+	out, retry := w.l.table.WriteRejected(w.name)
 	w.l.deliver(out)
 	return retry && w.pause()
 }
--- a/internal/core/ledger/document.go
+++ b/internal/core/ledger/document.go
@@ -4,100 +4,110 @@
 	"time"
 )
 
-// call is a call that waits for its record.
-type call struct {
+// pendingCall is a call that waits until its attempt is recorded or rejected.
+type pendingCall struct {
 	key     Key
 	attempt Attempt
-	// sent means that a write with the attempt may have taken effect.
-	sent bool
-	// reread asks for a fresh read, because a cached record of another process
-	// may have changed since.
-	reread bool
+	// maybeWritten means that a write that contains the attempt may have taken
+	// effect.
+	maybeWritten bool
+	// needsRead requests a fresh read before the next decision: the cached
+	// record belongs to another process, which may have changed it since.
+	needsRead bool
 }
 
-// own is what this process knows of an attempt of its own.
-type own uint8
+// attemptState is what this process knows about one of its own attempts.
+// Attempts that still wait or have ended, and those of other processes, have
+// none.
+type attemptState uint8
 
 const (
-	running own = iota + 1
-	// notRun attempts did not run and never will, so their records may be
-	// replaced by this process.
-	notRun
+	// attemptRunning: the attempt was allowed to run and has not ended.
+	attemptRunning attemptState = iota + 1
+	// attemptNotRun: the attempt did not run and never will, so this process
+	// may replace its record.
+	attemptNotRun
 )
 
-// doc is the state of one document. Its methods run under the lock of its
+// docState is the state of one document. Its methods run under the lock of its
 // shard and do not block.
-type doc struct {
+type docState struct {
 	name Document
-	// fresh means that rev and records need no read before the next write.
-	fresh   bool
+	// cached means that rev and records can be used for the next write without
+	// a read.
+	cached  bool
 	rev     int64
 	records Records
-	// conflicted is the revision at which the last write met a conflict, or -1.
-	conflicted int64
-	// worker means that a goroutine works on the document.
-	worker   bool
-	waiting  []call
-	inflight []call
-	next     Records
-	own      map[Attempt]own
-	// marks are the final states that are not written yet, by key.
-	marks    map[KeyHash]Record
-	lastUsed time.Time
+	// conflictRev is the revision on which the last write was based if that
+	// write met a conflict, otherwise -1.
+	conflictRev int64
+	// hasWorker means that a goroutine is processing the document.
+	hasWorker bool
+	// waiting are the calls for the next write, writing those in the current
+	// one.
+	waiting []pendingCall
+	writing []pendingCall
+	// nextRecords is the content of the write in progress.
+	nextRecords  Records
+	attemptState map[Attempt]attemptState
+	// unwritten holds, by key, the final records that are not yet in the
+	// document.
+	unwritten map[KeyHash]Record
+	lastUsed  time.Time
 }
 
-func newDoc(name Document) *doc {
-	return &doc{
-		name: name, records: Records{}, conflicted: -1,
-		own: map[Attempt]own{}, marks: map[KeyHash]Record{},
+func newDocState(name Document) *docState {
+	return &docState{
+		name: name, records: Records{}, conflictRev: -1,
+		attemptState: map[Attempt]attemptState{}, unwritten: map[KeyHash]Record{},
 	}
 }
 
-// judge returns what the records known say of a call. Queued means that the
-// call may be written.
-func (d *doc) judge(c call) Decision {
+// decide returns the decision that the known records imply for a call. Queued
+// means that the attempt may be written.
+func (d *docState) decide(c pendingCall) Decision {
 	r, ok := d.records[c.key.Hash]
 	switch {
 	case !ok && len(d.records) >= MaxRecords:
 		return Full
 	case !ok || r.State == Aborted:
 		return Queued
-	case r.State == Done || d.marks[c.key.Hash] == Record{r.Attempt, Done}:
+	case r.State == Done || d.unwritten[c.key.Hash] == Record{r.Attempt, Done}:
 		return AlreadyRan
 	case r.Attempt == c.attempt:
 		return Run
-	case d.own[r.Attempt] == notRun:
+	case d.attemptState[r.Attempt] == attemptNotRun:
 		return Queued
-	case d.own[r.Attempt] == running:
+	case d.attemptState[r.Attempt] == attemptRunning:
 		return InProgress
 	default:
 		return MayHaveRun
 	}
 }
 
-// join takes a call in, or decides it at once.
-func (d *doc) join(c call) Decision {
-	if d.holds(c.key.Hash) {
+// submit queues a call, or returns its decision if that needs neither a read
+// nor a write.
+func (d *docState) submit(c pendingCall) Decision {
+	if d.hasLiveCall(c.key.Hash) {
 		return InProgress
 	}
-	switch j := d.judge(c); j {
+	switch dec := d.decide(c); dec {
 	case Queued:
 	case MayHaveRun:
-		c.reread = true
+		c.needsRead = true
 	default:
-		return j
+		return dec
 	}
 	d.waiting = append(d.waiting, c)
 	return Queued
 }
 
-// holds reports whether a call with the key waits or is being written. A call
-// that is being written and whose caller has gone never runs, so it holds
-// nothing.
-func (d *doc) holds(k KeyHash) bool {
-	for _, cs := range [2][]call{d.waiting, d.inflight} {
+// hasLiveCall reports whether a call with the key is waiting or being written.
+// A call whose caller left during the write never runs and does not count.
+func (d *docState) hasLiveCall(k KeyHash) bool {
+	for _, cs := range [2][]pendingCall{d.waiting, d.writing} {
 		for _, c := range cs {
-			if c.key.Hash == k && d.own[c.attempt] != notRun {
+			if c.key.Hash == k && d.attemptState[c.attempt] != attemptNotRun {
 				return true
 			}
 		}
@@ -105,101 +115,103 @@
 	return false
 }
 
-// step returns what the worker does next.
-func (d *doc) step() Step {
-	if len(d.waiting) == 0 && len(d.marks) == 0 {
-		return Idle
+// nextStep returns the next step of the worker.
+func (d *docState) nextStep() Step {
+	if len(d.waiting) == 0 && len(d.unwritten) == 0 {
+		return StepIdle
 	}
-	if !d.fresh {
-		return Read
+	if !d.cached {
+		return StepRead
 	}
 	for _, c := range d.waiting {
-		if c.reread {
-			return Read
+		if c.needsRead {
+			return StepRead
 		}
 	}
-	return Write
+	return StepWrite
 }
 
-// loaded takes in what was read and decides the calls that need no write. It
-// reports whether the last conflict came without a change of the document, as
-// it does when the lease of the write has expired.
-func (d *doc) loaded(rec Records, rev int64, now time.Time, window time.Duration) (out []Outcome, unchanged bool) {
-	unchanged = d.conflicted == rev
-	d.conflicted = -1
-	// A read may lag behind a write of this process that is known to have
-	// taken effect. What it says is older than what is held.
+// readSucceeded merges the records read and decides the calls that need no
+// write. It reports whether the last write met a conflict although the document
+// is unchanged, as happens when the lease of the write has expired.
+func (d *docState) readSucceeded(rec Records, rev int64, now time.Time, window time.Duration) (out []Outcome, unchanged bool) {
+	unchanged = d.conflictRev == rev
+	d.conflictRev = -1
+	// A read may lag behind a write of this process that took effect. Ignore a
+	// revision older than the cached one.
 	if rev == 0 || rev >= d.rev {
 		d.records, d.rev = Merge(d.records, rec), rev
 	}
-	d.fresh = true
-	if len(d.own) > 0 {
-		d.remark()
+	d.cached = true
+	if len(d.attemptState) > 0 {
+		d.markNotRun()
 	}
 	for i := range d.waiting {
-		d.waiting[i].reread = false
+		d.waiting[i].needsRead = false
 	}
-	return d.settle(now, window), unchanged
+	return d.decideWaiting(now, window), unchanged
 }
 
-// remark marks the records of attempts that never run. Such a record can come
-// into the document late, by a write whose answer was lost.
-func (d *doc) remark() {
+// markNotRun schedules an Aborted record for each Started record whose attempt
+// never runs. Such a record can appear late, through a write whose reply was
+// lost.
+func (d *docState) markNotRun() {
 	for k, r := range d.records {
-		if r.State == Started && d.own[r.Attempt] == notRun {
-			d.marks[k] = Record{r.Attempt, Aborted}
+		if r.State == Started && d.attemptState[r.Attempt] == attemptNotRun {
+			d.unwritten[k] = Record{r.Attempt, Aborted}
 		}
 	}
 }
 
-// settle decides the waiting calls that the records decide.
-func (d *doc) settle(now time.Time, window time.Duration) []Outcome {
+// decideWaiting removes and returns the waiting calls that the records already
+// decide.
+func (d *docState) decideWaiting(now time.Time, window time.Duration) []Outcome {
 	var out []Outcome
 	rest := d.waiting[:0]
 	for _, c := range d.waiting {
-		if c.reread {
+		if c.needsRead {
 			rest = append(rest, c)
 			continue
 		}
-		switch j := d.judge(c); j {
+		switch dec := d.decide(c); dec {
 		case Queued:
 			rest = append(rest, c)
 		case Run:
-			out = append(out, d.grant(c, now, window))
+			out = append(out, d.allowRun(c, now, window))
 		default:
-			out = append(out, Outcome{c.attempt, j})
+			out = append(out, Outcome{c.attempt, dec})
 		}
 	}
 	d.waiting = rest
 	return out
 }
 
-// grant lets a call run whose record is known to be in the document. A key
-// that has left its window by now may have had a record that expired before
-// the write, so the call does not run.
-func (d *doc) grant(c call, now time.Time, window time.Duration) Outcome {
+// allowRun lets a call run whose attempt is recorded in the document. If the
+// key is now older than the window, an earlier record of it may have expired
+// before the write, so the call does not run.
+func (d *docState) allowRun(c pendingCall, now time.Time, window time.Duration) Outcome {
 	if c.key.checkAge(now, window) != nil {
-		d.abort(c)
+		d.setAborted(c)
 		return Outcome{c.attempt, Expired}
 	}
-	d.own[c.attempt] = running
+	d.attemptState[c.attempt] = attemptRunning
 	return Outcome{c.attempt, Run}
 }
 
-// abort remembers that an attempt whose record is or may come into the
-// document never runs.
-func (d *doc) abort(c call) {
-	d.own[c.attempt] = notRun
-	d.marks[c.key.Hash] = Record{c.attempt, Aborted}
+// setAborted schedules an Aborted record for an attempt that never runs,
+// although its Started record is or may come into the document.
+func (d *docState) setAborted(c pendingCall) {
+	d.attemptState[c.attempt] = attemptNotRun
+	d.unwritten[c.key.Hash] = Record{c.attempt, Aborted}
 }
 
-// unread takes in that the document could not be read. Calls whose attempt
-// may be in the document go on waiting.
-func (d *doc) unread() []Outcome {
+// readFailed handles a failed read. It rejects the waiting calls, except those
+// whose attempt may already be in the document.
+func (d *docState) readFailed() []Outcome {
 	var out []Outcome
 	rest := d.waiting[:0]
 	for _, c := range d.waiting {
-		if c.sent {
+		if c.maybeWritten {
 			rest = append(rest, c)
 			continue
 		}
@@ -209,44 +221,45 @@
 	return out
 }
 
-// abandon takes in that the caller has gone or has run out of time.
-func (d *doc) abandon(k Key, a Attempt) {
+// cancel handles a caller that disconnected or reached its deadline. The
+// attempt does not run.
+func (d *docState) cancel(k Key, a Attempt) {
 	for i, c := range d.waiting {
 		if c.attempt != a {
 			continue
 		}
 		d.waiting = append(d.waiting[:i], d.waiting[i+1:]...)
-		d.drop(c, Unavailable)
+		d.reject(c, Unavailable)
 		return
 	}
-	for _, c := range d.inflight {
+	for _, c := range d.writing {
 		if c.attempt == a {
-			d.own[a] = notRun
+			d.attemptState[a] = attemptNotRun
 			return
 		}
 	}
-	if d.own[a] == running {
-		d.abort(call{key: k, attempt: a})
+	if d.attemptState[a] == attemptRunning {
+		d.setAborted(pendingCall{key: k, attempt: a})
 	}
 }
 
-// finish takes in the end of a run.
-func (d *doc) finish(k Key, a Attempt, end State) {
-	if d.own[a] != running {
+// finish records how the run of an attempt ended.
+func (d *docState) finish(k Key, a Attempt, end State) {
+	if d.attemptState[a] != attemptRunning {
 		return
 	}
 	switch end {
 	case Done:
-		delete(d.own, a)
-		d.marks[k.Hash] = Record{a, Done}
+		delete(d.attemptState, a)
+		d.unwritten[k.Hash] = Record{a, Done}
 	case Aborted:
-		d.abort(call{key: k, attempt: a})
+		d.setAborted(pendingCall{key: k, attempt: a})
 	default:
-		delete(d.own, a)
+		delete(d.attemptState, a)
 	}
 }
 
-// idle reports whether the document can be forgotten without a loss.
-func (d *doc) idle() bool {
-	return len(d.waiting) == 0 && len(d.inflight) == 0 && len(d.marks) == 0 && len(d.own) == 0
+// unused reports whether the document can be removed without losing state.
+func (d *docState) unused() bool {
+	return len(d.waiting) == 0 && len(d.writing) == 0 && len(d.unwritten) == 0 && len(d.attemptState) == 0
 }
--- a/internal/core/ledger/key.go
+++ b/internal/core/ledger/key.go
@@ -1,7 +1,8 @@
-// Package ledger decides whether a call that is not safe to repeat may run. A
-// call runs only after a record of it was added, by compare-and-swap, to a
-// document that held no record of its key. The platform that holds the
-// documents, the encoding of records and the waiting callers are elsewhere.
+// Package ledger decides whether a call that is not idempotent may run. A call
+// runs only after its attempt was recorded, by compare-and-swap, in a document
+// that had no record of its key. Access to the platform that stores the
+// documents, the encoding of records and the blocking of callers are in other
+// packages.
 package ledger
 
 import (
@@ -16,26 +17,27 @@
 )
 
 const (
-	// Partitions is the number of partitions of a service's ledger.
+	// Partitions is the number of partitions of one service's ledger.
 	Partitions = 16
-	// MaxSkew is how far a key's time may lie in the future.
+	// MaxSkew is how far the time of a key may lie in the future.
 	MaxSkew = time.Minute
-	// RetentionMargin is added to the window for the lease of a document. A
-	// lease starts at most MaxSkew before the bucket and the last key of the
-	// bucket lies at most BucketLength after its start, so the margin leaves 8
-	// minutes for the differences of the clocks of two machines.
+	// RetentionMargin is added to the window to get the lease time of a
+	// document. A lease starts at most MaxSkew before its bucket, and the last
+	// key of the bucket is at most BucketLength after the start of the bucket,
+	// so the margin leaves 8 minutes for clock differences between two
+	// machines.
 	RetentionMargin = 10 * time.Minute
-	// BucketLength is the span of key times that share a document.
+	// BucketLength is the range of key times that share a document.
 	BucketLength = time.Minute
 )
 
-// Bucket is a minute of key times, counted from the Unix epoch.
+// Bucket is a minute of key times, as a number of minutes since the Unix epoch.
 type Bucket int64
 
-// KeyHash identifies a customer's key inside a document.
+// KeyHash identifies a customer's key within a document.
 type KeyHash [16]byte
 
-// Key is a checked idempotency key of a customer.
+// Key is a validated idempotency key of a customer.
 type Key struct {
 	Service   fleet.Service
 	Hash      KeyHash
@@ -43,8 +45,8 @@
 	Partition int
 }
 
-// Partition returns the partition of a customer's key. Entries and agents
-// compute it alike, also across versions of the program.
+// Partition returns the partition of a customer's key. Entries and agents,
+// including those of other program versions, must compute the same value.
 func Partition(c fleet.Customer, key string) int {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(c))
@@ -53,15 +55,15 @@
 	return int(h.Sum64() % Partitions)
 }
 
-// CheckKey parses a key and refuses it if it is malformed, too far in the
+// ParseKey parses a key. It rejects a key that is malformed, too far in the
 // future, or older than the window.
-func CheckKey(s fleet.Service, c fleet.Customer, key string, now time.Time, window time.Duration) (Key, *verdict.Error) {
+func ParseKey(s fleet.Service, c fleet.Customer, key string, now time.Time, window time.Duration) (Key, *verdict.Error) {
 	if key == "" {
 		return Key{}, verdict.New(verdict.NotRun, verdict.CodeKeyRequired, "the call needs an idempotency key")
 	}
-	t, ok := keyTime(key)
+	t, ok := uuidTime(key)
 	if !ok {
-		return Key{}, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the idempotency key is not a UUID of version 7")
+		return Key{}, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the idempotency key is not a version 7 UUID")
 	}
 	k := Key{Service: s, Hash: hashKey(c, key), Time: t, Partition: Partition(c, key)}
 	if t.Sub(now) > MaxSkew {
@@ -70,14 +72,14 @@
 	return k, k.checkAge(now, window)
 }
 
-// ErrReused returns the refusal of a call whose key belongs to one of another
-// content.
-func ErrReused() *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeKeyReused, "the idempotency key belongs to a call with another content")
+// ErrKeyReused returns the error for a call whose key was used before for a
+// call with different content.
+func ErrKeyReused() *verdict.Error {
+	return verdict.New(verdict.NotRun, verdict.CodeKeyReused, "the idempotency key was already used for a call with different content")
 }
 
-// checkAge refuses a key whose record may be gone, so that an earlier attempt
-// may have run unseen.
+// checkAge rejects a key older than the window. The record of such a key may
+// have expired, so an earlier attempt may have run without a trace.
 func (k Key) checkAge(now time.Time, window time.Duration) *verdict.Error {
 	if now.Sub(k.Time) <= window {
 		return nil
@@ -85,27 +87,27 @@
 	return verdict.New(verdict.MayHaveRun, verdict.CodeKeyExpired, "the idempotency key is older than %v", window)
 }
 
-// Bucket returns the minute of the key.
+// Bucket returns the minute that contains the time of the key.
 func (k Key) Bucket() Bucket { return Bucket(k.Time.UnixMilli() / BucketLength.Milliseconds()) }
 
-// Document returns the document that holds the key's record.
+// Document returns the name of the document that holds the record of the key.
 func (k Key) Document() Document {
 	return Document{Service: k.Service, Partition: k.Partition, Bucket: k.Bucket()}
 }
 
-// Document names a document of records.
+// Document identifies a document of records.
 type Document struct {
 	Service   fleet.Service
 	Partition int
 	Bucket    Bucket
 }
 
-// String returns the platform's key of the document.
+// String returns the platform's key for the document.
 func (d Document) String() string {
 	return fmt.Sprintf("ledger/%s/%d/%d", d.Service, d.Partition, d.Bucket)
 }
 
-// Expired reports whether no key of the bucket is acceptable any more.
+// Expired reports whether every key of the bucket is older than the window.
 func (b Bucket) Expired(now time.Time, window time.Duration) bool {
 	end := time.UnixMilli((int64(b) + 1) * BucketLength.Milliseconds())
 	return now.Sub(end) > window
@@ -116,15 +118,15 @@
 	return KeyHash(sum[:len(KeyHash{})])
 }
 
-// Places of the hyphens, the version and the variant in the text of a UUID.
+// Length of the text form of a UUID and positions of its version and variant digits.
 const (
 	uuidLength   = 36
 	versionIndex = 14
 	variantIndex = 19
 )
 
-// keyTime returns the time in a UUID of version 7.
-func keyTime(key string) (time.Time, bool) {
+// uuidTime returns the timestamp of a version 7 UUID.
+func uuidTime(key string) (time.Time, bool) {
 	if len(key) != uuidLength || key[versionIndex] != '7' || !strings.ContainsRune("89abAB", rune(key[variantIndex])) {
 		return time.Time{}, false
 	}
--- a/internal/core/ledger/record.go
+++ b/internal/core/ledger/record.go
@@ -7,14 +7,14 @@
 	"github.com/masticwing/masticwing/internal/core/verdict"
 )
 
-// MaxRecords bounds the records of a document, so that its encoding stays
-// below the platform's limit of 1 MB at about 42 bytes a record.
+// MaxRecords bounds the records of a document. With about 42 bytes a record,
+// the encoded document stays below the platform's limit of 1 MB.
 const MaxRecords = 20000
 
-// Attempt identifies one attempt of one process to run a call.
+// Attempt identifies one attempt by one process to run a call.
 type Attempt [16]byte
 
-// NewAttempt returns an attempt made of two random numbers.
+// NewAttempt builds an attempt's identifier from two random numbers.
 func NewAttempt(a, b uint64) Attempt {
 	var id Attempt
 	for i := range 8 {
@@ -23,36 +23,35 @@
 	return id
 }
 
-// State is what a record says of its attempt.
+// State is the recorded state of an attempt.
 type State uint8
 
-// The states of a record.
 const (
 	// Started means that the attempt may run or has run.
 	Started State = iota + 1
-	// Done means that the attempt ran. It is final.
+	// Done means that the attempt ran. It is a final state.
 	Done
 	// Aborted means that the attempt did not run and never will.
 	Aborted
 )
 
-// Record is the entry of one key.
+// Record is the ledger's state of one key.
 type Record struct {
 	Attempt Attempt
 	State   State
 }
 
-// Records are the records of a document by key.
+// Records holds the records of a document by key.
 type Records map[KeyHash]Record
 
-// Merge returns the records to work with after fetched was read while known
-// was held: the fetched record of a key wins, but a record is never forgotten
-// and an attempt that is done stays done.
+// Merge combines the known records with those of a later read. For each key the
+// fetched record wins, except that no record is lost and an attempt that is
+// known to be done stays done.
 func Merge(known, fetched Records) Records {
 	out := make(Records, max(len(known), len(fetched)))
 	maps.Copy(out, known)
 	for k, f := range fetched {
-		if o, ok := out[k]; ok && o.Attempt == f.Attempt && o.State == Done {
+		if prev, ok := out[k]; ok && prev.Attempt == f.Attempt && prev.State == Done {
 			continue
 		}
 		out[k] = f
@@ -60,16 +59,15 @@
 	return out
 }
 
-// Decision is what becomes of a call.
+// Decision says whether a call may run, and if not, why.
 type Decision uint8
 
-// The decisions.
 const (
-	// Queued means that the decision is still open.
+	// Queued means that no decision is made yet.
 	Queued Decision = iota
-	// Run lets the call run now.
+	// Run means that the call may run now.
 	Run
-	// InProgress means that another attempt of this process holds the key.
+	// InProgress means that another attempt of this process is using the key.
 	InProgress
 	// MayHaveRun means that another attempt is recorded as started.
 	MayHaveRun
@@ -77,17 +75,18 @@
 	AlreadyRan
 	// Unavailable means that the platform could not record the attempt.
 	Unavailable
-	// Expired means that the key left the window while its record was written.
+	// Expired means that the key became older than the window while its record
+	// was being written.
 	Expired
-	// Full means that the document takes no more records.
+	// Full means that the document has no room for another record.
 	Full
 )
 
-// retryAfter is what callers are told while a record is open or the platform
-// cannot be reached.
+// retryAfter is the retry delay sent to callers while a call with the same key
+// is in progress or the platform cannot be reached.
 const retryAfter = time.Second
 
-// Err returns what the caller is told, or nil for Run and Queued.
+// Err returns the error for the caller, or nil for Run and Queued.
 func (d Decision) Err() *verdict.Error {
 	switch d {
 	case Queued, Run:
@@ -95,13 +94,13 @@
 	case InProgress:
 		return verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "a call with this key is in progress").WithRetryAfter(retryAfter)
 	case MayHaveRun:
-		return verdict.New(verdict.MayHaveRun, verdict.CodeDuplicate, "a call with this key was started and its end is not recorded")
+		return verdict.New(verdict.MayHaveRun, verdict.CodeDuplicate, "a call with this key was started and its outcome is unknown")
 	case AlreadyRan:
-		return verdict.New(verdict.Ran, verdict.CodeDuplicate, "a call with this key ran; answer not kept")
+		return verdict.New(verdict.Ran, verdict.CodeDuplicate, "a call with this key already ran; its response is not available")
 	case Expired:
-		return verdict.New(verdict.MayHaveRun, verdict.CodeKeyExpired, "the idempotency key left its window")
+		return verdict.New(verdict.MayHaveRun, verdict.CodeKeyExpired, "the idempotency key expired before the call could start")
 	case Full:
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many calls with keys of the same minute")
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many calls with idempotency keys of the same minute")
 	default:
 		return verdict.New(verdict.NotRun, verdict.CodeLedgerUnavailable, "the call could not be recorded").WithRetryAfter(retryAfter)
 	}
--- a/internal/core/ledger/table.go
+++ b/internal/core/ledger/table.go
@@ -6,59 +6,60 @@
 	"github.com/masticwing/masticwing/internal/core/shard"
 )
 
-// Step is what the worker of a document does next.
+// Step is the next action of a document's worker.
 type Step uint8
 
-// The steps.
 const (
-	// Idle ends the worker; Join or Flushable asks for a new one.
-	Idle Step = iota
-	// Read reads the document.
-	Read
-	// Write composes and writes the document.
-	Write
+	// StepIdle ends the worker. Submit or ClaimDirty requests a new one.
+	StepIdle Step = iota
+	// StepRead reads the document.
+	StepRead
+	// StepWrite prepares and sends a write of the document.
+	StepWrite
 )
 
-// Outcome is the decision of one waiting attempt.
+// Outcome is the final decision on an attempt that was Queued.
 type Outcome struct {
 	Attempt  Attempt
 	Decision Decision
 }
 
-// Table holds the documents that a process works with, each under the lock of
-// its shard. At most one worker at a time works on a document, so at most one
-// write of it is in flight. Between two calls of a worker the document may be
-// joined, abandoned and finished by others.
+// Table holds the documents that a process is working with, each under the lock
+// of its shard. A document has at most one worker, and therefore at most one
+// write in flight. Between two calls of the worker, other goroutines may
+// submit, cancel and finish calls on the document.
 type Table struct {
-	docs   *shard.Map[Document, *doc]
+	docs   *shard.Map[Document, *docState]
 	window time.Duration
 }
 
-// NewTable returns an empty table for keys of the given window.
+// NewTable returns an empty table for keys that are valid for window.
 func NewTable(window time.Duration) *Table {
-	return &Table{docs: shard.New[Document, *doc](0), window: window}
+	return &Table{docs: shard.New[Document, *docState](0), window: window}
 }
 
-// Join takes a call in. The decision is Queued if the outcome follows. If
-// start is true the caller has to start a worker for the document.
-func (t *Table) Join(k Key, a Attempt, now time.Time) (dec Decision, start bool) {
+// Submit adds a call. If the decision is Queued, the final one is returned
+// later as an Outcome. If start is true, the caller must start a worker for the
+// document.
+func (t *Table) Submit(k Key, a Attempt, now time.Time) (dec Decision, start bool) {
 	name := k.Document()
-	t.docs.Update(name, func(d *doc, ok bool) (*doc, bool) {
+	t.docs.Update(name, func(d *docState, ok bool) (*docState, bool) {
 		if !ok {
-			d = newDoc(name)
+			d = newDocState(name)
 		}
 		d.lastUsed = now
-		dec = d.join(call{key: k, attempt: a})
-		start = dec == Queued && !d.worker
-		d.worker = d.worker || start
+		dec = d.submit(pendingCall{key: k, attempt: a})
+		start = dec == Queued && !d.hasWorker
+		d.hasWorker = d.hasWorker || start
 		return d, true
 	})
 	return dec, start
 }
 
-// with calls f under the lock of the document's shard, if it is present.
-func (t *Table) with(name Document, f func(*doc)) {
-	t.docs.Update(name, func(d *doc, ok bool) (*doc, bool) {
+// update calls f under the lock of the document's shard if the table has the
+// document.
+func (t *Table) update(name Document, f func(*docState)) {
+	t.docs.Update(name, func(d *docState, ok bool) (*docState, bool) {
 		if ok {
 			f(d)
 		}
@@ -66,88 +67,91 @@
 	})
 }
 
-// Step returns what the worker does next. After Idle the worker has ended.
-func (t *Table) Step(name Document) (s Step) {
-	t.with(name, func(d *doc) {
-		s = d.step()
-		d.worker = s != Idle
+// NextStep returns the worker's next step. After StepIdle the worker must end.
+func (t *Table) NextStep(name Document) (s Step) {
+	t.update(name, func(d *docState) {
+		s = d.nextStep()
+		d.hasWorker = s != StepIdle
 	})
 	return s
 }
 
-// Loaded takes in what a read returned; an absent document has revision 0.
-// Unchanged means that the last write conflicted without a change of the
-// document, so its lease is no good.
-func (t *Table) Loaded(name Document, rec Records, rev int64, now time.Time) (out []Outcome, unchanged bool) {
-	t.with(name, func(d *doc) { out, unchanged = d.loaded(rec, rev, now, t.window) })
+// ReadSucceeded passes the result of a read; an absent document has revision 0.
+// If unchanged is true, the last write met a conflict although the document is
+// the same, so the lease of that write has expired.
+func (t *Table) ReadSucceeded(name Document, rec Records, rev int64, now time.Time) (out []Outcome, unchanged bool) {
+	t.update(name, func(d *docState) { out, unchanged = d.readSucceeded(rec, rev, now, t.window) })
 	return out, unchanged
 }
 
-// Unread takes in that a read failed. If retry is false the worker has ended.
-func (t *Table) Unread(name Document) (out []Outcome, retry bool) {
-	t.with(name, func(d *doc) {
-		out = d.unread()
+// ReadFailed reports a failed read. If retry is false, the worker must end.
+func (t *Table) ReadFailed(name Document) (out []Outcome, retry bool) {
+	t.update(name, func(d *docState) {
+		out = d.readFailed()
 		retry = len(d.waiting) > 0
-		d.worker = retry
+		d.hasWorker = retry
 	})
 	return out, retry
 }
 
-// Compose builds the next write from all calls that wait now. It returns false
-// if there is nothing to write. The records must not be changed.
-func (t *Table) Compose(name Document, now time.Time) (rec Records, rev int64, out []Outcome, ok bool) {
-	t.with(name, func(d *doc) {
-		out, ok = d.compose(now, t.window)
-		rec, rev = d.next, d.rev
+// PrepareWrite builds the next write from all calls that are waiting now. It
+// returns false if there is nothing to write. The caller must not modify the
+// records.
+func (t *Table) PrepareWrite(name Document, now time.Time) (rec Records, rev int64, out []Outcome, ok bool) {
+	t.update(name, func(d *docState) {
+		out, ok = d.prepareWrite(now, t.window)
+		rec, rev = d.nextRecords, d.rev
 	})
 	return rec, rev, out, ok
 }
 
-// Landed takes in that the write composed last took effect at revision rev.
-func (t *Table) Landed(name Document, rev int64, now time.Time) (out []Outcome) {
-	t.with(name, func(d *doc) { out = d.landed(rev, now, t.window) })
+// WriteSucceeded reports that the last prepared write took effect at revision
+// rev.
+func (t *Table) WriteSucceeded(name Document, rev int64, now time.Time) (out []Outcome) {
+	t.update(name, func(d *docState) { out = d.writeSucceeded(rev, now, t.window) })
 	return out
 }
 
-// Uncertain takes in that the write composed last met a conflict or has an
-// unknown outcome.
-func (t *Table) Uncertain(name Document, conflict bool) {
-	t.with(name, func(d *doc) { d.uncertain(conflict) })
+// WriteUnconfirmed reports that the last prepared write met a conflict or has
+// an unknown result.
+func (t *Table) WriteUnconfirmed(name Document, conflict bool) {
+	t.update(name, func(d *docState) { d.writeUnconfirmed(conflict) })
 }
 
-// Refused takes in that the write composed last did not take effect and that
-// the platform takes none. If retry is false the worker has ended.
-func (t *Table) Refused(name Document) (out []Outcome, retry bool) {
-	t.with(name, func(d *doc) {
-		out = d.refused()
+// WriteRejected reports that the last prepared write did not take effect and
+// that the platform accepts no writes at present. If retry is false, the worker
+// must end.
+func (t *Table) WriteRejected(name Document) (out []Outcome, retry bool) {
+	t.update(name, func(d *docState) {
+		out = d.writeRejected()
 		retry = len(d.waiting) > 0
-		d.worker = retry
+		d.hasWorker = retry
 	})
 	return out, retry
 }
 
-// Abandon takes in that the caller of an attempt has gone. The attempt does
-// not run, whatever was decided.
-func (t *Table) Abandon(k Key, a Attempt) {
-	t.with(k.Document(), func(d *doc) { d.abandon(k, a) })
+// Cancel reports that the caller of an attempt left. The attempt does not run,
+// even if it was allowed to.
+func (t *Table) Cancel(k Key, a Attempt) {
+	t.update(k.Document(), func(d *docState) { d.cancel(k, a) })
 }
 
-// Finish takes in the end of a run: Done, Aborted if it certainly did not run,
-// or Started if that is unknown. Further calls for the attempt do nothing.
+// Finish reports how a run ended: Done, Aborted if it certainly did not run, or
+// Started if that is unknown. Later calls for the same attempt have no effect.
 func (t *Table) Finish(k Key, a Attempt, end State) {
-	t.with(k.Document(), func(d *doc) { d.finish(k, a, end) })
+	t.update(k.Document(), func(d *docState) { d.finish(k, a, end) })
 }
 
-// Flushable returns up to n documents that have marks to write and no worker,
-// and gives each a worker, which the caller has to start.
-func (t *Table) Flushable(n int) []Document {
+// ClaimDirty returns up to n documents that have unwritten final records and no
+// worker. It assigns a worker to each, which the caller must start.
+func (t *Table) ClaimDirty(n int) []Document {
 	var out []Document
-	t.docs.Range(func(name Document, d *doc) bool {
+	t.docs.Range(func(name Document, d *docState) bool {
 		if len(out) >= n {
 			return false
 		}
-		if len(d.marks) > 0 && !d.worker {
-			d.worker = true
+		if len(d.unwritten) > 0 && !d.hasWorker {
+			d.hasWorker = true
 			out = append(out, name)
 		}
 		return true
@@ -155,36 +159,36 @@
 	return out
 }
 
-// idleTime is how long a document without open work is kept. Calls of one
+// idleRetention is how long a document without open work is kept. Calls of one
 // bucket arrive within about a minute of each other.
-const idleTime = 2 * time.Minute
+const idleRetention = 2 * time.Minute
 
-// Sweep forgets documents whose keys are all too old, and documents that have
-// not been used for a while and can be read again.
+// Sweep removes documents whose keys have all expired, and documents without
+// open work that have not been used for idleRetention and can be read again.
 func (t *Table) Sweep(now time.Time) {
-	var old []Document
-	t.docs.Range(func(name Document, d *doc) bool {
-		if d.forgettable(now, t.window) {
-			old = append(old, name)
+	var expired []Document
+	t.docs.Range(func(name Document, d *docState) bool {
+		if d.evictable(now, t.window) {
+			expired = append(expired, name)
 		}
 		return true
 	})
-	for _, name := range old {
-		t.docs.Update(name, func(d *doc, ok bool) (*doc, bool) {
-			return d, ok && !d.forgettable(now, t.window)
+	for _, name := range expired {
+		t.docs.Update(name, func(d *docState, ok bool) (*docState, bool) {
+			return d, ok && !d.evictable(now, t.window)
 		})
 	}
 }
 
-func (d *doc) forgettable(now time.Time, window time.Duration) bool {
-	return !d.worker && (d.name.Bucket.Expired(now, window) || d.idle() && now.Sub(d.lastUsed) > idleTime)
+func (d *docState) evictable(now time.Time, window time.Duration) bool {
+	return !d.hasWorker && (d.name.Bucket.Expired(now, window) || d.unused() && now.Sub(d.lastUsed) > idleRetention)
 }
 
-// Marks returns the number of documents with marks to write.
-func (t *Table) Marks() int {
+// DirtyDocuments returns the number of documents with unwritten final records.
+func (t *Table) DirtyDocuments() int {
 	n := 0
-	t.docs.Range(func(_ Document, d *doc) bool {
-		if len(d.marks) > 0 {
+	t.docs.Range(func(_ Document, d *docState) bool {
+		if len(d.unwritten) > 0 {
 			n++
 		}
 		return true
@@ -192,5 +196,5 @@
 	return n
 }
 
-// Len returns the number of documents held.
+// Len returns the number of documents in the table.
 func (t *Table) Len() int { return t.docs.Len() }
--- a/internal/core/ledger/table_test.go
+++ b/internal/core/ledger/table_test.go
@@ -7,68 +7,69 @@
 	"github.com/masticwing/masticwing/internal/core/verdict"
 )
 
-// bench is one process and the document as the platform holds it.
-type bench struct {
-	t    *testing.T
-	tab  *Table
-	key  Key
-	now  time.Time
-	rec  Records
-	rev  int64
-	next byte
-}
-
-func newBench(t *testing.T) *bench {
+// fixture is one process and the document as the platform stores it.
+type fixture struct {
+	t       *testing.T
+	table   *Table
+	key     Key
+	now     time.Time
+	records Records
+	rev     int64
+	next    byte
+}
+
+func newFixture(t *testing.T) *fixture {
 	now := time.UnixMilli(1_800_000_000_000)
-	return &bench{
-		t: t, tab: NewTable(testWindow), now: now,
+	return &fixture{
+		t: t, table: NewTable(testWindow), now: now,
 		key: Key{Service: "s", Hash: KeyHash{1}, Time: now, Partition: 1},
 	}
 }
 
-// restart returns a new process over the same document.
-func (b *bench) restart() *bench {
-	c := *b
-	c.tab, c.next = NewTable(testWindow), b.next+100
+// newProcess returns another process that shares the document's current
+// content.
+func (f *fixture) newProcess() *fixture {
+	c := *f
+	c.table, c.next = NewTable(testWindow), f.next+100
 	return &c
 }
 
-func (b *bench) join() (Attempt, Decision) {
-	b.next++
-	d, _ := b.tab.Join(b.key, Attempt{b.next}, b.now)
-	return Attempt{b.next}, d
+func (f *fixture) submit() (Attempt, Decision) {
+	f.next++
+	d, _ := f.table.Submit(f.key, Attempt{f.next}, f.now)
+	return Attempt{f.next}, d
 }
 
-// write is what becomes of a write.
-type write func(b *bench, rec Records) []Outcome
+// writeResult ends a prepared write and returns the resulting outcomes.
+type writeResult func(f *fixture, records Records) []Outcome
 
-func lands(b *bench, rec Records) []Outcome {
-	b.rev, b.rec = b.rev+1, rec
-	return b.tab.Landed(b.key.Document(), b.rev, b.now)
+func writeSucceeds(f *fixture, records Records) []Outcome {
+	f.rev, f.records = f.rev+1, records
+	return f.table.WriteSucceeded(f.key.Document(), f.rev, f.now)
 }
 
-func answerLost(b *bench, rec Records) []Outcome {
-	b.rev, b.rec = b.rev+1, rec
-	b.tab.Uncertain(b.key.Document(), false)
+func writeReplyLost(f *fixture, records Records) []Outcome {
+	f.rev, f.records = f.rev+1, records
+	f.table.WriteUnconfirmed(f.key.Document(), false)
 	return nil
 }
 
-func refuses(b *bench, _ Records) []Outcome {
-	out, _ := b.tab.Refused(b.key.Document())
+func writeRejected(f *fixture, _ Records) []Outcome {
+	out, _ := f.table.WriteRejected(f.key.Document())
 	return out
 }
 
-// work lets the worker go on until it is idle and returns the last decision.
-func (b *bench) work(w write, readable bool) (last Decision) {
-	b.t.Helper()
+// runWorker runs the worker until it is idle and returns the last decision.
+func (f *fixture) runWorker(w writeResult, readable bool) (last Decision) {
+	f.t.Helper()
 	for range 10 {
 		var out []Outcome
-		switch b.tab.Step(b.key.Document()) {
-		case Idle:
+		switch f.table.NextStep(f.key.Document()) {
+		case StepIdle:
 			return last
-		case Read:
+		case StepRead:
 			if !readable {
-				out, retry := b.tab.Unread(b.key.Document())
+				out, retry := f.table.ReadFailed(f.key.Document())
 				if len(out) > 0 {
 					last = out[0].Decision
 				}
@@ -77,60 +78,60 @@
 				}
 				continue
 			}
-			out, _ = b.tab.Loaded(b.key.Document(), b.rec, b.rev, b.now)
-		case Write:
-			rec, _, early, ok := b.tab.Compose(b.key.Document(), b.now)
+			out, _ = f.table.ReadSucceeded(f.key.Document(), f.records, f.rev, f.now)
+		case StepWrite:
+			records, _, early, ok := f.table.PrepareWrite(f.key.Document(), f.now)
 			if out = early; ok {
-				out = append(out, w(b, rec)...)
+				out = append(out, w(f, records)...)
 			}
 		}
 		if len(out) > 0 {
 			last = out[0].Decision
 		}
 	}
-	b.t.Fatal("the worker does not come to an end")
+	f.t.Fatal("the worker does not become idle")
 	return last
 }
 
-func (b *bench) want(what string, got, want Decision) {
-	b.t.Helper()
+func (f *fixture) checkDecision(situation string, got, want Decision) {
+	f.t.Helper()
 	if got != want {
-		b.t.Errorf("%s: decision %d, want %d", what, got, want)
+		f.t.Errorf("%s: decision %d, want %d", situation, got, want)
 	}
 }
 
-// begin joins and works until the call is decided.
-func (b *bench) begin(w write, readable bool) (Attempt, Decision) {
-	b.t.Helper()
-	a, d := b.join()
+// submitAndWork submits a call and runs the worker until the call is decided.
+func (f *fixture) submitAndWork(w writeResult, readable bool) (Attempt, Decision) {
+	f.t.Helper()
+	a, d := f.submit()
 	if d == Queued {
-		d = b.work(w, readable)
+		d = f.runWorker(w, readable)
 	}
 	return a, d
 }
 
-// TestCallerIsTold guards against a wrong answer in each situation of the
-// table in section 4.2 of the design page.
-func TestCallerIsTold(t *testing.T) {
-	b := newBench(t)
-	_, d := b.begin(lands, false)
-	b.want("platform unreachable before the record is written", d, Unavailable)
-	_, d = b.begin(refuses, true)
-	b.want("write refused", d, Unavailable)
-	a, d := b.begin(answerLost, true)
-	b.want("answer to the write lost, the record is there", d, Run)
-	_, d = b.join()
-	b.want("the call is running", d, InProgress)
-	other := b.restart()
-	_, d = other.begin(lands, true)
-	b.want("started by another attempt", d, MayHaveRun)
-	b.tab.Finish(b.key, a, Done)
-	_, d = b.join()
-	b.want("done, not yet written", d, AlreadyRan)
-	b.work(lands, true)
-	other.rec, other.rev = b.rec, b.rev
-	_, d = other.begin(lands, true)
-	b.want("done, written by another process", d, AlreadyRan)
+// TestDecisionForCaller guards against a wrong decision in any of the
+// situations that the table in section 4.2 of the design page lists.
+func TestDecisionForCaller(t *testing.T) {
+	f := newFixture(t)
+	_, d := f.submitAndWork(writeSucceeds, false)
+	f.checkDecision("platform unreachable before the record is written", d, Unavailable)
+	_, d = f.submitAndWork(writeRejected, true)
+	f.checkDecision("write rejected", d, Unavailable)
+	a, d := f.submitAndWork(writeReplyLost, true)
+	f.checkDecision("reply to the write lost, record present", d, Run)
+	_, d = f.submit()
+	f.checkDecision("the call is running", d, InProgress)
+	other := f.newProcess()
+	_, d = other.submitAndWork(writeSucceeds, true)
+	f.checkDecision("started by another attempt", d, MayHaveRun)
+	f.table.Finish(f.key, a, Done)
+	_, d = f.submit()
+	f.checkDecision("done, not yet written", d, AlreadyRan)
+	f.runWorker(writeSucceeds, true)
+	other.records, other.rev = f.records, f.rev
+	_, d = other.submitAndWork(writeSucceeds, true)
+	f.checkDecision("done, written by another process", d, AlreadyRan)
 	for d, want := range map[Decision]verdict.Verdict{
 		Unavailable: verdict.NotRun, MayHaveRun: verdict.MayHaveRun, AlreadyRan: verdict.Ran, InProgress: verdict.MayHaveRun,
 	} {
@@ -140,113 +141,113 @@
 	}
 }
 
-// TestAnswerLostAndUnreadable guards against an attempt that is forgotten
-// although its record may be in the document, so that no repeat could run.
-func TestAnswerLostAndUnreadable(t *testing.T) {
-	b := newBench(t)
-	lost, _ := b.join()
-	b.tab.Loaded(b.key.Document(), nil, 0, b.now)
-	rec, _, _, _ := b.tab.Compose(b.key.Document(), b.now)
-	answerLost(b, rec)
-	if out, retry := b.tab.Unread(b.key.Document()); len(out) != 0 || !retry {
-		t.Fatalf("outcomes %v, retry %v: the call has to wait on", out, retry)
+// TestReplyLostThenReadFails guards against dropping an attempt whose record
+// may be in the document. No later attempt with the key could then run.
+func TestReplyLostThenReadFails(t *testing.T) {
+	f := newFixture(t)
+	attempt, _ := f.submit()
+	f.table.ReadSucceeded(f.key.Document(), nil, 0, f.now)
+	records, _, _, _ := f.table.PrepareWrite(f.key.Document(), f.now)
+	writeReplyLost(f, records)
+	if out, retry := f.table.ReadFailed(f.key.Document()); len(out) != 0 || !retry {
+		t.Fatalf("outcomes %v, retry %v: the call has to keep waiting", out, retry)
 	}
-	b.tab.Abandon(b.key, lost)
-	_, d := b.restart().begin(lands, true)
-	b.want("repeat through another process", d, MayHaveRun)
-	_, d = b.begin(lands, true)
-	b.want("repeat through the same process", d, Run)
+	f.table.Cancel(f.key, attempt)
+	_, d := f.newProcess().submitAndWork(writeSucceeds, true)
+	f.checkDecision("repeat through another process", d, MayHaveRun)
+	_, d = f.submitAndWork(writeSucceeds, true)
+	f.checkDecision("repeat through the same process", d, Run)
 }
 
-// TestNotRunFreesKey guards against a key that stays taken after an attempt
-// that certainly did not run, here and in other processes.
+// TestNotRunFreesKey guards against a key that stays blocked, in this process
+// or others, after an attempt that certainly did not run.
 func TestNotRunFreesKey(t *testing.T) {
-	b := newBench(t)
-	a, d := b.begin(lands, true)
-	b.want("first attempt", d, Run)
-	b.tab.Abandon(b.key, a) // the caller went before it took the ticket
-	b.work(lands, true)     // writes the mark
-	if b.tab.Marks() != 0 {
-		t.Error("the mark was not written")
+	f := newFixture(t)
+	a, d := f.submitAndWork(writeSucceeds, true)
+	f.checkDecision("first attempt", d, Run)
+	f.table.Cancel(f.key, a)         // the caller left before it was told that the call may run
+	f.runWorker(writeSucceeds, true) // writes the Aborted record
+	if f.table.DirtyDocuments() != 0 {
+		t.Error("the Aborted record was not written")
 	}
-	other := b.restart()
-	a, d = other.begin(lands, true)
-	b.want("repeat through another process", d, Run)
-	other.tab.Finish(b.key, a, Aborted)
-	_, d = other.begin(lands, true)
-	b.want("repeat through the same process", d, Run)
-}
-
-// TestAbandonedWriteFreesKey guards against a repeat that is told "may have
-// run" because the write of an earlier attempt, whose caller was told "not run"
-// and has gone, is still in flight.
-func TestAbandonedWriteFreesKey(t *testing.T) {
-	for name, end := range map[string]write{"lands": lands, "answer lost": answerLost, "refused": refuses} {
-		b := newBench(t)
-		gone, _ := b.join()
-		b.tab.Loaded(b.key.Document(), nil, 0, b.now)
-		rec, _, _, _ := b.tab.Compose(b.key.Document(), b.now)
-		b.tab.Abandon(b.key, gone)
-		_, d := b.join()
-		b.want(name+": repeat while the write is in flight", d, Queued)
-		end(b, rec)
-		b.want(name+": repeat after the write", b.work(lands, true), Run)
+	other := f.newProcess()
+	a, d = other.submitAndWork(writeSucceeds, true)
+	f.checkDecision("repeat through another process", d, Run)
+	other.table.Finish(f.key, a, Aborted)
+	_, d = other.submitAndWork(writeSucceeds, true)
+	f.checkDecision("repeat through the same process", d, Run)
+}
+
+// TestCanceledWriteFreesKey guards against a repeated call that gets "may have
+// run" because of an earlier attempt that got "not run": the caller of that
+// attempt left while its write was in flight.
+func TestCanceledWriteFreesKey(t *testing.T) {
+	for name, end := range map[string]writeResult{"succeeds": writeSucceeds, "reply lost": writeReplyLost, "rejected": writeRejected} {
+		f := newFixture(t)
+		canceled, _ := f.submit()
+		f.table.ReadSucceeded(f.key.Document(), nil, 0, f.now)
+		records, _, _, _ := f.table.PrepareWrite(f.key.Document(), f.now)
+		f.table.Cancel(f.key, canceled)
+		_, d := f.submit()
+		f.checkDecision(name+": repeat while the write is in flight", d, Queued)
+		end(f, records)
+		f.checkDecision(name+": repeat after the write", f.runWorker(writeSucceeds, true), Run)
 	}
 }
 
-// TestLeaseConflict guards against a lease that is gone and is used again for
-// ever, because its conflict looks like that of a race.
-func TestLeaseConflict(t *testing.T) {
-	b := newBench(t)
-	b.join()
-	name := b.key.Document()
-	b.tab.Loaded(name, nil, 0, b.now)
-	b.tab.Compose(name, b.now)
-	b.tab.Uncertain(name, true)
-	if _, unchanged := b.tab.Loaded(name, nil, 0, b.now); !unchanged {
-		t.Error("a conflict without a change is not reported")
+// TestConflictWithoutChange guards against reusing an expired lease forever,
+// because its conflict is taken for one with another writer.
+func TestConflictWithoutChange(t *testing.T) {
+	f := newFixture(t)
+	f.submit()
+	name := f.key.Document()
+	f.table.ReadSucceeded(name, nil, 0, f.now)
+	f.table.PrepareWrite(name, f.now)
+	f.table.WriteUnconfirmed(name, true)
+	if _, unchanged := f.table.ReadSucceeded(name, nil, 0, f.now); !unchanged {
+		t.Error("a conflict with an unchanged document is not reported")
 	}
-	b.tab.Compose(name, b.now)
-	b.tab.Uncertain(name, true)
-	if _, unchanged := b.tab.Loaded(name, Records{}, 1, b.now); unchanged {
-		t.Error("a conflict with a change is reported as none")
+	f.table.PrepareWrite(name, f.now)
+	f.table.WriteUnconfirmed(name, true)
+	if _, unchanged := f.table.ReadSucceeded(name, Records{}, 1, f.now); unchanged {
+		t.Error("a conflict with a changed document is reported as one without")
 	}
 }
 
-// TestBatchJoins guards against a write per call: calls that come while a
-// write is in flight share the next one.
-func TestBatchJoins(t *testing.T) {
-	b := newBench(t)
-	b.join()
-	name := b.key.Document()
-	b.tab.Loaded(name, nil, 0, b.now)
-	rec, _, _, _ := b.tab.Compose(name, b.now)
+// TestWaitingCallsShareWrite guards against one write per call. Calls that
+// arrive while a write is in flight share the next one.
+func TestWaitingCallsShareWrite(t *testing.T) {
+	f := newFixture(t)
+	f.submit()
+	name := f.key.Document()
+	f.table.ReadSucceeded(name, nil, 0, f.now)
+	records, _, _, _ := f.table.PrepareWrite(name, f.now)
 	for i := range 50 {
-		k := b.key
+		k := f.key
 		k.Hash = KeyHash{2, byte(i)}
-		if d, start := b.tab.Join(k, Attempt{2, byte(i)}, b.now); d != Queued || start {
+		if d, start := f.table.Submit(k, Attempt{2, byte(i)}, f.now); d != Queued || start {
 			t.Fatalf("call %d: decision %d, second worker %v", i, d, start)
 		}
 	}
-	lands(b, rec)
-	if rec, _, _, ok := b.tab.Compose(name, b.now); !ok || len(rec) != 51 {
-		t.Errorf("the next write has %d records, want 51", len(rec))
+	writeSucceeds(f, records)
+	if records, _, _, ok := f.table.PrepareWrite(name, f.now); !ok || len(records) != 51 {
+		t.Errorf("the next write has %d records, want 51", len(records))
 	}
 }
 
-// TestSweep guards against documents that are kept for ever and against one
-// that is forgotten while a call of it runs.
-func TestSweep(t *testing.T) {
-	b := newBench(t)
-	a, _ := b.begin(lands, true)
-	b.tab.Sweep(b.now.Add(2 * idleTime))
-	if b.tab.Len() != 1 {
-		t.Fatal("forgotten while a call runs")
+// TestSweepRemovesUnusedOnly guards against documents that are never removed,
+// and against removing one while one of its calls is running.
+func TestSweepRemovesUnusedOnly(t *testing.T) {
+	f := newFixture(t)
+	a, _ := f.submitAndWork(writeSucceeds, true)
+	f.table.Sweep(f.now.Add(2 * idleRetention))
+	if f.table.Len() != 1 {
+		t.Fatal("the document was removed while a call runs")
 	}
-	b.tab.Finish(b.key, a, Done)
-	b.work(lands, true)
-	b.tab.Sweep(b.now.Add(2 * idleTime))
-	if b.tab.Len() != 0 {
-		t.Fatal("kept without open work")
+	f.table.Finish(f.key, a, Done)
+	f.runWorker(writeSucceeds, true)
+	f.table.Sweep(f.now.Add(2 * idleRetention))
+	if f.table.Len() != 0 {
+		t.Fatal("the document was kept without open work")
 	}
 }
--- a/internal/core/revision/revision.go
+++ b/internal/core/revision/revision.go
@@ -18,9 +18,9 @@
 // Snapshot is a declaration with its stored form.
 type Snapshot struct {
 	Declaration *declare.Declaration
-	// Encoded is the document as the platform stores it; it is passed on
+	// Stored is the document as the platform stores it; it is passed on
 	// unchanged and must not be modified.
-	Encoded []byte
+	Stored []byte
 }
 
 // Store holds the newest declaration. The zero value holds none. One lock
@@ -77,9 +77,9 @@
 	return s.revisionLocked()
 }
 
-// Current returns what is held and its age, Unconfirmed if it was never
+// Snapshot returns what is held and its age, Unconfirmed if it was never
 // confirmed. The declaration is nil if none is known.
-func (s *Store) Current(now time.Time) (Snapshot, time.Duration) {
+func (s *Store) Snapshot(now time.Time) (Snapshot, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.confirmed.IsZero() {
--- a/internal/core/revision/revision_test.go
+++ b/internal/core/revision/revision_test.go
@@ -19,7 +19,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "wait")) * time.Second)
 			rev := rapid.Uint64Range(1, 9).Draw(t, "rev")
 			age := time.Duration(rapid.IntRange(-1, 5).Draw(t, "age")) * time.Second
-			_, ageBefore := s.Current(now)
+			_, ageBefore := s.Snapshot(now)
 			if rapid.Bool().Draw(t, "accept") {
 				took := s.Accept(Snapshot{Declaration: &declare.Declaration{Revision: rev}}, age, now)
 				if took != (rev > last) {
@@ -29,7 +29,7 @@
 			} else {
 				s.Confirm(rev, age, now)
 			}
-			_, ageAfter := s.Current(now)
+			_, ageAfter := s.Snapshot(now)
 			if s.Revision() != last {
 				t.Fatalf("revision %d, want %d", s.Revision(), last)
 			}
@@ -46,12 +46,12 @@
 	var s Store
 	now := time.Unix(1000, 0)
 	s.Accept(Snapshot{Declaration: &declare.Declaration{Revision: 3}}, Unconfirmed, now)
-	if _, age := s.Current(now); age != Unconfirmed {
+	if _, age := s.Snapshot(now); age != Unconfirmed {
 		t.Errorf("age = %v, want unconfirmed", age)
 	}
 	s.Confirm(3, 2*time.Second, now)
 	s.Confirm(3, 9*time.Second, now)
-	if _, age := s.Current(now.Add(time.Second)); age != 3*time.Second {
+	if _, age := s.Snapshot(now.Add(time.Second)); age != 3*time.Second {
 		t.Errorf("age = %v, want 3s", age)
 	}
 }
--- a/test/docs/http_test.go
+++ b/test/docs/http_test.go
@@ -125,13 +125,13 @@
 		key string
 		now time.Time
 	}{{"", now}, {"not a key", now}, {key, now.Add(-time.Hour)}, {key, now.Add(2 * time.Hour)}} {
-		_, err := core.CheckKey("s", "c", c.key, c.now, time.Hour)
+		_, err := core.ParseKey("s", "c", c.key, c.now, time.Hour)
 		if err == nil {
 			t.Fatalf("the key %q is accepted at %v", c.key, c.now)
 		}
 		out = append(out, err)
 	}
-	out = append(out, core.ErrReused())
+	out = append(out, core.ErrKeyReused())
 	l := ledger.New(porttest.NewKV(time.Now), sysclock.Clock{}, sysclock.Rand{}, ledger.Options{})
 	l.Kill()
 	_, _, err := l.Begin(t.Context(), port.LedgerKey{Service: "s", Customer: "c", Key: key}, port.CallContent{})
