--- a/internal/app/chunks/chunks.go
+++ b/internal/app/chunks/chunks.go
@@ -471,13 +471,13 @@
 	timeout := f.deps.Clock.After(longPollTime)
 	for {
 		f.mu.Lock()
-		versionChanged := f.versionChanged
+		changed := f.versionChanged
 		f.mu.Unlock()
 		if v := f.findVersion(id); v != nil {
 			return v
 		}
 		select {
-		case <-versionChanged:
+		case <-changed:
 		case <-timeout:
 			return nil
 		case <-ctx.Done():
