--- a/internal/app/weights/counters.go
+++ b/internal/app/weights/counters.go
@@ -6,7 +6,6 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Names of the metrics.
 const (
 	metricOrigin    = "weights_origin_bytes"
 	metricFromPeers = "weights_from_peers_bytes"
@@ -14,8 +13,10 @@
 	metricCorrupted = "weights_corrupted_chunks"
 )
 
-// Counters are the totals since the start of the manager. Bytes that are lost
-// to corruption or to an abandoned fetch are included.
+// Counters are totals since the manager was created. Origin, SameRegion and
+// OtherRegion are the bytes received, by sender; they include corrupted chunks and
+// abandoned fetches. ToPeers are the bytes sent to peers, of which ToOtherRegions
+// went to other regions.
 type Counters struct {
 	Origin, SameRegion, OtherRegion, ToPeers, ToOtherRegions int64
 	CorruptedChunks                                          int64
@@ -27,7 +28,7 @@
 	corrupted                                                atomic.Int64
 }
 
-// Counters returns the totals.
+// Counters returns the current totals.
 func (m *Manager) Counters() Counters {
 	c := &m.counters
 	return Counters{
@@ -40,12 +41,12 @@
 	}
 }
 
-func (c *counters) fromOrigin(n int) {
+func (c *counters) addFromOrigin(n int) {
 	c.origin.Add(int64(n))
 	c.metrics.Count(metricOrigin, int64(n))
 }
 
-func (c *counters) fromPeer(n int, local bool) {
+func (c *counters) addFromPeer(n int, local bool) {
 	region := port.Attr{Key: "region", Value: "other"}
 	if local {
 		region.Value = "same"
@@ -56,7 +57,7 @@
 	c.metrics.Count(metricFromPeers, int64(n), region)
 }
 
-func (c *counters) toPeer(n int, local bool) {
+func (c *counters) addToPeer(n int, local bool) {
 	region := port.Attr{Key: "region", Value: "other"}
 	if local {
 		region.Value = "same"
@@ -67,7 +68,7 @@
 	c.metrics.Count(metricToPeers, int64(n), region)
 }
 
-func (c *counters) corruptedChunk() {
+func (c *counters) addCorrupted() {
 	c.corrupted.Add(1)
 	c.metrics.Count(metricCorrupted, 1)
 }
--- a/internal/app/weights/fetch.go
+++ b/internal/app/weights/fetch.go
@@ -15,115 +15,118 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// readBytes is the most that is read from a sender before the link's budget is
-// consulted.
-const readBytes = 16 << 10
+// maxReadBytes bounds a read between two reservations of the link's rate limit.
+const maxReadBytes = 16 << 10
 
-// dispatch starts fetches until the version is complete or ctx ends.
-func (v *version) dispatch(ctx context.Context, b *body) {
+// dispatch starts chunk fetches until the version is complete or ctx ends.
+func (v *version) dispatch(ctx context.Context, cs *chunkState) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	var active, outside atomic.Int64
+	var peerFetches, outsideFetches atomic.Int64
 	for {
-		if b.table.Held() == len(b.man.Chunks) {
+		if cs.table.Held() == len(cs.man.Chunks) {
 			v.complete.Store(true)
 			v.setReason("")
 			signal(v.m.changed)
 			return
 		}
-		v.startOutside(ctx, b, &wg, &outside)
-		v.startPeers(ctx, b, &wg, &active)
+		v.startOutsideFetches(ctx, cs, &wg, &outsideFetches)
+		v.startPeerFetches(ctx, cs, &wg, &peerFetches)
 		select {
 		case <-ctx.Done():
 			return
 		case <-v.wake:
-		case <-v.m.deps.Clock.After(recheck):
+		case <-v.m.deps.Clock.After(recheckInterval):
 		}
 	}
 }
 
-func (v *version) startPeers(ctx context.Context, b *body, wg *conc.WaitGroup, active *atomic.Int64) {
-	l := v.m.set.Limits
-	for active.Load() < int64(l.Total) {
+// startPeerFetches starts fetches from peers up to the limit in the settings.
+func (v *version) startPeerFetches(ctx context.Context, cs *chunkState, wg *conc.WaitGroup, inFlight *atomic.Int64) {
+	l := v.m.settings.Limits
+	for inFlight.Load() < int64(l.Total) {
 		now := v.m.deps.Clock.Now()
-		resort := active.Load() == 0 && v.still(now) > resortAfter
-		ch, ok := b.table.Pick(now, l, resort, v.m.rand)
+		lastResort := inFlight.Load() == 0 && v.sinceNewChunk(now) > lastResortAfter
+		ch, ok := cs.table.Pick(now, l, lastResort, v.m.rand)
 		if !ok {
 			return
 		}
-		v.start(ctx, b, wg, active, ch)
+		v.startFetch(ctx, cs, wg, inFlight, ch)
 	}
 }
 
-func (v *version) startOutside(ctx context.Context, b *body, wg *conc.WaitGroup, active *atomic.Int64) {
+// startOutsideFetches starts fetches from the origin and from other regions if this
+// agent is a gateway of its region.
+func (v *version) startOutsideFetches(ctx context.Context, cs *chunkState, wg *conc.WaitGroup, inFlight *atomic.Int64) {
 	plan := v.plan.Load()
 	if plan == nil {
 		return
 	}
 	now := v.m.deps.Clock.Now()
-	if !plan.Gateway || !b.table.Settled(now) {
-		v.explain(b, now, false)
+	if !plan.Gateway || !cs.table.Settled(now) {
+		v.updateReason(cs, now, false)
 		return
 	}
-	v.grant(b, plan, now)
+	v.grantAllowance(cs, plan, now)
 	blocked := false
-	for active.Load() < int64(plan.OutsideLimit(v.m.set.Limits.Outside)) {
+	for inFlight.Load() < int64(plan.OutsideLimit(v.m.settings.Limits.Outside)) {
 		now = v.m.deps.Clock.Now()
 		var ch spread.Choice
 		var ok bool
-		ch, ok, blocked = b.table.PickOutside(now, v.outside(b, plan, now), v.m.rand)
+		ch, ok, blocked = cs.table.PickOutside(now, v.outsideRules(cs, plan, now), v.m.rand)
 		if !ok {
 			break
 		}
-		v.start(ctx, b, wg, active, ch)
+		v.startFetch(ctx, cs, wg, inFlight, ch)
 	}
-	v.explain(b, now, blocked)
+	v.updateReason(cs, now, blocked)
 }
 
-// grant sets the allowance when the region is first seen to lack chunks.
-func (v *version) grant(b *body, plan *spread.Plan, now time.Time) {
-	first := b.man.Chunks[0].Bytes
-	if v.allow.IsSet() {
-		lost := func(vm fleet.VM) bool { return b.table.Unheard(vm, now) }
-		v.allow.Extend(first, now, v.still(now), plan.ExtendAfter(lost))
+// grantAllowance sets the origin allowance when the region is first seen to lack
+// chunks. Later it extends a used allowance after a time without new chunks.
+func (v *version) grantAllowance(cs *chunkState, plan *spread.Plan, now time.Time) {
+	chunkSize := cs.man.Chunks[0].Bytes
+	if v.originAllowance.IsSet() {
+		lost := func(vm fleet.VM) bool { return cs.table.Unheard(vm, now) }
+		v.originAllowance.Extend(chunkSize, now, v.sinceNewChunk(now), plan.ExtendAfter(lost))
 		return
 	}
-	if lacking, _ := b.table.Lacking(now); lacking > 0 {
-		mean := b.size / int64(len(b.man.Chunks))
-		v.allow.Set(int64(plan.Quota(lacking)) * max(mean, first))
+	if lacking, _ := cs.table.Lacking(now); lacking > 0 {
+		mean := cs.size / int64(len(cs.man.Chunks))
+		v.originAllowance.Set(int64(plan.Quota(lacking)) * max(mean, chunkSize))
 	}
 }
 
-// outside returns what this gateway may fetch from outside its region now.
-func (v *version) outside(b *body, plan *spread.Plan, now time.Time) spread.Outside {
+// outsideRules returns what this gateway may fetch from outside its region now.
+func (v *version) outsideRules(cs *chunkState, plan *spread.Plan, now time.Time) spread.Outside {
 	sight := spread.Sight{
-		Idle:  func(vm fleet.VM) time.Duration { return b.table.Idle(vm, now) },
-		Lost:  func(vm fleet.VM) bool { return b.table.Unheard(vm, now) },
-		Fetch: v.allow.Average(),
+		Idle:  func(vm fleet.VM) time.Duration { return cs.table.Idle(vm, now) },
+		Lost:  func(vm fleet.VM) bool { return cs.table.Unheard(vm, now) },
+		Fetch: v.originAllowance.Average(),
 	}
-	still := v.still(now)
-	may := func(c int) (fetch, origin bool) {
+	sinceNewChunk := v.sinceNewChunk(now)
+	mayFetch := func(c int) (fetch, origin bool) {
 		owner, _ := plan.Owner(c)
-		fetch = owner == v.m.set.VM || plan.MayTakeOver(c, sight)
-		// A region that draws chunk c from another region turns to the origin
-		// when nothing arrives any more.
-		origin = plan.Draws(c) || still > 2*spread.OriginStep
+		fetch = owner == v.m.settings.VM || plan.MayTakeOver(c, sight)
+		// A region that should get chunk c from another region falls back to the
+		// origin after a time without new chunks.
+		origin = plan.Draws(c) || sinceNewChunk > 2*spread.OriginStep
 		return fetch, origin
 	}
-	return spread.Outside{May: may, OriginReady: v.allow.Ready(now, b.man.Chunks[0].Bytes)}
+	return spread.Outside{May: mayFetch, OriginReady: v.originAllowance.Ready(now, cs.man.Chunks[0].Bytes)}
 }
 
-// explain sets the reason why the version stands still.
-func (v *version) explain(b *body, now time.Time, blocked bool) {
-	if v.still(now) < stillAfter {
+// updateReason sets the reason why no new chunk has arrived, or clears it.
+func (v *version) updateReason(cs *chunkState, now time.Time, blocked bool) {
+	if v.sinceNewChunk(now) < reasonAfter {
 		v.setReason("")
 		return
 	}
-	n, example := b.table.Lacking(now)
+	n, example := cs.table.Lacking(now)
 	switch {
-	case blocked && v.allow.Used(b.man.Chunks[0].Bytes):
+	case blocked && v.originAllowance.Used(cs.man.Chunks[0].Bytes):
 		v.setReason("quota of the origin used")
 	case blocked:
 		v.setReason("waiting for origin")
@@ -134,136 +137,138 @@
 	}
 }
 
-func (v *version) start(ctx context.Context, b *body, wg *conc.WaitGroup, active *atomic.Int64, ch spread.Choice) {
-	active.Add(1)
+func (v *version) startFetch(ctx context.Context, cs *chunkState, wg *conc.WaitGroup, inFlight *atomic.Int64, ch spread.Choice) {
+	inFlight.Add(1)
 	wg.Go(func() {
 		defer func() {
-			b.table.Ended(ch)
-			active.Add(-1)
+			cs.table.Ended(ch)
+			inFlight.Add(-1)
 			signal(v.wake)
 		}()
 		if ch.Origin {
-			v.fetchOrigin(ctx, b, ch)
+			v.fetchFromOrigin(ctx, cs, ch)
 			return
 		}
-		v.fetchPeer(ctx, b, ch)
+		v.fetchFromPeer(ctx, cs, ch)
 	})
 }
 
-func (v *version) fetchOrigin(ctx context.Context, b *body, ch spread.Choice) {
+func (v *version) fetchFromOrigin(ctx context.Context, cs *chunkState, ch spread.Choice) {
 	start := v.m.deps.Clock.Now()
-	size := b.man.Chunks[ch.Chunk].Bytes
-	v.allow.Spend(size)
+	size := cs.man.Chunks[ch.Chunk].Bytes
+	v.originAllowance.Spend(size)
 	rc, err := v.m.deps.Origin.Chunk(ctx, v.id, ch.Chunk)
 	var data []byte
 	if err == nil {
-		data, err = v.receive(ctx, b, ch, rc, v.m.counters.fromOrigin)
+		data, err = v.receiveChunk(ctx, cs, ch, rc, v.m.counters.addFromOrigin)
 	}
 	now := v.m.deps.Clock.Now()
 	if err != nil {
-		v.allow.Failed(size-int64(len(data)), now)
+		v.originAllowance.Failed(size-int64(len(data)), now)
 		return
 	}
-	v.allow.Done(0, now.Sub(start))
-	v.accept(b, ch, data)
+	v.originAllowance.Done(0, now.Sub(start))
+	v.acceptChunk(cs, ch, data)
 }
 
-func (v *version) fetchPeer(ctx context.Context, b *body, ch spread.Choice) {
-	member, ok := v.watched.Get(ch.From)
+func (v *version) fetchFromPeer(ctx context.Context, cs *chunkState, ch spread.Choice) {
+	member, ok := v.watchedPeers.Get(ch.From)
 	if !ok {
 		return
 	}
-	local := member.Region == v.m.set.Region
-	r := port.ChunkRequest{Version: v.id, Index: ch.Chunk, From: v.m.set.VM, FromRegion: v.m.set.Region}
+	local := member.Region == v.m.settings.Region
+	r := port.ChunkRequest{Version: v.id, Index: ch.Chunk, From: v.m.settings.VM, FromRegion: v.m.settings.Region}
 	start := v.m.deps.Clock.Now()
 	rc, err := v.m.deps.Peers.FetchChunk(ctx, member.Address, r)
 	if err != nil {
-		err = v.stalled(start, err)
+		err = v.stallError(start, err)
 	}
 	var data []byte
 	if err == nil {
-		data, err = v.receive(ctx, b, ch, rc, func(n int) { v.m.counters.fromPeer(n, local) })
+		data, err = v.receiveChunk(ctx, cs, ch, rc, func(n int) { v.m.counters.addFromPeer(n, local) })
 	}
 	if err == nil {
-		v.accept(b, ch, data)
+		v.acceptChunk(cs, ch, data)
 		return
 	}
 	if ctx.Err() == nil {
-		v.fetchFailed(b, ch, err)
+		v.recordFailure(cs, ch, err)
 	}
 }
 
-func (v *version) fetchFailed(b *body, ch spread.Choice, err error) {
+func (v *version) recordFailure(cs *chunkState, ch spread.Choice, err error) {
 	now := v.m.deps.Clock.Now()
 	switch {
 	case errors.Is(err, port.ErrPeerBusy):
-		b.table.Refused(ch.From, ch.Chunk, true, now)
+		cs.table.Refused(ch.From, ch.Chunk, true, now)
 	case errors.Is(err, port.ErrChunkMissing):
-		b.table.Refused(ch.From, ch.Chunk, false, now)
+		cs.table.Refused(ch.From, ch.Chunk, false, now)
 	case errors.Is(err, errStalled):
-		b.table.Avoid(ch.From, now.Add(spread.AvoidStalled))
+		cs.table.Avoid(ch.From, now.Add(spread.AvoidStalled))
 		signal(v.replan)
 	default:
-		b.table.Avoid(ch.From, now.Add(spread.AvoidFailed))
+		cs.table.Avoid(ch.From, now.Add(spread.AvoidFailed))
 	}
 }
 
-// accept verifies a chunk and keeps it.
-func (v *version) accept(b *body, ch spread.Choice, data []byte) {
-	if err := b.man.VerifyChunk(ch.Chunk, data); err != nil {
-		v.m.counters.corruptedChunk()
+// acceptChunk verifies a chunk and stores it.
+func (v *version) acceptChunk(cs *chunkState, ch spread.Choice, data []byte) {
+	if err := cs.man.VerifyChunk(ch.Chunk, data); err != nil {
+		v.m.counters.addCorrupted()
 		if !ch.Origin {
-			b.table.Corrupted(ch.From, v.m.deps.Clock.Now())
+			cs.table.Corrupted(ch.From, v.m.deps.Clock.Now())
 			signal(v.replan)
 		}
 		return
 	}
 	if !ch.Origin {
-		b.table.Verified(ch.From)
+		cs.table.Verified(ch.From)
 	}
-	if v.store(b, ch.Chunk, data) {
-		b.credit.Took(int64(len(data)))
+	if v.store(cs, ch.Chunk, data) {
+		cs.credit.Took(int64(len(data)))
 	}
 }
 
-// errStalled means that a fetch was abandoned because nothing arrived.
+// errStalled means that a fetch was abandoned because no data arrived.
 var errStalled = errors.New("fetch made no progress")
 
-// stalled returns errStalled for an error that followed a long silence.
-func (v *version) stalled(start time.Time, err error) error {
+// stallError returns errStalled instead of err if nothing arrived for stallTime
+// since start.
+func (v *version) stallError(start time.Time, err error) error {
 	if v.m.deps.Clock.Now().Sub(start) >= stallTime {
 		return errStalled
 	}
 	return err
 }
 
-// receive reads a chunk at the pace of the link. It returns what arrived, also
-// with an error. A sender that gives more than the chunk's size is cut off.
-func (v *version) receive(
-	ctx context.Context, b *body, ch spread.Choice, rc io.ReadCloser, count func(int),
+// receiveChunk reads a chunk at the rate of the link. It returns the data received
+// so far also with an error, and fails if the sender sends more than the chunk's
+// size.
+func (v *version) receiveChunk(
+	ctx context.Context, cs *chunkState, ch spread.Choice, rc io.ReadCloser, count func(int),
 ) ([]byte, error) {
 	defer func() { _ = rc.Close() }()
-	size := int(b.man.Chunks[ch.Chunk].Bytes)
+	size := int(cs.man.Chunks[ch.Chunk].Bytes)
 	data := make([]byte, 0, size)
 	for len(data) < size {
 		start := v.m.deps.Clock.Now()
-		n, err := rc.Read(data[len(data):min(size, len(data)+readBytes)])
+		n, err := rc.Read(data[len(data):min(size, len(data)+maxReadBytes)])
 		data = data[:len(data)+n]
 		count(n)
 		now := v.m.deps.Clock.Now()
 		if err != nil && len(data) < size {
-			return data, v.stalled(start, errors.Wrap(err, "receiving chunk"))
+			return data, v.stallError(start, errors.Wrap(err, "receiving chunk"))
 		}
 		if n > 0 {
-			b.table.Progress(ch.Chunk, now)
+			cs.table.Progress(ch.Chunk, now)
 		}
 		if err := v.m.sleep(ctx, v.m.link.In.Reserve(now, n)); err != nil {
 			return data, err
 		}
 	}
-	// Reading the end lets the connection be used again.
+	// Reading up to EOF allows the connection to be reused.
 	if n, _ := rc.Read(make([]byte, 1)); n > 0 {
-		return data, errors.New("chunk does not end at its size")
+		return data, errors.New("sender sent more than the size of the chunk")
 	}
 	return data, nil
 }
--- a/internal/app/weights/manager.go
+++ b/internal/app/weights/manager.go
@@ -19,7 +19,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// States of Progress.
+// Values of port.Progress.State.
 const (
 	StateIdle     = "idle"
 	StateManifest = "manifest"
@@ -27,18 +27,19 @@
 	StateComplete = "complete"
 )
 
-// Settings of a Manager.
+// Settings holds the configuration of a Manager.
 type Settings struct {
 	VM     fleet.VM
 	Region fleet.Region
-	// OriginRegion is the region in which the origin stands, or empty if its
-	// traffic crosses the link of no region but the one that draws.
+	// OriginRegion is the region of the origin, or empty if fetches from the origin
+	// use no other region's link than that of the region that fetches.
 	OriginRegion fleet.Region
-	// InRate and OutRate limit the link in bytes per second; 0 means no limit.
+	// InRate and OutRate limit the use of the link in bytes per second; 0 means no
+	// limit.
 	InRate, OutRate int64
-	// Memory bounds the bytes of all versions together; 0 means no limit.
+	// Memory limits the bytes of all versions together; 0 means no limit.
 	Memory int64
-	// Limits bounds the fetches in progress of one version.
+	// Limits bounds the fetches in flight for one version.
 	Limits spread.Limits
 }
 
@@ -61,18 +62,18 @@
 
 // Manager implements port.Weights and port.PeerHandler.
 type Manager struct {
-	set      Settings
-	deps     Deps
-	link     ratelimit.Link
-	slots    *spread.Slots
-	versions *shard.Map[fleet.Version, *version]
-	counters counters
-	changed  chan struct{}
-	wake     chan struct{}
-
-	mu     sync.Mutex // guards wanted
-	wanted []port.WeightsTarget
-	memory memory
+	settings    Settings
+	deps        Deps
+	link        ratelimit.Link
+	uploadSlots *spread.Slots
+	versions    *shard.Map[fleet.Version, *version]
+	counters    counters
+	changed     chan struct{}
+	wake        chan struct{}
+
+	mu           sync.Mutex // guards wanted
+	wanted       []port.WeightsTarget
+	memoryBudget memoryBudget
 }
 
 var (
@@ -80,23 +81,24 @@
 	_ port.PeerHandler = (*Manager)(nil)
 )
 
-// New returns a manager that holds nothing. Run makes it work.
+// New returns a manager that holds nothing. It fetches only while Run runs.
 func New(s Settings, d Deps) *Manager {
 	m := &Manager{
-		set:      s.withDefaults(),
-		deps:     d,
-		link:     ratelimit.NewLink(s.InRate, s.OutRate, d.Clock.Now()),
-		slots:    spread.NewSlots(spread.MaxUploads),
-		versions: shard.New[fleet.Version, *version](0),
-		changed:  make(chan struct{}, 1),
-		wake:     make(chan struct{}, 1),
+		settings:    s.withDefaults(),
+		deps:        d,
+		link:        ratelimit.NewLink(s.InRate, s.OutRate, d.Clock.Now()),
+		uploadSlots: spread.NewSlots(spread.MaxUploads),
+		versions:    shard.New[fleet.Version, *version](0),
+		changed:     make(chan struct{}, 1),
+		wake:        make(chan struct{}, 1),
 	}
 	m.counters.metrics = d.Metrics
-	m.memory.init(s.Memory)
+	m.memoryBudget.init(s.Memory)
 	return m
 }
 
-// Run fetches what is wanted until ctx ends. It is called once.
+// Run fetches the versions given to Want until ctx ends. It must be called only
+// once.
 func (m *Manager) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -124,21 +126,21 @@
 	return m.wanted
 }
 
-// reconcile starts wanted versions and releases others. Only Run calls it.
+// reconcile starts wanted versions and releases all others. Only Run may call it.
 func (m *Manager) reconcile(ctx context.Context, wg *conc.WaitGroup) {
 	targets := m.targets()
 	keep := map[fleet.Version]bool{}
 	for _, t := range targets {
 		keep[t.Version] = true
 	}
-	var old []*version
+	var unwanted []*version
 	m.versions.Range(func(id fleet.Version, v *version) bool {
 		if !keep[id] {
-			old = append(old, v)
+			unwanted = append(unwanted, v)
 		}
 		return true
 	})
-	for _, v := range old {
+	for _, v := range unwanted {
 		m.versions.Delete(v.id)
 		v.release()
 	}
@@ -150,7 +152,7 @@
 		m.versions.Put(t.Version, v)
 		wg.Go(v.run)
 	}
-	if len(old) > 0 {
+	if len(unwanted) > 0 {
 		signal(m.changed)
 	}
 }
@@ -168,14 +170,14 @@
 func (m *Manager) Progress() port.Progress {
 	p := port.Progress{State: StateIdle}
 	for i, t := range m.targets() {
-		q := port.Progress{Target: t.Version, State: StateManifest}
+		current := port.Progress{Target: t.Version, State: StateManifest}
 		if v, ok := m.versions.Get(t.Version); ok {
-			q = v.progress()
+			current = v.progress()
 		}
-		if i == 0 || q.State != StateComplete {
-			p = q
+		if i == 0 || current.State != StateComplete {
+			p = current
 		}
-		if q.State != StateComplete {
+		if current.State != StateComplete {
 			break
 		}
 	}
@@ -195,7 +197,7 @@
 	m.link.Out.Charge(now, out)
 }
 
-// rand adapts port.Rand to decisions.
+// rand has the signature of spread.Rand.
 func (m *Manager) rand(n int) int { return m.deps.Rand.IntN(n) }
 
 // sleep waits for d or the end of ctx.
@@ -211,7 +213,7 @@
 	}
 }
 
-// signal wakes the receiver of a channel with room for one value.
+// signal wakes the receiver of a channel that buffers one value.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/app/weights/memory.go
+++ b/internal/app/weights/memory.go
@@ -7,27 +7,27 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// memory is the budget for chunks. A version takes its whole size before its
-// first fetch, so that fetches in progress are covered. Its lock covers all
+// memoryBudget limits the memory for chunks. A version reserves its whole size
+// before its first fetch, so that fetches in flight are covered. mu guards all
 // fields.
-type memory struct {
+type memoryBudget struct {
 	mu    sync.Mutex
 	limit int64
 	used  int64
-	freed chan struct{} // closed and replaced when memory is returned
+	freed chan struct{} // closed and replaced when memory is freed
 }
 
-func (b *memory) init(limit int64) { b.limit, b.freed = limit, make(chan struct{}) }
+func (b *memoryBudget) init(limit int64) { b.limit, b.freed = limit, make(chan struct{}) }
 
-// changes returns a channel that is closed once memory is returned.
-func (b *memory) changes() <-chan struct{} {
+// freedSignal returns a channel that is closed when memory is next freed.
+func (b *memoryBudget) freedSignal() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.freed
 }
 
-// take reserves n bytes and reports whether they fit.
-func (b *memory) take(n int64) bool {
+// reserve reserves n bytes if they fit, and reports whether they do.
+func (b *memoryBudget) reserve(n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.limit > 0 && b.used+n > b.limit {
@@ -38,13 +38,14 @@
 }
 
 // fits reports whether n bytes fit into an empty budget.
-func (b *memory) fits(n int64) bool {
+func (b *memoryBudget) fits(n int64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.limit <= 0 || n <= b.limit
 }
 
-func (b *memory) put(n int64) {
+// free returns n reserved bytes to the budget.
+func (b *memoryBudget) free(n int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.used -= n
@@ -52,42 +53,43 @@
 	b.freed = make(chan struct{})
 }
 
-// split returns the wanted versions that are more and less important than v.
-func (m *Manager) split(v *version) (better, worse []*version) {
-	ts := m.targets()
-	at := slices.IndexFunc(ts, func(t port.WeightsTarget) bool { return t.Version == v.id })
-	for i, t := range ts {
+// splitByPriority returns the wanted versions with a higher and a lower priority
+// than v.
+func (m *Manager) splitByPriority(v *version) (higher, lower []*version) {
+	wanted := m.targets()
+	at := slices.IndexFunc(wanted, func(t port.WeightsTarget) bool { return t.Version == v.id })
+	for i, t := range wanted {
 		o, ok := m.versions.Get(t.Version)
 		switch {
 		case !ok || at < 0 || i == at:
 		case i < at:
-			better = append(better, o)
+			higher = append(higher, o)
 		default:
-			worse = append(worse, o)
+			lower = append(lower, o)
 		}
 	}
-	return better, worse
+	return higher, lower
 }
 
-// betterWaits reports whether a more important version waits for memory.
-func (m *Manager) betterWaits(v *version) bool {
-	better, _ := m.split(v)
-	return slices.ContainsFunc(better, func(o *version) bool { return o.waits.Load() })
+// higherWaits reports whether a version of a higher priority waits for memory.
+func (m *Manager) higherWaits(v *version) bool {
+	higher, _ := m.splitByPriority(v)
+	return slices.ContainsFunc(higher, func(o *version) bool { return o.waitsForMemory.Load() })
 }
 
-// evictBelow releases one less important version that holds memory, so that v,
-// which needs n bytes, can have it. Complete ones are kept for an engine that
-// restarts and go only after all others: without that, v would wait forever
-// where the limit has no room for two versions. A load in progress keeps the
-// chunks that it reads. Run starts the released version again, which then
-// waits for memory.
-func (m *Manager) evictBelow(v *version, n int64) bool {
-	if !m.memory.fits(n) {
+// evictLower releases one version of a lower priority to free memory for v, which
+// needs n bytes. Complete versions are kept for engines that restart and are
+// evicted only after all incomplete ones. They have to be evicted too, since v
+// would otherwise wait forever if two versions do not fit into the limit. A load
+// in progress keeps the chunks that it reads. Run starts the released version
+// again, which then waits for memory.
+func (m *Manager) evictLower(v *version, n int64) bool {
+	if !m.memoryBudget.fits(n) {
 		return false
 	}
-	_, worse := m.split(v)
+	_, lower := m.splitByPriority(v)
 	for _, complete := range []bool{false, true} {
-		for _, o := range slices.Backward(worse) {
+		for _, o := range slices.Backward(lower) {
 			if o.complete.Load() == complete && o.holdsMemory() {
 				m.versions.Delete(o.id)
 				o.release()
@@ -102,5 +104,5 @@
 func (v *version) holdsMemory() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.taken > 0
+	return v.reserved > 0
 }
--- a/internal/app/weights/peers.go
+++ b/internal/app/weights/peers.go
@@ -15,33 +15,34 @@
 )
 
 const (
-	// manifestRetry is the pause between two rounds of asking for a manifest.
-	manifestRetry = 100 * time.Millisecond
-	// manifestFirst is the number of agents of a region that ask the origin
-	// for the manifest at once; the others ask peers first.
-	manifestFirst = 2
-	// manifestSteps bounds the steps that a later agent waits before it asks
-	// the origin as well.
-	manifestSteps = 8
-	// manifestPeers is the number of peers asked in one round.
-	manifestPeers = 3
-	// reconnectMin and reconnectMax bound the pause before a lost stream is
-	// opened again.
+	// manifestRetryPause is the pause between two rounds of manifest requests.
+	manifestRetryPause = 100 * time.Millisecond
+	// immediateOriginAgents is the number of agents of a region that ask the origin
+	// for the manifest without a delay; the others ask peers first.
+	immediateOriginAgents = 2
+	// maxOriginDelaySteps bounds the delay, in steps of spread.OriginStep, after
+	// which the other agents ask the origin as well.
+	maxOriginDelaySteps = 8
+	// manifestPeersPerRound is the number of peers that are asked in one round.
+	manifestPeersPerRound = 3
+	// reconnectMin and reconnectMax bound the backoff before a lost stream is
+	// reopened.
 	reconnectMin = 100 * time.Millisecond
 	reconnectMax = time.Second
 )
 
 // self returns this agent as a member.
 func (m *Manager) self() spread.Member {
-	return spread.Member{VM: m.set.VM, Region: m.set.Region}
+	return spread.Member{VM: m.settings.VM, Region: m.settings.Region}
 }
 
-// members returns the agents that are selected for a version or hold it.
+// members returns the other agents that hold a version, fetch it or are assigned it,
+// without those that are leaving or gone.
 func (m *Manager) members(id fleet.Version) []spread.Member {
 	decl, _ := m.deps.Directory.Declaration()
 	var out []spread.Member
 	for _, r := range m.deps.Directory.Members(fleet.KindAgent) {
-		if r.State >= port.MemberLeaving || fleet.VM(r.ID) == m.set.VM || !concerned(decl, r, id) {
+		if r.State >= port.MemberLeaving || fleet.VM(r.ID) == m.settings.VM || !holdsOrNeeds(decl, r, id) {
 			continue
 		}
 		out = append(out, spread.Member{
@@ -51,7 +52,8 @@
 	return out
 }
 
-func concerned(d *declare.Declaration, r port.MemberRecord, id fleet.Version) bool {
+// holdsOrNeeds reports whether an agent holds a version, fetches it or is assigned it.
+func holdsOrNeeds(d *declare.Declaration, r port.MemberRecord, id fleet.Version) bool {
 	if s := r.Status; s != nil && (s.Version == id || s.Progress.Target == id) {
 		return true
 	}
@@ -61,7 +63,8 @@
 	return d.Assign(declare.Machine{VM: fleet.VM(r.ID), Domain: r.Domain, Labels: r.Labels}).Version == id
 }
 
-// findManifest asks peers and the origin until a manifest is the version.
+// findManifest asks peers and the origin until one of them sends the manifest that
+// matches the version. It returns false if the version is released first.
 func (v *version) findManifest() (manifest.Manifest, bool) {
 	start := v.m.deps.Clock.Now()
 	v.setReason("waiting for manifest")
@@ -71,21 +74,21 @@
 		if man, ok := v.manifestFromPeers(others, round); ok {
 			return man, true
 		}
-		step := time.Duration(min(max(0, rank-manifestFirst+1), manifestSteps)) * spread.OriginStep
-		if v.m.deps.Clock.Now().Sub(start) >= step {
+		originDelay := time.Duration(min(max(0, rank-immediateOriginAgents+1), maxOriginDelaySteps)) * spread.OriginStep
+		if v.m.deps.Clock.Now().Sub(start) >= originDelay {
 			man, err := v.m.deps.Origin.Manifest(v.ctx, v.id)
 			if err == nil && man.Validate(v.id) == nil {
 				return man, true
 			}
 			v.setReason(manifestReason(err))
 		}
-		_ = v.m.sleep(v.ctx, manifestRetry)
+		_ = v.m.sleep(v.ctx, manifestRetryPause)
 	}
 	return manifest.Manifest{}, false
 }
 
-// manifestReason says what a version without a manifest waits for after the
-// origin was asked for it.
+// manifestReason returns the reason why a version has no manifest, given the result
+// of the request to the origin.
 func manifestReason(err error) string {
 	switch {
 	case err == nil:
@@ -97,15 +100,15 @@
 	}
 }
 
-// manifestFromPeers asks those that ask the origin first in even rounds, and
-// random ones in odd rounds.
+// manifestFromPeers asks peers for the manifest: in even rounds those that ask the
+// origin first, in odd rounds random ones.
 func (v *version) manifestFromPeers(others []spread.Member, round int) (manifest.Manifest, bool) {
-	for i := range min(manifestPeers, len(others)) {
-		at := i
+	for i := range min(manifestPeersPerRound, len(others)) {
+		pick := i
 		if round%2 == 1 {
-			at = v.m.rand(len(others))
+			pick = v.m.rand(len(others))
 		}
-		man, err := v.m.deps.Peers.Manifest(v.ctx, others[at].Address, v.id)
+		man, err := v.m.deps.Peers.Manifest(v.ctx, others[pick].Address, v.id)
 		if err == nil && man.Validate(v.id) == nil {
 			return man, true
 		}
@@ -113,124 +116,127 @@
 	return manifest.Manifest{}, false
 }
 
-// keepPeers watches the neighbours of the plan until ctx ends, and changes them
-// with the directory.
-func (v *version) keepPeers(ctx context.Context, b *body) {
+// maintainPeers watches the neighbours of the plan until ctx ends, and updates the
+// plan after changes of the directory.
+func (v *version) maintainPeers(ctx context.Context, cs *chunkState) {
 	changes, stop := v.m.deps.Directory.Subscribe()
 	defer stop()
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	cancels := map[fleet.VM]context.CancelFunc{}
 	for {
-		v.makePlan(ctx, b, &wg, cancels)
+		v.updatePlan(ctx, cs, &wg, cancels)
 		select {
 		case <-ctx.Done():
 			return
 		case <-changes:
 		case <-v.replan:
-		case <-v.m.deps.Clock.After(replanEvery):
+		case <-v.m.deps.Clock.After(replanInterval):
 		}
-		if v.m.sleep(ctx, replanAfter) != nil {
+		if v.m.sleep(ctx, replanDelay) != nil {
 			return
 		}
 	}
 }
 
-// makePlan follows the directory: it ends the streams to members that are no
-// neighbours any more or have another address, and opens those to new ones.
-func (v *version) makePlan(ctx context.Context, b *body, wg *conc.WaitGroup, cancels map[fleet.VM]context.CancelFunc) {
+// updatePlan makes a plan from the current members. It closes the streams of
+// members that are no longer neighbours or have a new address, and opens streams
+// to new neighbours.
+func (v *version) updatePlan(ctx context.Context, cs *chunkState, wg *conc.WaitGroup, cancels map[fleet.VM]context.CancelFunc) {
 	now := v.m.deps.Clock.Now()
-	avoid := func(vm fleet.VM) bool { return b.table.Avoided(vm, now) }
-	ms := v.m.members(v.id)
-	p := spread.NewPlan(v.id, len(b.man.Chunks), v.m.self(), ms, v.m.set.OriginRegion, avoid)
-	next := map[fleet.VM]fleet.Address{}
+	avoid := func(vm fleet.VM) bool { return cs.table.Avoided(vm, now) }
+	others := v.m.members(v.id)
+	p := spread.NewPlan(v.id, len(cs.man.Chunks), v.m.self(), others, v.m.settings.OriginRegion, avoid)
+	watchAddresses := map[fleet.VM]fleet.Address{}
 	for _, n := range p.Neighbours {
-		next[n.VM] = n.Address
+		watchAddresses[n.VM] = n.Address
 	}
-	for _, m := range ms {
-		// An avoided neighbour stays watched, because its penalty ends.
+	for _, m := range others {
+		// An avoided neighbour stays watched because it is avoided for a limited time.
 		if avoid(m.VM) {
-			next[m.VM] = m.Address
+			watchAddresses[m.VM] = m.Address
 		}
 	}
 	for vm, cancel := range cancels {
-		if old, _ := v.watched.Get(vm); next[vm] != old.Address {
+		if old, _ := v.watchedPeers.Get(vm); watchAddresses[vm] != old.Address {
 			cancel()
 			delete(cancels, vm)
 		}
 	}
 	var added []spread.Member
 	for _, n := range p.Neighbours {
-		if cancels[n.VM] == nil && b.table.AddPeer(n.VM, p.Role(n), now) {
-			v.watched.Put(n.VM, n)
+		if cancels[n.VM] == nil && cs.table.AddPeer(n.VM, p.Role(n), now) {
+			v.watchedPeers.Put(n.VM, n)
 			added = append(added, n)
 		}
 	}
-	// The plan is published after its peers are known, so that no chunk looks
-	// missing in a region whose peers were not asked yet.
+	// The plan is published after its peers are in the table. Otherwise chunks would
+	// look missing in the region before its peers have announced theirs.
 	v.plan.Store(p)
 	for _, n := range added {
-		pctx, cancel := context.WithCancel(ctx)
+		peerCtx, cancel := context.WithCancel(ctx)
 		cancels[n.VM] = cancel
-		wg.Go(func() { v.watchPeer(pctx, b, n) })
+		wg.Go(func() { v.watchPeer(peerCtx, cs, n) })
 	}
 	signal(v.wake)
 }
 
-// watchPeer follows the chunks of one peer until ctx ends. It opens the stream
-// again when it is lost.
-func (v *version) watchPeer(ctx context.Context, b *body, n spread.Member) {
+// watchPeer receives the chunk announcements of one peer until ctx ends. It reopens
+// a lost stream.
+func (v *version) watchPeer(ctx context.Context, cs *chunkState, n spread.Member) {
 	defer func() {
-		v.watched.Delete(n.VM)
-		b.table.RemovePeer(n.VM)
+		v.watchedPeers.Delete(n.VM)
+		cs.table.RemovePeer(n.VM)
 		signal(v.replan)
 	}()
 	pause := reconnectMin
 	for ctx.Err() == nil {
-		if v.followPeer(ctx, b, n) {
+		if v.readUpdates(ctx, cs, n) {
 			pause = reconnectMin
 		}
-		b.table.Lost(n.VM)
+		cs.table.Lost(n.VM)
 		signal(v.wake)
 		_ = v.m.sleep(ctx, pause)
 		pause = min(2*pause, reconnectMax)
 	}
 }
 
-// followPeer reads one stream to its end and reports whether anything came.
-func (v *version) followPeer(ctx context.Context, b *body, n spread.Member) bool {
-	s, err := v.m.deps.Peers.WatchChunks(ctx, n.Address, v.id, v.m.set.VM)
+// readUpdates opens one stream and applies its updates until it ends. It reports
+// whether there were any.
+func (v *version) readUpdates(ctx context.Context, cs *chunkState, n spread.Member) bool {
+	s, err := v.m.deps.Peers.WatchChunks(ctx, n.Address, v.id, v.m.settings.VM)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = s.Close() }()
-	heard := false
+	received := false
 	for {
 		u, err := s.Next()
 		if err != nil {
-			return heard
+			return received
 		}
-		heard = true
-		v.applyUpdate(b, n, u)
+		received = true
+		v.applyUpdate(cs, n, u)
 	}
 }
 
-func (v *version) applyUpdate(b *body, n spread.Member, u port.ChunkUpdate) {
+// applyUpdate records which chunks a peer has.
+func (v *version) applyUpdate(cs *chunkState, n spread.Member, u port.ChunkUpdate) {
 	now := v.m.deps.Clock.Now()
-	for i := range min(len(b.man.Chunks), 8*len(u.Bitmap)) {
+	for i := range min(len(cs.man.Chunks), 8*len(u.Bitmap)) {
 		if u.Bitmap[i/8]&(1<<(i%8)) != 0 {
-			b.table.Holds(n.VM, i, false, now)
+			cs.table.Holds(n.VM, i, false, now)
 		}
 	}
 	plan := v.plan.Load()
 	for _, i := range u.Added {
-		if i < 0 || i >= len(b.man.Chunks) {
+		if i < 0 || i >= len(cs.man.Chunks) {
 			continue
 		}
 		owner, _ := plan.Owner(i)
-		b.table.Holds(n.VM, i, owner == n.VM, now)
+		cs.table.Holds(n.VM, i, owner == n.VM, now)
 	}
-	b.table.Heard(n.VM, now)
+	cs.table.Heard(n.VM, now)
 	if !u.Heartbeat {
 		signal(v.wake)
 	}
--- a/internal/app/weights/uploads.go
+++ b/internal/app/weights/uploads.go
@@ -15,24 +15,26 @@
 
 const (
 	// stallTime is the time without progress after which a transfer counts as
-	// stalled. It is a little below the silence timeout of streams, so that
-	// the cause of an abandoned read is recognised.
+	// stalled. It is slightly below the silence timeout of streams, so that a read
+	// which that timeout ends is recognised as stalled.
 	stallTime = 1900 * time.Millisecond
-	// slotWait is how long a request waits for an upload slot before it is
-	// refused. It stays below the silence timeout.
+	// slotWait is how long a request waits for an upload slot before it is refused.
+	// It must stay below the silence timeout of streams.
 	slotWait = 400 * time.Millisecond
-	// writeBytes is the most that is written before the link's budget is
-	// consulted again.
-	writeBytes = 16 << 10
-	// heartbeat is the longest silence of a chunk stream.
-	heartbeat = 500 * time.Millisecond
-	// announceEvery collects chunks for one message. A message per chunk and
-	// neighbour costs an agent more CPU time than the chunks themselves.
-	announceEvery = 50 * time.Millisecond
+	// maxWriteBytes bounds a write between two reservations of the link's rate
+	// limit.
+	maxWriteBytes = 16 << 10
+	// heartbeatInterval is the longest time between two messages of a stream of
+	// chunk announcements.
+	heartbeatInterval = 500 * time.Millisecond
+	// announceDelay is the time in which new chunks are batched into one message.
+	// One message per chunk and neighbour would cost an agent more CPU time than
+	// the chunks themselves.
+	announceDelay = 50 * time.Millisecond
 )
 
-// watcher is a peer that follows the chunks of a version. pending is guarded by
-// the lock of its shard.
+// watcher is a peer that receives announcements of the chunks of a version. pending
+// holds chunks that are not announced yet; the lock of the watcher's shard guards it.
 type watcher struct {
 	pending []int
 	wake    chan struct{}
@@ -44,15 +46,15 @@
 	if !ok {
 		return manifest.Manifest{}, false
 	}
-	b := v.body.Load()
-	if b == nil {
+	cs := v.chunkState.Load()
+	if cs == nil {
 		return manifest.Manifest{}, false
 	}
-	return b.man, true
+	return cs.man, true
 }
 
-// errNotHeld is returned to a peer that watches a version that this agent does
-// not want.
+// errNotHeld is returned to a peer that watches a version that this agent does not
+// hold or fetch.
 var errNotHeld = errors.New("version is not held")
 
 // WatchChunks implements port.PeerHandler.
@@ -64,10 +66,10 @@
 		return errNotHeld
 	}
 	w := &watcher{wake: make(chan struct{}, 1)}
-	key := v.nextID.Add(1)
+	key := v.nextWatcherID.Add(1)
 	v.watchers.Put(key, w)
 	defer v.watchers.Delete(key)
-	if err := send(port.ChunkUpdate{Bitmap: v.bitmap(), Heartbeat: v.body.Load() == nil}); err != nil {
+	if err := send(port.ChunkUpdate{Bitmap: v.bitmap(), Heartbeat: v.chunkState.Load() == nil}); err != nil {
 		return err
 	}
 	for {
@@ -77,10 +79,10 @@
 		case <-v.ctx.Done():
 			return errNotHeld
 		case <-w.wake:
-			if err := m.sleep(ctx, announceEvery); err != nil {
+			if err := m.sleep(ctx, announceDelay); err != nil {
 				return err
 			}
-		case <-m.deps.Clock.After(heartbeat):
+		case <-m.deps.Clock.After(heartbeatInterval):
 		}
 		u := port.ChunkUpdate{Added: v.takePending(key)}
 		u.Heartbeat = len(u.Added) == 0
@@ -90,6 +92,7 @@
 	}
 }
 
+// takePending returns the chunks to announce to a watcher and clears them.
 func (v *version) takePending(key uint64) []int {
 	var out []int
 	v.watchers.Update(key, func(w *watcher, ok bool) (*watcher, bool) {
@@ -101,13 +104,14 @@
 	return out
 }
 
+// bitmap returns the chunks held, one bit per chunk, or nil without a manifest.
 func (v *version) bitmap() []byte {
-	b := v.body.Load()
-	if b == nil {
+	cs := v.chunkState.Load()
+	if cs == nil {
 		return nil
 	}
-	out := make([]byte, (len(b.man.Chunks)+7)/8)
-	b.chunks.Range(func(i int, _ []byte) bool {
+	out := make([]byte, (len(cs.man.Chunks)+7)/8)
+	cs.chunks.Range(func(i int, _ []byte) bool {
 		out[i/8] |= 1 << (i % 8)
 		return true
 	})
@@ -120,30 +124,31 @@
 	if !ok {
 		return port.ErrChunkMissing
 	}
-	b := v.body.Load()
-	if b == nil {
+	cs := v.chunkState.Load()
+	if cs == nil {
 		return port.ErrChunkMissing
 	}
-	data, ok := b.chunks.Get(r.Index)
+	data, ok := cs.chunks.Get(r.Index)
 	if !ok {
 		return port.ErrChunkMissing
 	}
 	size := int64(len(data))
-	if !b.credit.Allow(r.Index, size, m.deps.Clock.Now()) {
+	if !cs.credit.Allow(r.Index, size, m.deps.Clock.Now()) {
 		return port.ErrPeerBusy
 	}
-	t, err := m.waitSlot(ctx, r.From)
+	t, err := m.acquireSlot(ctx, r.From)
 	if err != nil {
-		b.credit.Return(r.Index, size)
+		cs.credit.Return(r.Index, size)
 		return err
 	}
 	s := &upload{m: m, ticket: t, bytes: size}
 	defer s.release()
-	return s.send(ctx, data, w, r.FromRegion == m.set.Region)
+	return s.send(ctx, data, w, r.FromRegion == m.settings.Region)
 }
 
-func (m *Manager) waitSlot(ctx context.Context, from fleet.VM) (*spread.Ticket, error) {
-	t := m.slots.Request(from)
+// acquireSlot waits up to slotWait for an upload slot.
+func (m *Manager) acquireSlot(ctx context.Context, from fleet.VM) (*spread.Ticket, error) {
+	t := m.uploadSlots.Request(from)
 	if t == nil {
 		return nil, port.ErrPeerBusy
 	}
@@ -155,7 +160,7 @@
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
-	if m.slots.Cancel(t) {
+	if m.uploadSlots.Cancel(t) {
 		return nil, err
 	}
 	return t, nil
--- a/internal/app/weights/version.go
+++ b/internal/app/weights/version.go
@@ -19,24 +19,25 @@
 )
 
 const (
-	// stillAfter is the time without a new chunk after which progress carries
+	// reasonAfter is the time without a new chunk after which the progress states
 	// a reason.
-	stillAfter = time.Second
-	// resortAfter is the time without a new chunk after which peers that sent
-	// a corrupted chunk are asked again.
-	resortAfter = 250 * time.Millisecond
-	// recheck bounds the time until the dispatcher looks at expired penalties
-	// and at its peers again when nothing wakes it.
-	recheck = 50 * time.Millisecond
-	// replanAfter collects changes of the directory before neighbours change.
-	replanAfter = 100 * time.Millisecond
-	// replanEvery replaces neighbours that are avoided.
-	replanEvery = time.Second
+	reasonAfter = time.Second
+	// lastResortAfter is the time without a new chunk after which peers that sent a
+	// corrupted chunk are asked again.
+	lastResortAfter = 250 * time.Millisecond
+	// recheckInterval bounds the time until dispatch notices without a wake-up that
+	// a peer is no longer avoided, or has gone quiet.
+	recheckInterval = 50 * time.Millisecond
+	// replanDelay batches changes of the directory into one new plan.
+	replanDelay = 100 * time.Millisecond
+	// replanInterval is the longest time between two plans. A new plan replaces
+	// neighbours that are avoided.
+	replanInterval = time.Second
 )
 
-// body is what exists of a version once its manifest is known. Its parts have
-// their own locks.
-type body struct {
+// chunkState is the part of a version that exists once its manifest is known. Its
+// fields have their own locks or do not change.
+type chunkState struct {
 	man    manifest.Manifest
 	size   int64
 	table  *spread.Table
@@ -44,7 +45,7 @@
 	credit *spread.Credit
 }
 
-// version is one wanted version on its way to completion and after it.
+// version is one wanted version, complete or not.
 type version struct {
 	m      *Manager
 	id     fleet.Version
@@ -52,84 +53,84 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	body     atomic.Pointer[body]
-	complete atomic.Bool
-	waits    atomic.Bool // for memory
-	plan     atomic.Pointer[spread.Plan]
-	watchers *shard.Map[uint64, *watcher]
-	watched  *shard.Map[fleet.VM, spread.Member]
-	nextID   atomic.Uint64
-	allow    spread.Allowance
-	wake     chan struct{}
-	replan   chan struct{}
-
-	mu       sync.Mutex // guards the following
-	reason   string
-	lastGain time.Time
-	taken    int64 // bytes taken from the memory budget
+	chunkState      atomic.Pointer[chunkState]
+	complete        atomic.Bool
+	waitsForMemory  atomic.Bool
+	plan            atomic.Pointer[spread.Plan]
+	watchers        *shard.Map[uint64, *watcher]
+	watchedPeers    *shard.Map[fleet.VM, spread.Member]
+	nextWatcherID   atomic.Uint64
+	originAllowance spread.Allowance
+	wake            chan struct{}
+	replan          chan struct{}
+
+	mu          sync.Mutex // guards the following
+	reason      string
+	lastChunkAt time.Time
+	reserved    int64 // bytes reserved in the memory budget
 }
 
 func newVersion(ctx context.Context, m *Manager, t port.WeightsTarget) *version {
 	v := &version{
-		m:        m,
-		id:       t.Version,
-		model:    t.Model,
-		watchers: shard.New[uint64, *watcher](4),
-		watched:  shard.New[fleet.VM, spread.Member](4),
-		wake:     make(chan struct{}, 1),
-		replan:   make(chan struct{}, 1),
-		lastGain: m.deps.Clock.Now(),
+		m:            m,
+		id:           t.Version,
+		model:        t.Model,
+		watchers:     shard.New[uint64, *watcher](4),
+		watchedPeers: shard.New[fleet.VM, spread.Member](4),
+		wake:         make(chan struct{}, 1),
+		replan:       make(chan struct{}, 1),
+		lastChunkAt:  m.deps.Clock.Now(),
 	}
 	v.ctx, v.cancel = context.WithCancel(ctx)
 	return v
 }
 
-// release ends the transfers and returns the memory.
+// release ends the transfers and frees the reserved memory.
 func (v *version) release() {
 	v.cancel()
 	v.mu.Lock()
-	n := v.taken
-	v.taken = 0
+	n := v.reserved
+	v.reserved = 0
 	v.mu.Unlock()
 	if n > 0 {
-		v.m.memory.put(n)
+		v.m.memoryBudget.free(n)
 	}
 }
 
-// run brings the version to completion. It returns then, or when the version
-// is released.
+// run fetches the version. It returns when the version is complete or released.
 func (v *version) run() {
 	man, ok := v.findManifest()
-	if !ok || !v.takeMemory(man.Bytes()) {
+	if !ok || !v.reserveMemory(man.Bytes()) {
 		return
 	}
 	now := v.m.deps.Clock.Now()
-	b := &body{
+	cs := &chunkState{
 		man: man, size: man.Bytes(), table: spread.NewTable(len(man.Chunks)),
 		chunks: shard.New[int, []byte](0), credit: spread.NewCredit(man.Bytes(), now),
 	}
-	v.body.Store(b)
+	v.chunkState.Store(cs)
 	signal(v.m.changed)
 	ctx, cancel := context.WithCancel(v.ctx)
 	var wg conc.WaitGroup
-	wg.Go(func() { v.keepPeers(ctx, b) })
-	v.dispatch(ctx, b)
+	wg.Go(func() { v.maintainPeers(ctx, cs) })
+	v.dispatch(ctx, cs)
 	cancel()
 	wg.Wait()
 }
 
-// takeMemory waits until the version fits into the memory budget. Less
-// important versions give way to it, complete ones last.
-func (v *version) takeMemory(n int64) bool {
-	v.waits.Store(true)
-	defer v.waits.Store(false)
+// reserveMemory waits until n bytes fit into the memory budget and reserves them. It
+// evicts versions of a lower priority, complete ones last. It returns false if the
+// version is released first.
+func (v *version) reserveMemory(n int64) bool {
+	v.waitsForMemory.Store(true)
+	defer v.waitsForMemory.Store(false)
 	for {
-		freed := v.m.memory.changes()
-		if !v.m.betterWaits(v) && v.m.memory.take(n) {
-			return v.keepMemory(n)
+		freed := v.m.memoryBudget.freedSignal()
+		if !v.m.higherWaits(v) && v.m.memoryBudget.reserve(n) {
+			return v.recordReservation(n)
 		}
 		v.setReason(fmt.Sprintf("memory limit: %d bytes do not fit", n))
-		if v.m.evictBelow(v, n) {
+		if v.m.evictLower(v, n) {
 			continue
 		}
 		select {
@@ -140,10 +141,11 @@
 	}
 }
 
-// keepMemory records the reservation. A release that came first returns it.
-func (v *version) keepMemory(n int64) bool {
+// recordReservation records the reserved bytes for release. If release was called
+// before that, it frees them and returns false.
+func (v *version) recordReservation(n int64) bool {
 	v.mu.Lock()
-	v.taken = n
+	v.reserved = n
 	v.mu.Unlock()
 	v.setReason("")
 	if v.ctx.Err() != nil {
@@ -163,27 +165,27 @@
 	}
 }
 
-func (v *version) gained(now time.Time) {
+func (v *version) recordNewChunk(now time.Time) {
 	v.mu.Lock()
-	v.lastGain = now
+	v.lastChunkAt = now
 	v.mu.Unlock()
 }
 
-// still returns the time since the last new chunk.
-func (v *version) still(now time.Time) time.Duration {
+// sinceNewChunk returns the time since the last new chunk.
+func (v *version) sinceNewChunk(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return now.Sub(v.lastGain)
+	return now.Sub(v.lastChunkAt)
 }
 
-// store keeps a verified chunk and announces it. It reports whether the chunk
-// was missing.
-func (v *version) store(b *body, i int, data []byte) bool {
-	b.chunks.Put(i, data)
-	if !b.table.Have(i) {
+// store stores a verified chunk and announces it to the watchers. It reports
+// whether the chunk was missing.
+func (v *version) store(cs *chunkState, i int, data []byte) bool {
+	cs.chunks.Put(i, data)
+	if !cs.table.Have(i) {
 		return false
 	}
-	v.gained(v.m.deps.Clock.Now())
+	v.recordNewChunk(v.m.deps.Clock.Now())
 	v.watchers.Range(func(_ uint64, w *watcher) bool {
 		w.pending = append(w.pending, i)
 		signal(w.wake)
@@ -196,28 +198,28 @@
 	v.mu.Lock()
 	p := port.Progress{Target: v.id, State: StateManifest, Reason: v.reason}
 	v.mu.Unlock()
-	b := v.body.Load()
-	if b == nil {
+	cs := v.chunkState.Load()
+	if cs == nil {
 		return p
 	}
 	p.State = StateFetching
-	p.Chunks, p.ChunksHave, p.BytesTotal = len(b.man.Chunks), b.table.Held(), b.size
+	p.Chunks, p.ChunksHave, p.BytesTotal = len(cs.man.Chunks), cs.table.Held(), cs.size
 	if v.complete.Load() {
 		p.State, p.Reason = StateComplete, ""
 	}
 	return p
 }
 
-// open returns a reader over all chunks of a complete version.
+// open returns a reader over all chunks of a complete version and their size.
 func (v *version) open() (io.Reader, int64, bool) {
-	b := v.body.Load()
-	if b == nil || !v.complete.Load() {
+	cs := v.chunkState.Load()
+	if cs == nil || !v.complete.Load() {
 		return nil, 0, false
 	}
-	rs := make([]io.Reader, 0, len(b.man.Chunks))
-	for i := range b.man.Chunks {
-		data, _ := b.chunks.Get(i)
-		rs = append(rs, bytes.NewReader(data))
+	readers := make([]io.Reader, 0, len(cs.man.Chunks))
+	for i := range cs.man.Chunks {
+		data, _ := cs.chunks.Get(i)
+		readers = append(readers, bytes.NewReader(data))
 	}
-	return io.MultiReader(rs...), b.size, true
+	return io.MultiReader(readers...), cs.size, true
 }
