--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -26,7 +26,7 @@
 type Deps struct {
 	Store   port.Store
 	Feed    port.FeedClient
-	Facts   port.FactReader
+	Facts   port.ItemDecoder
 	Targets port.Forwarder
 	Clock   feed.Clock
 	Rand    port.Rand
@@ -40,7 +40,7 @@
 	deps     Deps
 	targets  *placement.Table
 	view     *view
-	budgets  *placement.Budgets
+	budgets  *placement.RetryBudgets
 	// confirmedAt is the time since boot, in nanoseconds, at which the store last
 	// confirmed that the view of the operator keys is current; zero if it never did.
 	confirmedAt atomic.Int64
@@ -66,7 +66,7 @@
 	g := &Gateway{
 		settings: s, deps: d, targets: t,
 		view:    newView(s, d, t),
-		budgets: placement.NewBudgets(s.RetryRatio, s.RetrySlack, s.RetryWindow, d.Clock.Now()),
+		budgets: placement.NewRetryBudgets(s.RetryRatio, s.RetrySlack, s.RetryWindow, d.Clock.Now()),
 		active:  inflight.New(),
 	}
 	ps := d.Facts.Prefixes()
@@ -122,14 +122,14 @@
 	return true, ""
 }
 
-// Bounds returns the configured limits for callers, or none before a configuration is
+// RequestLimits returns the configured limits for callers, or none before a configuration is
 // known. It implements port.InboundHandler.
-func (g *Gateway) Bounds() port.CallerBounds {
+func (g *Gateway) RequestLimits() port.CallerLimits {
 	t := g.view.routeTable.Load()
 	if t == nil {
-		return port.CallerBounds{}
+		return port.CallerLimits{}
 	}
-	return port.CallerBounds{HeaderBytes: t.Limits.HeaderBytes, BodyBytes: t.Limits.BodyBytes, Idle: t.Limits.Idle}
+	return port.CallerLimits{HeaderBytes: t.Limits.HeaderBytes, BodyBytes: t.Limits.BodyBytes, Idle: t.Limits.IdleTimeout}
 }
 
 // Closing reports whether to close each connection after its response.
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -16,8 +16,8 @@
 // call is the state of one caller's request.
 type call struct {
 	g     *Gateway
-	in    *port.Inbound
-	out   port.Outbound
+	in    *port.InboundRequest
+	out   port.ResponseWriter
 	route *routes.Route
 	// account is nil if the request needed no API key.
 	account    *routes.Account
@@ -38,7 +38,7 @@
 }
 
 // Serve answers a caller's request. It implements port.InboundHandler.
-func (g *Gateway) Serve(ctx context.Context, in *port.Inbound, out port.Outbound) {
+func (g *Gateway) Serve(ctx context.Context, in *port.InboundRequest, out port.ResponseWriter) {
 	g.active.Start()
 	defer g.active.Done()
 	c := &call{g: g, in: in, out: out, tried: map[fleet.Instance]bool{}}
@@ -69,7 +69,7 @@
 	case c.routeTable == nil:
 		return verdict.New(verdict.NotRun, verdict.CodeNoConfiguration, "no configuration is known").WithRetryAfter(localRetryAfter)
 	}
-	r, ok := c.routeTable.Match(c.in.Host, c.in.Path)
+	r, ok := c.routeTable.MatchRoute(c.in.Host, c.in.Path)
 	if !ok {
 		return verdict.New(verdict.NotRun, verdict.CodeUnknownService, "no route for this host and path")
 	}
@@ -77,35 +77,35 @@
 	if e := c.authenticate(); e != nil {
 		return e
 	}
-	name, ok := r.Pick(requestHash(c.in.ID))
+	name, ok := r.PickService(requestHash(c.in.ID))
 	if ok {
 		c.service, ok = c.routeTable.Service(name)
 	}
 	if !ok {
 		return verdict.New(verdict.NotRun, verdict.CodeNoTarget, "route has no service").WithRetryAfter(time.Second)
 	}
-	timeout := c.in.Patience
+	timeout := c.in.CallerTimeout
 	if timeout == 0 {
 		timeout = defaultTimeout
 	}
 	if r.Timeout > 0 {
 		timeout = min(timeout, r.Timeout)
 	}
-	c.deadline = c.in.Received.Add(timeout)
+	c.deadline = c.in.ReceivedAt.Add(timeout)
 	return nil
 }
 
 // authenticate finds the account of the request's API key. It refuses the request if the
 // view was not confirmed for too long, since the key may have been removed.
 func (c *call) authenticate() *verdict.Error {
-	if !c.routeTable.Keyed() || c.route.Anonymous {
+	if !c.routeTable.RequiresKey() || c.route.Anonymous {
 		return nil
 	}
 	if age := c.g.viewAge(); c.g.confirmedAt.Load() == 0 || age > c.g.settings.KeyBound-keyBoundMargin {
 		return verdict.New(verdict.NotRun, verdict.CodeStaleConfiguration, "API keys were last confirmed %v ago", age.Round(time.Millisecond)).
 			WithRetryAfter(localRetryAfter)
 	}
-	a, ok := c.routeTable.Account(c.in.Key)
+	a, ok := c.routeTable.Account(c.in.APIKey)
 	if !ok {
 		return verdict.New(verdict.NotRun, verdict.CodeUnknownCustomer, "API key is not known")
 	}
@@ -176,19 +176,19 @@
 func (c *call) placementQuery(now time.Time) placement.Query {
 	d := c.g.view.declarations.Load()
 	q := placement.Query{
-		Service: c.service.Name, Own: c.g.settings.Domain,
-		Cordoned: func(x fleet.Domain) bool { return d.cordons[x] },
-		Allowed:  c.regionFilter(), Tried: c.tried,
-		Processes: c.g.view.processes(), ColdPerSecond: c.service.ColdPerSecond,
+		Service: c.service.Name, OwnDomain: c.g.settings.Domain,
+		DomainCordoned: func(x fleet.Domain) bool { return d.cordons[x] },
+		RegionAllowed:  c.regionFilter(), Tried: c.tried,
+		Processes: c.g.view.processes(), ColdRequestsPerSecond: c.service.ColdRequestsPerSecond,
 	}
 	if e := c.service.Engine; e != nil {
-		q.Beyond = engineQueueLimit
-		q.Read, q.Write = e.Pace.ReadTime(c.in.Work.PromptTokens), e.Pace.WriteTime()
+		q.MaxQueuedPerTarget = engineQueueLimit
+		q.Prefill, q.Decode = e.Timing.PrefillTime(c.in.WorkEstimate.PromptTokens), e.Timing.DecodeTime()
 		q.NeedsWeights = true
-		q.MinWeights = d.minWeightsVersion(c.in.Work.Model, c.g.settings.WeightsBound-weightsMargin, now)
-		q.Fading = d.minWeightsVersion(c.in.Work.Model, c.g.settings.WeightsBound-queuedWeightsMargin, now)
+		q.MinWeightsVersion = d.minWeightsVersion(c.in.WorkEstimate.Model, c.g.settings.WeightsBound-weightsMargin, now)
+		q.MinQueueWeightsVersion = d.minWeightsVersion(c.in.WorkEstimate.Model, c.g.settings.WeightsBound-queuedWeightsMargin, now)
 	} else {
-		q.Beyond = serviceQueueLimit
+		q.MaxQueuedPerTarget = serviceQueueLimit
 	}
 	return q
 }
@@ -220,7 +220,7 @@
 	now := g.deps.Clock.Now()
 	fs := []logging.Field{
 		logging.F("request", string(c.in.ID)), logging.F("outcome", outcome),
-		logging.Millis("took_ms", now.Sub(c.in.Received)),
+		logging.Millis("took_ms", now.Sub(c.in.ReceivedAt)),
 		logging.F("sends", c.sends), logging.F("runs", c.runs),
 		logging.Millis("picture_age_ms", g.viewAge()),
 	}
@@ -234,12 +234,12 @@
 	}
 	if c.lastChoice.Instance != "" {
 		fs = append(fs, logging.F("target", string(c.lastChoice.Instance)), logging.F("target_domain", string(c.lastChoice.Domain)),
-			logging.F("target_load", c.lastChoice.Estimate), logging.Millis("predicted_first_ms", c.lastChoice.First), logging.Millis("load_age_ms", c.lastChoice.LoadAge))
+			logging.F("target_load", c.lastChoice.EstimatedInFlight), logging.Millis("predicted_first_ms", c.lastChoice.TimeToFirstEvent), logging.Millis("load_age_ms", c.lastChoice.LoadAge))
 	}
 	if n := c.relay.events.EventCount(); n > 0 {
 		fs = append(fs, logging.F("events", n), logging.Millis("first_ms", c.relay.firstEventAfter),
-			logging.Millis("longest_gap_ms", c.relay.longestGap), logging.Millis("objective_ms", c.route.Objective),
-			logging.F("prompt_tokens", c.in.Work.PromptTokens), logging.F("expected_tokens", c.in.Work.ExpectedTokens))
+			logging.Millis("longest_gap_ms", c.relay.longestGap), logging.Millis("objective_ms", c.route.LatencyObjective),
+			logging.F("prompt_tokens", c.in.WorkEstimate.PromptTokens), logging.F("expected_tokens", c.in.WorkEstimate.ExpectedTokens))
 	}
 	if status != 0 {
 		fs = append(fs, logging.F("status", status))
@@ -252,5 +252,5 @@
 		g.deps.Log.Served("request", fs...)
 	}
 	g.deps.Metrics.Count("gateway_requests_total", 1, port.Attr{Key: "class", Value: class}, port.Attr{Key: "outcome", Value: outcome})
-	g.deps.Metrics.Seconds("gateway_request_seconds", now.Sub(c.in.Received), port.Attr{Key: "class", Value: class})
+	g.deps.Metrics.Seconds("gateway_request_seconds", now.Sub(c.in.ReceivedAt), port.Attr{Key: "class", Value: class})
 }
--- a/internal/app/weights/manager_test.go
+++ b/internal/app/weights/manager_test.go
@@ -69,8 +69,8 @@
 	t.Fatalf("%s: not %s: %+v", a.VM, what, a.Manager.Progress())
 }
 
-func targetOf(v origin.Version) port.WeightsTarget {
-	return port.WeightsTarget{Model: v.Model, Version: v.Manifest().Version()}
+func targetOf(v origin.Version) port.WantedVersion {
+	return port.WantedVersion{Model: v.Model, Version: v.Manifest().Version()}
 }
 
 // TestVersionChangesMidway guards against a released version that keeps its memory,
@@ -105,9 +105,9 @@
 		Memory: int64(smallVersion.Bytes) + 100,
 	})
 	m := c.Agents[0].Manager
-	m.Want([]port.WeightsTarget{c.Target})
+	m.Want([]port.WantedVersion{c.Target})
 	waitProgress(t, c.Agents[0], "fetching", func(p port.Progress) bool { return p.ChunksHave > 2 })
-	m.Want([]port.WeightsTarget{targetOf(next), c.Target})
+	m.Want([]port.WantedVersion{targetOf(next), c.Target})
 	waitProgress(t, c.Agents[0], "limited", func(p port.Progress) bool {
 		_, _, ok := m.Open(targetOf(next).Version)
 		return ok && p.Target == c.Target.Version && strings.HasPrefix(p.Reason, "memory limit")
@@ -177,20 +177,20 @@
 // the receiver, use three quarters of the link, the transfer gets the rest.
 func TestLiveTrafficHasPriority(t *testing.T) {
 	t.Run("responses", func(t *testing.T) {
-		testLiveTraffic(t, func(c *cluster.Cluster, n int) { c.Agents[0].Manager.ChargeLive(0, n) })
+		testLiveTraffic(t, func(c *cluster.Cluster, n int) { c.Agents[0].Manager.ChargeLiveTraffic(0, n) })
 	})
 	t.Run("bodies", func(t *testing.T) {
-		testLiveTraffic(t, func(c *cluster.Cluster, n int) { c.Agents[1].Manager.ChargeLive(n, 0) })
+		testLiveTraffic(t, func(c *cluster.Cluster, n int) { c.Agents[1].Manager.ChargeLiveTraffic(n, 0) })
 	})
 }
 
 func testLiveTraffic(t *testing.T, charge func(c *cluster.Cluster, n int)) {
 	const rate = 2 << 20
 	c := startCluster(t, cluster.Config{Machines: 2, Regions: 1, Version: smallVersion, MachineRate: rate})
-	c.Agents[0].Manager.Want([]port.WeightsTarget{c.Target})
+	c.Agents[0].Manager.Want([]port.WantedVersion{c.Target})
 	waitProgress(t, c.Agents[0], "complete", func(p port.Progress) bool { return p.ChunksHave == p.Chunks && p.Chunks > 0 })
 	begin := time.Now()
-	c.Agents[1].Manager.Want([]port.WeightsTarget{c.Target})
+	c.Agents[1].Manager.Want([]port.WantedVersion{c.Target})
 	for {
 		if _, _, ok := c.Agents[1].Manager.Open(c.Target.Version); ok {
 			break
--- a/internal/app/weights/memory.go
+++ b/internal/app/weights/memory.go
@@ -57,7 +57,7 @@
 // than v.
 func (m *Manager) splitByPriority(v *version) (higher, lower []*version) {
 	wanted := m.targets()
-	at := slices.IndexFunc(wanted, func(t port.WeightsTarget) bool { return t.Version == v.id })
+	at := slices.IndexFunc(wanted, func(t port.WantedVersion) bool { return t.Version == v.id })
 	for i, t := range wanted {
 		o, ok := m.versions.Get(t.Version)
 		switch {
--- a/internal/app/weights/version.go
+++ b/internal/app/weights/version.go
@@ -70,7 +70,7 @@
 	reserved    int64 // bytes reserved in the memory budget
 }
 
-func newVersion(ctx context.Context, m *Manager, t port.WeightsTarget) *version {
+func newVersion(ctx context.Context, m *Manager, t port.WantedVersion) *version {
 	v := &version{
 		m:            m,
 		id:           t.Version,
