--- a/internal/app/agent/serve.go
+++ b/internal/app/agent/serve.go
@@ -99,7 +99,7 @@
 
 func (s *serving) generate(ctx context.Context, v view) (err error) {
 	// A refused request has used the link as well.
-	s.a.d.Weights.ChargeLive(len(s.r.Body), 0)
+	s.a.d.Weights.ChargeLiveTraffic(len(s.r.Body), 0)
 	if err := s.admit(ctx); err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 		Body:     s.r.Body,
 		Priority: int(s.r.Class),
 		Resume:   s.r.Resume,
-		Expect:   s.permit.Expect(),
+		Expect:   s.permit.ExpectedIdentity(),
 	}
 	var broke error
 	for n := 0; ; n++ {
@@ -129,7 +129,7 @@
 		if err == nil {
 			return nil
 		}
-		var changed *port.EngineChanged
+		var changed *port.EngineChangedError
 		if n > 0 && errors.As(err, &changed) {
 			return broke
 		}
@@ -165,7 +165,7 @@
 		return false
 	}
 	s.a.observeEngine(observation(st, asked))
-	return s.permit.Current()
+	return s.permit.IsCurrent()
 }
 
 // stream passes one stream of the engine on, from the frame that r.Resume
@@ -239,7 +239,7 @@
 
 func (s *serving) data(ctx context.Context, b []byte) error {
 	s.firstByte()
-	s.a.d.Weights.ChargeLive(0, len(b))
+	s.a.d.Weights.ChargeLiveTraffic(0, len(b))
 	for len(b) > 0 {
 		n := min(frameBytes, len(b))
 		if err := gone(ctx, s.sink.Data(b[:n])); err != nil {
@@ -269,7 +269,7 @@
 	s.first = true
 	now := s.a.d.Clock.Now()
 	s.a.d.Metrics.Seconds("agent_first_byte_seconds", now.Sub(s.start), s.attrs()...)
-	if !s.sent.IsZero() && s.permit.FirstToken(now.Sub(s.sent), now) {
+	if !s.sent.IsZero() && s.permit.RecordFirstToken(now.Sub(s.sent), now) {
 		s.a.d.Metrics.Count("agent_cold_restarts", 1)
 	}
 }
