--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -92,7 +92,7 @@
 		id:       id,
 		d:        d,
 		target:   string(id.VM),
-		adm:      admission.New(),
+		adm:      admission.NewTable(),
 		roll:     rollout.NewTable(),
 		views:    shard.New[string, view](1),
 		watchers: shard.New[uint64, chan struct{}](0),
@@ -157,7 +157,7 @@
 	<-a.d.Clock.After(min(drainNotice, timeout))
 	for !a.serving.Idle() {
 		select {
-		case <-a.serving.Left():
+		case <-a.serving.IdleSignal():
 		case <-end:
 			return a.serving.Idle()
 		}
--- a/internal/app/agent/confirm.go
+++ b/internal/app/agent/confirm.go
@@ -32,17 +32,17 @@
 }
 
 func observation(st port.EngineStatus, asked time.Time) admission.Observation {
-	return admission.Observation{EngineIdentity: st.EngineIdentity, Checks: st.ChecksIdentity, Asked: asked}
+	return admission.Observation{EngineIdentity: st.EngineIdentity, ChecksIdentity: st.ChecksIdentity, AskedAt: asked}
 }
 
 // refused learns from an engine that is not the one the request expected.
 func (a *Agent) refused(err error, p *admission.Permit, asked time.Time) {
-	var c *port.EngineChanged
+	var c *port.EngineChangedError
 	switch {
 	case !errors.As(err, &c):
-	case c.Now != fleet.EngineIdentity{} && c.Now != p.Expect():
-		a.observeEngine(admission.Observation{EngineIdentity: c.Now, Checks: true, Asked: asked})
-	case p.Changed(a.d.Clock.Now()):
+	case c.Now != fleet.EngineIdentity{} && c.Now != p.ExpectedIdentity():
+		a.observeEngine(admission.Observation{EngineIdentity: c.Now, ChecksIdentity: true, AskedAt: asked})
+	case p.RecordEngineChange(a.d.Clock.Now()):
 		a.becameCold()
 	}
 }
--- a/internal/app/agent/controller.go
+++ b/internal/app/agent/controller.go
@@ -248,7 +248,7 @@
 func (c *controller) busy() []rollout.Event {
 	var es []rollout.Event
 	for _, v := range c.loaded {
-		es = append(es, rollout.Busy(v, c.a.adm.Pinned(c.a.target, v)))
+		es = append(es, rollout.Busy(v, c.a.adm.PinnedRequests(c.a.target, v)))
 	}
 	return es
 }
@@ -259,9 +259,9 @@
 		return
 	}
 	c.want = p.Want
-	var ts []port.WeightsTarget
+	var ts []port.WantedVersion
 	for _, r := range p.Want {
-		ts = append(ts, port.WeightsTarget{Model: r.Model, Version: r.Version})
+		ts = append(ts, port.WantedVersion{Model: r.Model, Version: r.Version})
 	}
 	c.a.d.Weights.Want(ts)
 }
--- a/internal/app/agent/harness_test.go
+++ b/internal/app/agent/harness_test.go
@@ -61,7 +61,7 @@
 func (d *fakeDirectory) Declaration() (*declare.Declaration, time.Duration) { return d.get().d, 0 }
 func (d *fakeDirectory) Members(fleet.Kind) []port.MemberRecord             { return nil }
 func (d *fakeDirectory) Subscribe() (<-chan struct{}, func())               { return d.changed, func() {} }
-func (d *fakeDirectory) SetSelf(change func(*port.MemberRecord)) {
+func (d *fakeDirectory) UpdateSelf(change func(*port.MemberRecord)) {
 	d.update(func(s *dirState) { change(&s.self); s.writes++ })
 }
 
@@ -90,7 +90,7 @@
 		Models:   map[fleet.Model]declare.Model{"m": {Versions: map[string]fleet.Version{"now": v}}},
 		Rules:    []declare.Rule{{Name: "r", Version: "now"}},
 		Services: map[fleet.Service]declare.Service{"s": {VMs: svc, Limits: bedLimits, Calls: map[string]declare.Call{
-			"read": {}, "log": {Once: true},
+			"read": {}, "log": {AtMostOnce: true},
 		}}},
 	}
 }
--- a/internal/app/agent/serve.go
+++ b/internal/app/agent/serve.go
@@ -31,8 +31,8 @@
 
 // Serve implements port.AgentHandler.
 func (a *Agent) Serve(ctx context.Context, r port.ServeRequest, sink port.AnswerSink) error {
-	a.serving.Enter()
-	defer a.serving.Leave()
+	a.serving.Start()
+	defer a.serving.Done()
 	if r.Timeout <= 0 || r.Timeout > longestRequest {
 		r.Timeout = longestRequest
 	}
@@ -87,7 +87,7 @@
 	switch {
 	case err == nil && !s.replayed:
 		o = admission.Succeeded
-	case s.replayed || verdict.Of(err).Verdict == verdict.NotRun:
+	case s.replayed || verdict.FromError(err).Verdict == verdict.NotRun:
 		o = admission.Unused
 	}
 	s.permit.Release(o, s.a.d.Clock.Now())
@@ -99,7 +99,7 @@
 
 func (s *serving) generate(ctx context.Context, v view) (err error) {
 	// A refused request has used the link as well.
-	s.a.d.Weights.ChargeLive(len(s.r.Body), 0)
+	s.a.d.Weights.ChargeLiveTraffic(len(s.r.Body), 0)
 	if err := s.admit(ctx); err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 		Body:     s.r.Body,
 		Priority: int(s.r.Class),
 		Resume:   s.r.Resume,
-		Expect:   s.permit.Expect(),
+		Expect:   s.permit.ExpectedIdentity(),
 	}
 	var broke error
 	for n := 0; ; n++ {
@@ -129,13 +129,13 @@
 		if err == nil {
 			return nil
 		}
-		var changed *port.EngineChanged
+		var changed *port.EngineChangedError
 		if n > 0 && errors.As(err, &changed) {
 			return broke
 		}
-		if n > 0 && verdict.Of(err).Verdict == verdict.NotRun {
+		if n > 0 && verdict.FromError(err).Verdict == verdict.NotRun {
 			// An engine that refuses to resume has already run a part.
-			err = verdict.Of(err).WithVerdict(verdict.MayHaveRun)
+			err = verdict.FromError(err).WithVerdict(verdict.MayHaveRun)
 		}
 		if n == maxResumes || !s.resumable(ctx, err) {
 			return err
@@ -151,7 +151,7 @@
 // at an engine that has restarted meanwhile: all requests of the warm engine
 // would start at a cold one at once.
 func (s *serving) resumable(ctx context.Context, err error) bool {
-	if !s.headed || verdict.Of(err).Code != verdict.CodeTargetError {
+	if !s.headed || verdict.FromError(err).Code != verdict.CodeTargetError {
 		return false
 	}
 	select {
@@ -165,7 +165,7 @@
 		return false
 	}
 	s.a.observeEngine(observation(st, asked))
-	return s.permit.Current()
+	return s.permit.IsCurrent()
 }
 
 // stream passes one stream of the engine on, from the frame that r.Resume
@@ -192,7 +192,7 @@
 	if err == nil {
 		return false
 	}
-	v := verdict.Of(err)
+	v := verdict.FromError(err)
 	return v.Verdict == verdict.MayHaveRun && v.Code != verdict.CodeTargetError
 }
 
@@ -239,7 +239,7 @@
 
 func (s *serving) data(ctx context.Context, b []byte) error {
 	s.firstByte()
-	s.a.d.Weights.ChargeLive(0, len(b))
+	s.a.d.Weights.ChargeLiveTraffic(0, len(b))
 	for len(b) > 0 {
 		n := min(frameBytes, len(b))
 		if err := gone(ctx, s.sink.Data(b[:n])); err != nil {
@@ -269,7 +269,7 @@
 	s.first = true
 	now := s.a.d.Clock.Now()
 	s.a.d.Metrics.Seconds("agent_first_byte_seconds", now.Sub(s.start), s.attrs()...)
-	if !s.sent.IsZero() && s.permit.FirstToken(now.Sub(s.sent), now) {
+	if !s.sent.IsZero() && s.permit.RecordFirstToken(now.Sub(s.sent), now) {
 		s.a.d.Metrics.Count("agent_cold_restarts", 1)
 	}
 }
@@ -285,7 +285,7 @@
 		m.Count("agent_verdicts", 1, port.Attr{Key: "verdict", Value: verdict.Ran.String()})
 		return
 	}
-	e := verdict.Of(err)
+	e := verdict.FromError(err)
 	m.Count("agent_verdicts", 1, port.Attr{Key: "verdict", Value: e.Verdict.String()})
 	if !s.headed && e.Verdict == verdict.NotRun {
 		m.Count("agent_refusals", 1, port.Attr{Key: "code", Value: string(e.Code)})
--- a/internal/app/agent/service.go
+++ b/internal/app/agent/service.go
@@ -23,14 +23,14 @@
 	switch {
 	case !ok:
 		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, "service %q has no call %q", s.r.Service, s.r.Call)
-	case call.Once && s.r.IdempotencyKey == "":
+	case call.AtMostOnce && s.r.IdempotencyKey == "":
 		return verdict.New(verdict.NotRun, verdict.CodeKeyRequired, "call %q needs an idempotency key", s.r.Call)
 	}
 	if err := s.admit(ctx); err != nil {
 		return err
 	}
 	var err error
-	if call.Once {
+	if call.AtMostOnce {
 		err = s.callOnce(ctx)
 	} else {
 		err = s.callRepeatable(ctx)
@@ -58,9 +58,9 @@
 // lost takes a connection lost before or within the answer as a sign that the
 // service restarted, since a plain service reports no boot identity.
 func (s *serving) lost(err error) {
-	switch verdict.Of(err).Code {
+	switch verdict.FromError(err).Code {
 	case verdict.CodeTargetLost:
-		s.a.adm.Cool(s.a.target, s.a.d.Clock.Now())
+		s.a.adm.ResetToCold(s.a.target, s.a.d.Clock.Now())
 		signal(s.a.probes)
 	case verdict.CodeTargetError:
 		signal(s.a.probes)
@@ -95,7 +95,7 @@
 }
 
 // contentOf returns the digest of what a call asks for.
-func contentOf(r port.ServeRequest) (c port.CallContent) {
+func contentOf(r port.ServeRequest) (c port.ContentDigest) {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(r.Call), []byte(r.ContentType), r.Body} {
 		_ = binary.Write(h, binary.BigEndian, uint64(len(part)))
@@ -118,7 +118,7 @@
 // runOnce runs the call and settles the ticket exactly once. A caller that
 // goes away does not end the call, only its deadline does: a call that was cut
 // could no longer be told from one that ran.
-func (s *serving) runOnce(ctx context.Context, t port.LedgerTicket) error {
+func (s *serving) runOnce(ctx context.Context, t port.LedgerClaim) error {
 	settled := false
 	defer func() {
 		if !settled {
@@ -156,14 +156,14 @@
 		t.Done(nil)
 	}
 	if sendErr != nil {
-		return verdict.Of(sendErr).WithVerdict(verdict.Ran)
+		return verdict.FromError(sendErr).WithVerdict(verdict.Ran)
 	}
 	return nil
 }
 
 // settle records a call that failed.
-func settle(t port.LedgerTicket, err error) error {
-	switch verdict.Of(err).Verdict {
+func settle(t port.LedgerClaim, err error) error {
+	switch verdict.FromError(err).Verdict {
 	case verdict.NotRun:
 		t.NotRun()
 	case verdict.Ran:
--- a/internal/app/directory/record.go
+++ b/internal/app/directory/record.go
@@ -77,7 +77,7 @@
 
 // fromMessage adds the revision.
 func (d *Directory) fromMessage(m membership.Message[port.MemberRecord]) port.ExchangeMessage {
-	h, age := d.rev.Held(d.deps.Clock.Now())
+	h, age := d.rev.Snapshot(d.deps.Clock.Now())
 	out := port.ExchangeMessage{
 		From: m.From, Age: age, Digest: m.Digest, Compare: m.Compare, Group: uint32(m.Group), Digests: m.Digests, Want: m.Want,
 	}
@@ -114,10 +114,10 @@
 	published time.Time
 }
 
-// SetSelf implements port.Directory. A change other than of load and progress
+// UpdateSelf implements port.Directory. A change other than of load and progress
 // is published at once; a change of state is announced at once as well. change
 // runs under a lock and must not call the Directory.
-func (d *Directory) SetSelf(change func(*port.MemberRecord)) {
+func (d *Directory) UpdateSelf(change func(*port.MemberRecord)) {
 	now := d.deps.Clock.Now()
 	d.own.mu.Lock()
 	old := d.own.rec
--- a/internal/app/entry/resume.go
+++ b/internal/app/entry/resume.go
@@ -63,12 +63,12 @@
 // mayResume reports whether another target may continue after err. Resumes
 // have the bounds of retries.
 func (a *resumable) mayResume(err error) bool {
-	switch verdict.Of(err).Code {
+	switch verdict.FromError(err).Code {
 	case verdict.CodeTargetLost, verdict.CodeTargetError:
 	default:
 		return false
 	}
-	return !a.split && a.ctx.Err() == nil && a.resumes < routing.MaxRetries && a.e.budget.Spend(a.p.pool)
+	return !a.split && a.ctx.Err() == nil && a.resumes < routing.MaxRetries && a.e.budget.TryWithdraw(a.p.pool)
 }
 
 // resume replaces the answer of the lost target by the rest of it from another
--- a/internal/app/entry/serve_test.go
+++ b/internal/app/entry/serve_test.go
@@ -99,7 +99,7 @@
 			w := newWorld(t, "status", 3)
 			w.change(func(_ int, a *fakeAgent) { a.serve = failing(c.fail, verdict.CodeTargetError) })
 			_, err := w.ask(c.r)
-			if v := verdict.Of(err).Verdict; v != c.fail {
+			if v := verdict.FromError(err).Verdict; v != c.fail {
 				t.Errorf("verdict %v, want %v: %v", v, c.fail, err)
 			}
 			if w.calls() != c.calls {
@@ -141,7 +141,7 @@
 				return verdict.New(v, verdict.CodeTargetError, "as told")
 			}
 		})
-		if _, err := w.ask(call("read")); verdict.Of(err).Verdict != verdict.MayHaveRun {
+		if _, err := w.ask(call("read")); verdict.FromError(err).Verdict != verdict.MayHaveRun {
 			t.Errorf("error %v, want may-have-run", err)
 		}
 	})
@@ -180,8 +180,8 @@
 // on waiting after the declaration or the members have changed.
 func TestChangesWakeWaiters(t *testing.T) {
 	w := newWorld(t, "model", 0)
-	waiter := w.entry.table.Wait(routing.Pool{Group: "summaries"}, fleet.ClassSummary)
-	defer w.entry.table.Stop(waiter)
+	waiter := w.entry.table.AddWaiter(routing.Pool{Group: "summaries"}, fleet.ClassSummary)
+	defer w.entry.table.RemoveWaiter(waiter)
 	changes := map[string]func(){
 		"declaration": func() { w.dir.Declare(declaration(), 0) },
 		"members":     func() { w.dir.SetMembers(port.MemberRecord{ID: "e2", Kind: fleet.KindEntry}) },
@@ -210,8 +210,8 @@
 		return len(s) == 1 && s[0].Version == former
 	})
 	pool := routing.Pool{Group: "summaries"}
-	behind := w.entry.table.Wait(pool, fleet.ClassDraft)
-	defer w.entry.table.Stop(behind)
+	behind := w.entry.table.AddWaiter(pool, fleet.ClassDraft)
+	defer w.entry.table.RemoveWaiter(behind)
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg conc.WaitGroup
 	r, p := generate(), &plan{pool: pool, version: "v-other"}
@@ -244,7 +244,7 @@
 		}
 	})
 	got, err := w.ask(generate())
-	if got != "half" || verdict.Of(err).Code != verdict.CodeTargetLost || w.calls() != 1 {
+	if got != "half" || verdict.FromError(err).Code != verdict.CodeTargetLost || w.calls() != 1 {
 		t.Fatalf("answer %q, error %v, %d calls", got, err, w.calls())
 	}
 }
@@ -292,7 +292,7 @@
 			return serve(ctx, r, sink)
 		}
 	})
-	if got, err := w.ask(r); got != "one\n" || verdict.Of(err).Code != verdict.CodeTargetLost {
+	if got, err := w.ask(r); got != "one\n" || verdict.FromError(err).Code != verdict.CodeTargetLost {
 		t.Errorf("answer %q, error %v from two versions", got, err)
 	}
 	for _, s := range w.entry.table.Snapshot(time.Now()) {
--- a/internal/app/feed/feed_test.go
+++ b/internal/app/feed/feed_test.go
@@ -42,12 +42,12 @@
 	calls atomic.Int64
 }
 
-func (c *countingStore) List(ctx context.Context, prefix string) ([]port.Item, int64, error) {
+func (c *countingStore) List(ctx context.Context, prefix string) ([]port.StoreItem, int64, error) {
 	c.calls.Add(1)
 	return c.Store.List(ctx, prefix)
 }
 
-func (c *countingStore) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]port.Change, int64, error) {
+func (c *countingStore) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]port.StoreChange, int64, error) {
 	c.calls.Add(1)
 	return c.Store.Changes(ctx, prefix, after, wait)
 }
--- a/internal/app/follow/follow.go
+++ b/internal/app/follow/follow.go
@@ -31,7 +31,7 @@
 // that exist, and all other items are gone.
 type Event struct {
 	Reset   bool
-	Changes []port.Change
+	Changes []port.StoreChange
 	// At is the revision of the listing if Reset is set.
 	At int64
 }
@@ -85,7 +85,7 @@
 		f.markRegained(revision)
 		e := Event{Reset: true, At: revision}
 		for _, it := range items {
-			e.Changes = append(e.Changes, port.Change{Item: it})
+			e.Changes = append(e.Changes, port.StoreChange{StoreItem: it})
 		}
 		apply(e)
 		f.watch(ctx, revision, apply)
@@ -132,7 +132,7 @@
 
 // changes makes one call for the changes after a revision. Relist ends it early
 // with errRelist.
-func (f *Follower) changes(ctx context.Context, revision int64) (changes []port.Change, next int64, err error) {
+func (f *Follower) changes(ctx context.Context, revision int64) (changes []port.StoreChange, next int64, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg conc.WaitGroup
 	defer wg.Wait()
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -6,48 +6,56 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// Query describes the target that a request needs.
+// Query holds the requirements of a request on its target.
 type Query struct {
 	Service fleet.Service
-	Own     fleet.Domain
-	// Cordoned says which failure domains take no new work.
-	Cordoned func(fleet.Domain) bool
-	// Allowed says which regions may serve the request; nil allows all.
-	Allowed func(fleet.Region) bool
-	// MinWeights is the oldest number of weights that may serve the request.
-	MinWeights int64
-	// NeedsWeights leaves out engines that hold none.
+	// OwnDomain is the failure domain of this process; targets in it are preferred.
+	OwnDomain fleet.Domain
+	// DomainCordoned reports whether a failure domain takes no new requests; nil
+	// means that none is cordoned.
+	DomainCordoned func(fleet.Domain) bool
+	// RegionAllowed reports whether a region may serve the request; nil allows all.
+	RegionAllowed func(fleet.Region) bool
+	// MinWeightsVersion is the oldest version of the weights that may serve the
+	// request.
+	MinWeightsVersion int64
+	// NeedsWeights excludes engines that hold no weights.
 	NeedsWeights bool
-	// Tried holds the targets that the request already went to.
+	// Tried holds the targets that the request was already sent to.
 	Tried map[fleet.Instance]bool
 	// Processes is the number of processes that send to the same targets.
 	Processes float64
-	// Beyond is the number of requests that may wait at a target beyond its
-	// places. None may at one with weights older than Fading, which have to be out
-	// of use soon.
-	Beyond int
-	Fading int64
-	// Read is the time in which an engine reads the request's prompt, and Write
-	// that in which a pass writes. Both are zero for plain services.
-	Read, Write time.Duration
-	// ColdPerSecond bounds the requests of all processes to a cold target.
-	ColdPerSecond float64
+	// MaxQueuedPerTarget is the number of requests that may wait at a target in
+	// addition to those in its slots.
+	MaxQueuedPerTarget int
+	// MinQueueWeightsVersion is the oldest version of the weights with which a
+	// request may wait at a target. Older weights may become too old to serve the
+	// request while it waits.
+	MinQueueWeightsVersion int64
+	// Prefill is the time that an engine needs for the prefill of the
+	// request's prompt, and Decode the time that one iteration spends on
+	// decoding. Both are zero for plain services.
+	Prefill, Decode time.Duration
+	// ColdRequestsPerSecond bounds the request rate of all processes together to a
+	// cold target; zero means no bound.
+	ColdRequestsPerSecond float64
 }
 
-// Choice is a target for a request.
+// Choice is the target selected for a request.
 type Choice struct {
 	Instance fleet.Instance
 	Address  fleet.Address
 	Domain   fleet.Domain
-	// Estimate is the number of requests that the target probably held.
-	Estimate float64
-	// First is the time after which an engine probably sends the first event.
-	First time.Duration
-	// LoadAge is the age of the report behind the estimate; negative without one.
+	// EstimatedInFlight is the estimated number of requests in the target before
+	// this one.
+	EstimatedInFlight float64
+	// TimeToFirstEvent is the predicted time to the first event of the response.
+	TimeToFirstEvent time.Duration
+	// LoadAge is the age of the last load report, or negative if there is none.
 	LoadAge time.Duration
 }
 
-// Outcome says why Choose returned no target.
+// Outcome tells whether Choose found a target and, if not, why.
 type Outcome uint8
 
 // The outcomes of Choose.
@@ -56,7 +64,7 @@
 	Chosen Outcome = iota
 	// NoTarget means that no target takes requests of this kind.
 	NoTarget
-	// AllFull means that all targets hold as much as they may.
+	// AllFull means that suitable targets exist but none has capacity now.
 	AllFull
 )
 
@@ -66,88 +74,90 @@
 }
 
 const (
-	// requestCost is the time by which each request at an engine makes a new one
-	// less welcome. It decides between engines that read nothing; a request holds
-	// a place for about 1.3 s.
-	requestCost = 4 * time.Millisecond
-	// otherDomainCost is the same for a target of another failure domain, for the
-	// longer way and the shared links between domains.
-	otherDomainCost = 6 * time.Millisecond
-	// staleAfter is the age from which a missing report makes an engine less
-	// welcome, by the time that it is late: its machine or the way to it is in
-	// trouble. Reports come at least every 400 ms.
+	// inFlightCost is added to the score of a target for each request in it. It
+	// decides between engines without pending prefill. A request holds a slot for
+	// about 1.3 s.
+	inFlightCost = 4 * time.Millisecond
+	// crossDomainCost is added to the score of a target in another failure domain,
+	// for the longer network path and the shared links between domains.
+	crossDomainCost = 6 * time.Millisecond
+	// staleAfter is the age of an engine's last report above which the excess age
+	// is added to its score. Reports arrive at least every 400 ms; a missing one
+	// suggests a fault of the machine or of the network path to it.
 	staleAfter = 600 * time.Millisecond
-	// staleMost bounds that time, and is used for an engine that never reported.
-	staleMost = 3 * time.Second
-	// placeWait is the time after which a full engine has a free place.
-	placeWait = 100 * time.Millisecond
+	// maxStaleness bounds the amount added, and applies to engines that never reported.
+	maxStaleness = 3 * time.Second
+	// slotWait is the time after which an engine without a free slot frees one.
+	slotWait = 100 * time.Millisecond
 )
 
-// first returns the time after which the target probably sends the first event
-// of an answer: the pass in progress ends, then the prompt is read and the first
-// tokens are written. A full engine has to end another request before.
-func (s *state) first(q *Query, estimate float64, now time.Time) time.Duration {
-	d := s.unread(now) + q.Read + q.Write
-	if beyond := estimate - float64(s.places()) + 1; beyond > 0 {
-		d += time.Duration(beyond * float64(placeWait))
+// timeToFirstEvent predicts the time to the first event of a response: the pending
+// prefill, the prefill of this prompt, and one iteration of decoding. If all slots
+// are taken, the request first waits for others to finish.
+func (s *targetState) timeToFirstEvent(q *Query, inFlight float64, now time.Time) time.Duration {
+	d := s.pendingPrefill(now) + q.Prefill + q.Decode
+	if excess := inFlight - float64(s.slots()) + 1; excess > 0 {
+		d += time.Duration(excess * float64(slotWait))
 	}
 	return d
 }
 
-// Choose takes a place at the target that probably answers first. The caller returns it
-// with Done.
+// Choose selects the target with the best score, mainly the predicted time to the
+// first event, and reserves a slot there. The caller returns the slot with Release.
 func (t *Table) Choose(q Query, now time.Time, intN func(int) int) (Choice, Outcome) {
 	for {
-		c, out := t.best(q, now, intN)
-		if out != Chosen || t.start(c.Instance, q, now) {
+		c, out := t.bestTarget(q, now, intN)
+		if out != Chosen || t.reserve(c.Instance, q, now) {
 			return c, out
 		}
 	}
 }
 
-// Room reports whether some target would take the request now.
-func (t *Table) Room(q Query, now time.Time) bool {
+// HasCapacity reports whether any target could take the request now.
+func (t *Table) HasCapacity(q Query, now time.Time) bool {
 	found := false
-	t.targets.Range(func(_ fleet.Instance, s *state) bool {
-		found = s.matches(&q) && s.room(&q, now)
+	t.targets.Range(func(_ fleet.Instance, s *targetState) bool {
+		found = s.eligible(&q) && s.hasCapacity(&q, now)
 		return !found
 	})
 	return found
 }
 
-func (t *Table) best(q Query, now time.Time, intN func(int) int) (Choice, Outcome) {
-	var all []Choice
+// bestTarget returns the eligible target with capacity and the lowest score; ties
+// are broken at random.
+func (t *Table) bestTarget(q Query, now time.Time, intN func(int) int) (Choice, Outcome) {
+	var best []Choice
 	full := false
-	var least time.Duration
-	t.targets.Range(func(id fleet.Instance, s *state) bool {
-		if !s.matches(&q) {
+	var bestScore time.Duration
+	t.targets.Range(func(id fleet.Instance, s *targetState) bool {
+		if !s.eligible(&q) {
 			return true
 		}
-		if !s.room(&q, now) {
+		if !s.hasCapacity(&q, now) {
 			full = true
 			return true
 		}
-		c := Choice{Instance: id, Address: s.Address, Domain: s.Domain, Estimate: s.estimate(now, q.Processes), LoadAge: -1}
-		if !s.loadAt.IsZero() {
-			c.LoadAge = now.Sub(s.loadAt)
+		c := Choice{Instance: id, Address: s.Address, Domain: s.Domain, EstimatedInFlight: s.estimatedInFlight(now, q.Processes), LoadAge: -1}
+		if !s.reportedAt.IsZero() {
+			c.LoadAge = now.Sub(s.reportedAt)
 		}
-		c.First = s.first(&q, c.Estimate, now)
-		score := c.First + time.Duration(c.Estimate*float64(requestCost))
-		if s.Domain != q.Own {
-			score += otherDomainCost
+		c.TimeToFirstEvent = s.timeToFirstEvent(&q, c.EstimatedInFlight, now)
+		score := c.TimeToFirstEvent + time.Duration(c.EstimatedInFlight*float64(inFlightCost))
+		if s.Domain != q.OwnDomain {
+			score += crossDomainCost
 		}
 		if q.NeedsWeights {
-			score += s.stale(now) + s.lagging(now)
+			score += s.staleness(now) + s.expectedLateness(now)
 		}
-		if len(all) == 0 || score < least {
-			all, least = append(all[:0], c), score
-		} else if score == least {
-			all = append(all, c)
+		if len(best) == 0 || score < bestScore {
+			best, bestScore = append(best[:0], c), score
+		} else if score == bestScore {
+			best = append(best, c)
 		}
 		return true
 	})
-	if len(all) > 0 {
-		return all[intN(len(all))], Chosen
+	if len(best) > 0 {
+		return best[intN(len(best))], Chosen
 	}
 	if full {
 		return Choice{}, AllFull
@@ -155,83 +165,87 @@
 	return Choice{}, NoTarget
 }
 
-// stale returns the time by which the report of an engine is late.
-func (s *state) stale(now time.Time) time.Duration {
-	if s.loadAt.IsZero() {
-		return staleMost
+// staleness returns the time by which the next report of an engine is overdue, at
+// most maxStaleness.
+func (s *targetState) staleness(now time.Time) time.Duration {
+	if s.reportedAt.IsZero() {
+		return maxStaleness
 	}
-	return min(max(0, now.Sub(s.loadAt)-staleAfter), staleMost)
+	return min(max(0, now.Sub(s.reportedAt)-staleAfter), maxStaleness)
 }
 
-func (s *state) matches(q *Query) bool {
+// eligible reports whether the target may serve the request, whatever its load.
+func (s *targetState) eligible(q *Query) bool {
 	switch {
 	case s.Service != q.Service, s.Draining, q.Tried[s.Instance]:
 		return false
-	case q.NeedsWeights && s.Weights == 0, s.Weights < q.MinWeights:
+	case q.NeedsWeights && s.WeightsVersion == 0, s.WeightsVersion < q.MinWeightsVersion:
 		return false
-	case q.Cordoned != nil && q.Cordoned(s.Domain):
+	case q.DomainCordoned != nil && q.DomainCordoned(s.Domain):
 		return false
 	}
-	return q.Allowed == nil || q.Allowed(s.Region)
+	return q.RegionAllowed == nil || q.RegionAllowed(s.Region)
 }
 
-// room reports whether the target takes one more request now.
-func (s *state) room(q *Query, now time.Time) bool {
-	if now.Before(s.pausedUntil) || s.load.Loading && now.Sub(s.loadAt) <= reportMaxAge {
+// hasCapacity reports whether the target can take one more request now.
+func (s *targetState) hasCapacity(q *Query, now time.Time) bool {
+	if now.Before(s.pausedUntil) || s.load.Loading && now.Sub(s.reportedAt) <= maxReportAge {
 		return false
 	}
-	beyond := q.Beyond
-	if s.Weights < q.Fading {
-		beyond = 0
+	maxQueued := q.MaxQueuedPerTarget
+	if s.WeightsVersion < q.MinQueueWeightsVersion {
+		maxQueued = 0
 	}
-	if s.estimate(now, q.Processes) >= float64(s.places()+beyond) {
+	if s.estimatedInFlight(now, q.Processes) >= float64(s.slots()+maxQueued) {
 		return false
 	}
-	return !now.Before(s.ColdUntil) || s.coldRoom(q, now)
+	return !now.Before(s.ColdUntil) || s.coldRateAllows(q, now)
 }
 
-// coldShare is the part of the rate of a cold target that all processes
-// together use. The rest covers requests that arrive closer together than they
-// were sent.
-const coldShare = 0.8
-
-// coldRoom reports whether this process may send one more request to a cold
-// target within the current second. Each process keeps to an equal share, at
-// least one request, so that all together keep the rate without knowing of each
-// other.
-func (s *state) coldRoom(q *Query, now time.Time) bool {
-	if q.ColdPerSecond <= 0 {
+// coldRateFraction is the fraction of a cold target's request rate that all
+// processes together use. The rest is headroom for requests that arrive closer
+// together than they were sent.
+const coldRateFraction = 0.8
+
+// coldRateAllows reports whether this process may send one more request to a cold
+// target. Each process limits itself to an equal share of the rate, but at least
+// one request per second, so that together they keep to the rate without
+// coordination.
+func (s *targetState) coldRateAllows(q *Query, now time.Time) bool {
+	if q.ColdRequestsPerSecond <= 0 {
 		return true
 	}
 	n := 0
-	for _, at := range s.starts {
+	for _, at := range s.coldRequests {
 		if now.Sub(at) < time.Second {
 			n++
 		}
 	}
-	return float64(n) < max(1, coldShare*q.ColdPerSecond/max(q.Processes, 1))
+	return float64(n) < max(1, coldRateFraction*q.ColdRequestsPerSecond/max(q.Processes, 1))
 }
 
-// start takes a place, unless the target has filled up since it was chosen.
-func (t *Table) start(id fleet.Instance, q Query, now time.Time) bool {
-	taken := false
-	t.change(id, func(s *state) {
-		if !s.matches(&q) || !s.room(&q, now) {
+// reserve takes a slot, unless the target has become ineligible or full since it
+// was selected.
+func (t *Table) reserve(id fleet.Instance, q Query, now time.Time) bool {
+	reserved := false
+	t.update(id, func(s *targetState) {
+		if !s.eligible(&q) || !s.hasCapacity(&q, now) {
 			return
 		}
-		taken = true
-		s.own++
-		s.sent(q.Read, now)
+		reserved = true
+		s.ownInFlight++
+		s.addPrefill(q.Prefill, now)
 		if now.Before(s.ColdUntil) {
-			s.starts = append(recent(s.starts, now), now)
+			s.coldRequests = append(dropExpired(s.coldRequests, now), now)
 		}
 	})
-	return taken
+	return reserved
 }
 
-func recent(starts []time.Time, now time.Time) []time.Time {
-	for len(starts) > 0 && now.Sub(starts[0]) >= time.Second {
-		starts = starts[1:]
+// dropExpired removes the times that are at least a second old from the front.
+func dropExpired(times []time.Time, now time.Time) []time.Time {
+	for len(times) > 0 && now.Sub(times[0]) >= time.Second {
+		times = times[1:]
 	}
-	return starts
+	return times
 }
--- a/internal/core/spread/uploads.go
+++ b/internal/core/spread/uploads.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/masticwing/masticwing/internal/core/fleet"
-	"github.com/masticwing/masticwing/internal/core/pace"
+	"github.com/masticwing/masticwing/internal/core/ratelimit"
 	"github.com/masticwing/masticwing/internal/core/shard"
 )
 
@@ -42,7 +42,7 @@
 type UploadCredit struct {
 	bytes       int64
 	copiesSent  *shard.Map[int, int]
-	extraCopies *pace.Bucket
+	extraCopies *ratelimit.Bucket
 
 	mu       sync.Mutex
 	received int64
@@ -52,7 +52,7 @@
 // NewUploadCredit returns the credit for a version with the given size.
 func NewUploadCredit(bytes int64, now time.Time) *UploadCredit {
 	rate := max(1, bytes/extraCopySeconds)
-	return &UploadCredit{bytes: bytes, copiesSent: shard.New[int, int](0), extraCopies: pace.NewBucket(rate, now)}
+	return &UploadCredit{bytes: bytes, copiesSent: shard.New[int, int](0), extraCopies: ratelimit.NewBucket(rate, now)}
 }
 
 // AddReceived records bytes that the agent received.
@@ -73,7 +73,7 @@
 	case copies >= copiesPerChunk:
 		slack = extraSlackPercent
 	}
-	if !c.withinSlack(slack) && !c.extraCopies.Take(now, int(n)) {
+	if !c.withinSlack(slack) && !c.extraCopies.TryTake(now, int(n)) {
 		return false
 	}
 	c.copiesSent.Update(i, func(k int, _ bool) (int, bool) { return k + 1, true })
