--- a/internal/app/loader/converge.go
+++ b/internal/app/loader/converge.go
@@ -14,126 +14,129 @@
 )
 
 const (
-	// recheck bounds the time until a change of the engine is noticed.
-	recheck = 250 * time.Millisecond
-	// failPause is the pause after a failed step.
-	failPause = 200 * time.Millisecond
-	// settle is the pause between two looks at an engine that loads.
-	settle = 50 * time.Millisecond
+	// recheckInterval bounds the time until a change of the engine's state is noticed.
+	recheckInterval = 250 * time.Millisecond
+	// retryDelay is the pause after a failed fetch or load.
+	retryDelay = 200 * time.Millisecond
+	// loadPollInterval is the pause between two reports of an engine that is loading.
+	loadPollInterval = 50 * time.Millisecond
 )
 
-// lastReport is the newest report of the engine, or none while it is lost.
+// lastReport holds the newest report of the engine, or nil while the engine cannot be
+// reached.
 type lastReport struct {
-	mu sync.Mutex
-	r  *port.EngineReport
+	mu     sync.Mutex
+	report *port.EngineReport
 }
 
-func (l *lastReport) set(r *port.EngineReport) {
+func (l *lastReport) set(report *port.EngineReport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.r = r
+	l.report = report
 }
 
 func (l *lastReport) get() *port.EngineReport {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.r
+	return l.report
 }
 
-// heldOf returns the newest weights of a report.
-func heldOf(r *port.EngineReport) port.ModelWeights {
+// newestHeld returns the weights with the highest number that the engine holds.
+func newestHeld(r *port.EngineReport) port.ModelWeights {
 	var h port.ModelWeights
-	for _, x := range r.Held {
-		if x.Number > h.Number {
-			h = x
+	for _, w := range r.Held {
+		if w.Number > h.Number {
+			h = w
 		}
 	}
 	return h
 }
 
-// fetchDeclared makes the fetcher work towards the newest weights as soon as they
-// are declared, also if the engine holds them already or loads others: loaders of
-// engines that are added or start again fetch from this one, not from the origin.
+// fetchDeclared starts to fetch the newest weights as soon as they are declared, also
+// if the engine already holds them or is loading others: the loaders of added or
+// restarted engines then fetch from this one and not from the origin.
 func (l *Loader) fetchDeclared(ctx context.Context) {
 	var last port.ModelWeights
 	for ctx.Err() == nil {
 		var held port.ModelWeights
-		r := l.seen.get()
+		r := l.engineReport.get()
 		if r != nil {
-			held = heldOf(r)
+			held = newestHeld(r)
 		}
 		g, ok := l.view.goal(held)
-		// Without its engine a loader fetches only what is declared now, which
-		// others wait for. The rest may lie in the engine's area.
-		if !ok || g.ModelWeights == last || r == nil && !g.fresh {
-			l.wait(ctx, l.view.declaredNews, recheck)
+		// While its engine is down, a loader fetches only newly declared weights,
+		// which other loaders wait for. Other weights may be in the engine's staging
+		// area already.
+		if !ok || g.ModelWeights == last || r == nil && !g.newlyDeclared {
+			l.wait(ctx, l.view.declarationsChanged, recheckInterval)
 			continue
 		}
-		if err := l.want(ctx, g); err != nil {
+		if err := l.startFetch(ctx, g); err != nil {
 			l.deps.Log.Fault("version can't be resolved", err, logging.F("number", g.Number))
-			l.sleep(ctx, failPause)
+			l.sleep(ctx, retryDelay)
 			continue
 		}
 		last = g.ModelWeights
 	}
 }
 
-// want resolves a version and starts to fetch it.
-func (l *Loader) want(ctx context.Context, g goal) error {
+// startFetch gets the manifest of the weights and starts to fetch their chunks.
+func (l *Loader) startFetch(ctx context.Context, g goal) error {
 	name := versionName(g.ModelWeights)
 	man, ok := l.chunks.FindManifest(ctx, name)
 	if !ok {
 		var err error
-		if man, err = l.origin.resolve(ctx, g.ModelWeights); err != nil {
+		if man, err = l.origin.resolveManifest(ctx, g.ModelWeights); err != nil {
 			return err
 		}
 	}
 	id := man.Version()
-	l.origin.remember(namedVersion{g.ModelWeights, id, man})
+	l.origin.remember(resolvedVersion{g.ModelWeights, id, man})
 	l.chunks.SetVersion(name, id, man)
-	if g.staged && l.seen.get() != nil {
-		l.reuse(ctx, g, id)
+	if g.mayBeStaged && l.engineReport.get() != nil {
+		l.reuseStaged(ctx, g, id)
 	}
 	l.deps.Log.State("fetching weights", logging.F("number", g.Number), logging.F("chunks", len(man.Chunks)), logging.F("from_origin", !ok))
 	return nil
 }
 
-// converge brings the engine to the newest complete weights, in its turn.
+// converge makes the engine load the newest completely fetched weights when it is the
+// engine's turn.
 func (l *Loader) converge(ctx context.Context) {
 	for ctx.Err() == nil {
-		r := l.seen.get()
+		r := l.engineReport.get()
 		if r == nil || r.Busy {
-			l.sleep(ctx, recheck)
+			l.sleep(ctx, recheckInterval)
 			continue
 		}
-		held := heldOf(r)
+		held := newestHeld(r)
 		g, ok := l.view.goal(held)
-		if !ok || held.Number >= g.Number || !l.due(g) {
-			l.sleep(ctx, turnCheck)
+		if !ok || held.Number >= g.Number || !l.turnReached(g) {
+			l.sleep(ctx, turnCheckInterval)
 			continue
 		}
-		v, ok := l.origin.newest(g.Model, held.Number, l.complete)
+		v, ok := l.origin.newestComplete(g.Model, held.Number, l.isComplete)
 		if !ok {
-			l.sleep(ctx, turnCheck)
+			l.sleep(ctx, turnCheckInterval)
 			continue
 		}
 		if err := l.load(ctx, g, v); err != nil && ctx.Err() == nil {
 			l.deps.Log.Fault("weights are not loaded yet", err, logging.F("number", v.Number))
-			l.sleep(ctx, failPause)
+			l.sleep(ctx, retryDelay)
 		}
 	}
 }
 
-// turnCheck is the pause between two looks at the turn of the engine.
-const turnCheck = 100 * time.Millisecond
+// turnCheckInterval is the pause between two checks whether it is the engine's turn.
+const turnCheckInterval = 100 * time.Millisecond
 
-// due reports whether it is the engine's turn to leave service.
-func (l *Loader) due(g goal) bool {
-	return g.now || !l.deps.Clock.Now().Before(loadturn.At(g.since, l.set.WeightsBound, g.rank, g.count))
+// turnReached reports whether the engine may leave service to load weights.
+func (l *Loader) turnReached(g goal) bool {
+	return g.immediate || !l.deps.Clock.Now().Before(loadturn.At(g.learnedAt, l.settings.WeightsBound, g.rank, g.count))
 }
 
-// complete reports whether all chunks of a version are there.
-func (l *Loader) complete(id fleet.Version) bool {
+// isComplete reports whether all chunks of a version are held.
+func (l *Loader) isComplete(id fleet.Version) bool {
 	select {
 	case <-l.chunks.Completed(id):
 		return true
@@ -142,32 +145,33 @@
 	}
 }
 
-// wait returns after news or after d.
-func (l *Loader) wait(ctx context.Context, news <-chan struct{}, d time.Duration) {
+// wait returns after a receive from changed, after d, or when ctx ends.
+func (l *Loader) wait(ctx context.Context, changed <-chan struct{}, d time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-news:
+	case <-changed:
 	case <-l.deps.Clock.After(d):
 	}
 }
 
-// load stages a complete version and orders the engine to load it.
-func (l *Loader) load(ctx context.Context, g goal, v namedVersion) error {
+// load stages a complete version, verifies the staged chunks and orders the engine to
+// load them.
+func (l *Loader) load(ctx context.Context, g goal, v resolvedVersion) error {
 	start := l.deps.Clock.Now()
-	if err := l.stage(ctx, v); err != nil {
+	if err := l.stageChunks(ctx, v); err != nil {
 		return err
 	}
-	if err := l.verify(ctx, v); err != nil {
+	if err := l.verifyStaged(ctx, v); err != nil {
 		return err
 	}
 	l.deps.Log.State("ordering the engine to load", logging.F("model", string(v.Model)), logging.F("number", v.Number),
 		logging.F("declared", g.Number), logging.Millis("stage_ms", l.deps.Clock.Now().Sub(start)),
-		logging.Millis("since_ms", start.Sub(g.since)), logging.F("rank", g.rank), logging.F("of", g.count))
-	return l.order(ctx, g, v)
+		logging.Millis("since_ms", start.Sub(g.learnedAt)), logging.F("rank", g.rank), logging.F("of", g.count))
+	return l.orderLoad(ctx, g, v)
 }
 
-// reuse takes the chunks that lie in the area of the engine.
-func (l *Loader) reuse(ctx context.Context, g goal, id fleet.Version) {
+// reuseStaged adds the intact chunks in the engine's staging area to the fetched ones.
+func (l *Loader) reuseStaged(ctx context.Context, g goal, id fleet.Version) {
 	staged, err := l.deps.Engine.StagedChunks(ctx, g.Model)
 	if err != nil {
 		l.deps.Log.Fault("staged chunks can't be listed", err)
@@ -185,7 +189,8 @@
 
 var errReleased = errors.New("version was released")
 
-func (l *Loader) stage(ctx context.Context, v namedVersion) error {
+// stageChunks writes all chunks of a version to the engine's staging area.
+func (l *Loader) stageChunks(ctx context.Context, v resolvedVersion) error {
 	for i := range v.man.Chunks {
 		b, ok := l.chunks.Chunk(v.id, i)
 		if !ok {
@@ -198,11 +203,11 @@
 	return nil
 }
 
-// verify reads the staged chunks back right before the order, since they may be
-// spoilt in the area, and writes those again.
-func (l *Loader) verify(ctx context.Context, v namedVersion) error {
+// verifyStaged reads the staged chunks back right before the order, since chunks may
+// be corrupted in the staging area, and rewrites the corrupted ones.
+func (l *Loader) verifyStaged(ctx context.Context, v resolvedVersion) error {
 	for i := range v.man.Chunks {
-		const tries = 3
+		const maxRewrites = 3
 		for n := 0; ; n++ {
 			b, err := l.deps.Engine.ReadChunk(ctx, v.Model, i)
 			if err != nil {
@@ -211,8 +216,8 @@
 			if v.man.VerifyChunk(i, b) == nil {
 				break
 			}
-			if n == tries {
-				return errors.Errorf("staged chunk %d stays spoilt", i)
+			if n == maxRewrites {
+				return errors.Errorf("staged chunk %d is still corrupted", i)
 			}
 			l.deps.Log.State("staged chunk is spoilt", logging.F("chunk", i), logging.F("number", v.Number))
 			data, ok := l.chunks.Chunk(v.id, i)
@@ -227,27 +232,29 @@
 	return nil
 }
 
-// order gives the order and waits until the engine has loaded. An order without
-// an answer may have been accepted, so the engine's report decides.
-func (l *Loader) order(ctx context.Context, g goal, v namedVersion) error {
+// orderLoad orders the engine to load the staged weights and waits until it holds
+// them. An order without a response may have been accepted, so the engine's report
+// decides whether to order again.
+func (l *Loader) orderLoad(ctx context.Context, g goal, v resolvedVersion) error {
 	r, err := l.deps.Engine.Report(ctx)
 	if err != nil {
 		return err
 	}
-	if heldOf(&r).Number >= v.Number {
+	if newestHeld(&r).Number >= v.Number {
 		return nil
 	}
 	o := port.StagedLoadOrder{ModelWeights: v.ModelWeights, ExpectOrderCount: r.OrderCount}
 	if g.fenced {
-		// Only this process orders its engine, whose count of orders rises until it
-		// starts again and forgets the tokens that it has seen.
+		// Only this process gives orders to its engine. The engine's order count rises
+		// until the engine restarts, when it also forgets the fencing numbers that it
+		// has seen.
 		o.Fence = r.OrderCount + 1
 	}
 	if err := l.deps.Engine.LoadStaged(ctx, o); err != nil {
 		return err
 	}
 	for {
-		l.sleep(ctx, settle)
+		l.sleep(ctx, loadPollInterval)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -255,15 +262,15 @@
 		if err != nil {
 			return err
 		}
-		l.seen.set(&now)
+		l.engineReport.set(&now)
 		if now.Started != r.Started {
-			return errors.New("engine has started again")
+			return errors.New("engine restarted during the load")
 		}
 		if now.Busy {
 			continue
 		}
-		if heldOf(&now).Number < v.Number {
-			return errors.New("engine did not load the weights")
+		if newestHeld(&now).Number < v.Number {
+			return errors.New("engine finished the order without loading the weights")
 		}
 		l.deps.Log.State("engine holds the weights", logging.F("model", string(v.Model)), logging.F("number", v.Number))
 		return nil
--- a/internal/app/loader/loader.go
+++ b/internal/app/loader/loader.go
@@ -1,6 +1,6 @@
-// Package loader runs beside a model engine. It brings the declared weights into
-// the engine's area, orders the engine to load them, and tells the gateways the
-// engine's load.
+// Package loader runs on the VM of a model engine. It writes the declared weights to
+// the engine's staging area, orders the engine to load them, and reports the engine's
+// load to the gateways.
 package loader
 
 import (
@@ -27,11 +27,11 @@
 
 // Deps are the ports that a loader uses.
 type Deps struct {
-	Store  port.Store
-	Feed   port.FeedClient
-	Facts  port.ItemDecoder
-	Engine port.StagedEngine
-	// Origin returns the client of the origin at an address.
+	Store   port.Store
+	Feed    port.FeedClient
+	Decoder port.ItemDecoder
+	Engine  port.StagedEngine
+	// Origin returns a client for the origin at an address.
 	Origin  func(fleet.Address) port.NumberedOrigin
 	Peers   port.PeerClient
 	Clock   feed.Clock
@@ -40,76 +40,78 @@
 	Log     *logging.Logger
 }
 
-// Loader keeps one engine at the declared weights.
+// Loader makes one engine load the declared weights.
 type Loader struct {
-	set    Settings
-	deps   Deps
-	view   *view
-	origin *namedOrigin
-	chunks *chunks.Fetcher
-	source *feed.Source
-	// seen is the last report of the engine.
-	seen lastReport
-	// gaugesAt is the time of the last record of the gauges; only reportLoad uses it.
+	settings     Settings
+	deps         Deps
+	view         *view
+	origin       *originAdapter
+	chunks       *chunks.Fetcher
+	source       *feed.Source
+	engineReport lastReport
+	// gaugesAt is when the gauges were last recorded; only reportLoad uses it.
 	gaugesAt time.Time
 }
 
-// inShare and outShare are the parts of the VM's link that transfers of weights
-// may use. The rest carries the requests of the engine, about 10 KB/s, and its
-// events, about 30 KB/s.
+// inLinkFraction and outLinkFraction are the fractions of the VM's link that
+// transfers of weights may use. The rest carries the engine's requests, about 10 KB/s,
+// and its events, about 30 KB/s.
 const (
-	inShare  = 0.95
-	outShare = 0.9
+	inLinkFraction  = 0.95
+	outLinkFraction = 0.9
 )
 
-// New returns a loader that knows nothing yet.
+// New returns a loader. Run starts its work.
 func New(s Settings, d Deps) *Loader {
-	v := newView(s, d.Facts, d.Clock, d.Log)
-	o := &namedOrigin{view: v, open: d.Origin}
+	v := newView(s, d.Decoder, d.Clock, d.Log)
+	o := &originAdapter{view: v, newClient: d.Origin}
 	f := chunks.New(chunks.Settings{
 		Self:   chain.Member{VM: fleet.VM(s.ID), Region: s.Regions[s.Domain], Address: s.Internal},
-		InRate: int64(inShare * float64(s.Link)), OutRate: int64(outShare * float64(s.Link)),
+		InRate: int64(inLinkFraction * float64(s.Link)), OutRate: int64(outLinkFraction * float64(s.Link)),
 	}, chunks.Deps{Peers: d.Peers, Origin: o, Clock: d.Clock, Metrics: d.Metrics, Members: v.peers, OriginRate: v.originRate})
-	ps := d.Facts.Prefixes()
+	ps := d.Decoder.Prefixes()
 	source := feed.NewSource(d.Store, d.Feed, d.Clock, d.Log, v.readers, map[string]feed.Prefix{
-		ps.Weights: {Wait: feedWaitWeights, Direct: directWaitWeights}, ps.Config: {Wait: feedWait, Patient: true},
-		ps.Members: {Wait: feedWait, Direct: directWaitMembers},
+		ps.Weights: {Wait: feedWaitWeights, Direct: storeWaitWeights}, ps.Config: {Wait: feedWait, Patient: true},
+		ps.Members: {Wait: feedWait, Direct: storeWaitMembers},
 	})
-	return &Loader{set: s, deps: d, view: v, origin: o, chunks: f, source: source}
+	return &Loader{settings: s, deps: d, view: v, origin: o, chunks: f, source: source}
 }
 
 const (
-	// watchWait is the longest wait of a watch; each call is charged. The store
-	// keeps 20 s of history, which a longer wait without a change would pass.
-	watchWait = 15 * time.Second
-	// weightsPause collects declarations that come together.
-	weightsPause = 50 * time.Millisecond
-	// configPause collects configurations, of which only the engine's service is of
-	// interest. One has some hundred kilobytes, which take a tenth of a second on
-	// the link of an engine's VM.
-	configPause = 5 * time.Second
-	// memberPause collects changes of processes. A process that starts again mostly
-	// has the address that it had, and a new loader knows the others at once.
-	memberPause = 5 * time.Second
-	// listedWait bounds the wait for the list of processes at the start, which tells
-	// who passes the configuration on.
-	listedWait = time.Second
-	// feedWaitWeights bounds the time until a silent gateway is noticed that passes
-	// declarations on. They have to be in use within 8 s.
+	// watchTimeout is the longest wait of a watch; each call is charged. The store
+	// keeps 20 s of history, which a longer wait without a change would exceed.
+	watchTimeout = 15 * time.Second
+	// weightsBatchDelay batches declarations that are made shortly after each other.
+	weightsBatchDelay = 50 * time.Millisecond
+	// configBatchDelay batches configurations, of which the loader needs only a few
+	// services. A configuration has some hundred kilobytes, which take a tenth of a
+	// second on the link of an engine's VM.
+	configBatchDelay = 5 * time.Second
+	// membersBatchDelay batches changes of the registered processes. It may be long: a
+	// restarted process usually has the same address as before, and a new loader
+	// learns all others from its first read.
+	membersBatchDelay = 5 * time.Second
+	// membersListTimeout bounds the wait at the start for the list of processes, which
+	// tells from whom the configuration can be read.
+	membersListTimeout = time.Second
+	// feedWaitWeights bounds the time until the loader notices that the gateway from
+	// which it reads declarations is silent. Declared weights have to be in use within
+	// 8 s.
 	feedWaitWeights = time.Second
-	// directWaitWeights bounds the wait for declared weights at the store, on a
-	// connection that may have gone silent. Loaders read the store only while no
-	// gateway of their domain is known or serves.
-	directWaitWeights = 2 * time.Second
-	// directWaitMembers is the same for the processes.
-	directWaitMembers = 5 * time.Second
-	// feedWait is the same as feedWaitWeights for the configuration and the processes.
+	// storeWaitWeights bounds the wait for declared weights at the store, because the
+	// connection may have gone silent. Loaders read the store only while no gateway of
+	// their domain is known or serves them.
+	storeWaitWeights = 2 * time.Second
+	// storeWaitMembers is the same for the registered processes.
+	storeWaitMembers = 5 * time.Second
+	// feedWait is the same as feedWaitWeights for the configuration and the registered
+	// processes.
 	feedWait = 3 * time.Second
 )
 
-// Run works until ctx ends.
+// Run runs the loader until ctx ends. It returns an error if it can't start.
 func (l *Loader) Run(ctx context.Context) error {
-	lis, err := net.Listen("tcp", string(l.set.Internal))
+	lis, err := net.Listen("tcp", string(l.settings.Internal))
 	if err != nil {
 		return errors.Wrap(err, "listening for other loaders")
 	}
@@ -117,16 +119,16 @@
 	if err != nil {
 		return err
 	}
-	ip, err := netip.ParseAddrPort(string(l.set.Internal))
+	ip, err := netip.ParseAddrPort(string(l.settings.Internal))
 	if err != nil {
-		return errors.Wrap(err, "internal address")
+		return errors.Wrap(err, "parsing the internal address")
 	}
 	sender, err := loadcast.NewSender(ip.Addr())
 	if err != nil {
 		return err
 	}
 	defer func() { _ = sender.Close() }()
-	ps := l.deps.Facts.Prefixes()
+	ps := l.deps.Decoder.Prefixes()
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() {
@@ -136,33 +138,34 @@
 	})
 	wg.Go(func() { l.chunks.Run(ctx) })
 	wg.Go(func() {
-		l.wait(ctx, l.view.listed, listedWait)
-		l.follower(ps.Config, configPause).Run(ctx, l.view.applyOperator)
+		l.wait(ctx, l.view.membersListed, membersListTimeout)
+		l.newFollower(ps.Config, configBatchDelay).Run(ctx, l.view.applyOperatorKeys)
 	})
-	wg.Go(func() { l.follower(ps.Weights, weightsPause).Run(ctx, l.view.applyOperator) })
-	wg.Go(func() { l.follower(ps.Members, memberPause).Run(ctx, l.view.applyMembers) })
+	wg.Go(func() { l.newFollower(ps.Weights, weightsBatchDelay).Run(ctx, l.view.applyOperatorKeys) })
+	wg.Go(func() { l.newFollower(ps.Members, membersBatchDelay).Run(ctx, l.view.applyMembers) })
 	wg.Go(func() { l.reportLoad(ctx, sender) })
 	wg.Go(func() { l.fetchDeclared(ctx) })
 	wg.Go(func() { l.converge(ctx) })
-	e := enroll.Enrolment{Store: l.deps.Store, Prefix: ps.Members, Self: l.set.member(), Clock: l.deps.Clock, Log: l.deps.Log}
+	e := enroll.Enrolment{Store: l.deps.Store, Prefix: ps.Members, Self: l.settings.storedMember(), Clock: l.deps.Clock, Log: l.deps.Log}
 	wg.Go(func() { e.Run(ctx) })
 	return nil
 }
 
-func (l *Loader) follower(prefix string, pause time.Duration) *follow.Follower {
-	return follow.New(l.source, prefix, watchWait, func() time.Duration { return pause }, l.deps.Clock, l.deps.Log)
+// newFollower returns a follower of a prefix that pauses for delay between two reads.
+func (l *Loader) newFollower(prefix string, delay time.Duration) *follow.Follower {
+	return follow.New(l.source, prefix, watchTimeout, func() time.Duration { return delay }, l.deps.Clock, l.deps.Log)
 }
 
 const (
-	// loadEvery is the pause between two reports. An engine starts and ends about
-	// one request in this time.
-	loadEvery = 100 * time.Millisecond
-	// loadRepeat is the longest time without a report to the gateways. It is well
-	// below the age from which a report no longer counts.
-	loadRepeat = 400 * time.Millisecond
+	// reportInterval is the pause between two queries of the engine's load. An engine
+	// starts and finishes about one request in this time.
+	reportInterval = 100 * time.Millisecond
+	// maxReportInterval is the time after which an unchanged report is sent to the
+	// gateways again. It is well below the age from which they ignore a report.
+	maxReportInterval = 400 * time.Millisecond
 )
 
-// reportLoad asks the engine for its load and sends it to the gateways.
+// reportLoad queries the engine's load and sends it to the gateways until ctx ends.
 func (l *Loader) reportLoad(ctx context.Context, sender *loadcast.Sender) {
 	var last loadcast.Report
 	var lastAt time.Time
@@ -174,38 +177,38 @@
 		case err != nil && !lost && ctx.Err() == nil:
 			lost = true
 			l.deps.Log.Fault("lost the engine", err)
-			l.seen.set(nil)
+			l.engineReport.set(nil)
 		case err == nil:
 			if lost {
 				lost = false
 				l.deps.Log.State("regained the engine", logging.F("started", r.Started))
 			}
-			l.seen.set(&r)
+			l.engineReport.set(&r)
 			l.recordGauges(&r, now)
 			report := l.loadReport(r)
-			if report != last || now.Sub(lastAt) >= loadRepeat {
+			if report != last || now.Sub(lastAt) >= maxReportInterval {
 				last, lastAt = report, now
 				if err := sender.Report(report, l.view.gateways()); err != nil {
 					l.deps.Metrics.Count("loader_reports_unsent_total", 1)
 				}
 			}
 		}
-		l.sleep(ctx, loadEvery)
+		l.sleep(ctx, reportInterval)
 	}
 }
 
-// gaugesEvery is the time between two records of the gauges. Metrics are scraped
-// every 5 s or more rarely.
-const gaugesEvery = 5 * time.Second
+// gaugeInterval is the time between two updates of the gauges. Metrics are scraped at
+// most every 5 s.
+const gaugeInterval = 5 * time.Second
 
-// recordGauges records what the engine holds and what it should hold.
+// recordGauges records the weights that the engine holds and should hold, and its load.
 func (l *Loader) recordGauges(r *port.EngineReport, now time.Time) {
-	if now.Sub(l.gaugesAt) < gaugesEvery {
+	if now.Sub(l.gaugesAt) < gaugeInterval {
 		return
 	}
 	l.gaugesAt = now
 	m := l.deps.Metrics
-	held := heldOf(r)
+	held := newestHeld(r)
 	m.Gauge("loader_weights_held", float64(held.Number))
 	if g, ok := l.view.goal(held); ok {
 		m.Gauge("loader_weights_wanted", float64(max(g.Number, held.Number)))
@@ -214,9 +217,10 @@
 	m.Gauge("loader_engine_waiting", float64(r.Waiting))
 }
 
+// loadReport returns the load report for the gateways.
 func (l *Loader) loadReport(r port.EngineReport) loadcast.Report {
-	out := loadcast.Report{Target: l.set.Engine, Started: r.Started, Load: placement.Load{
-		Running: r.Running, Waiting: r.Waiting, Slots: l.view.places(), Loading: r.Busy,
+	out := loadcast.Report{Target: l.settings.Engine, Started: r.Started, Load: placement.Load{
+		Running: r.Running, Waiting: r.Waiting, Slots: l.view.slots(), Loading: r.Busy,
 	}}
 	for _, h := range r.Held {
 		out.Weights = max(out.Weights, h.Number)
--- a/internal/app/loader/settings.go
+++ b/internal/app/loader/settings.go
@@ -10,7 +10,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Settings are the settings of masticwing-loader.
+// Settings is the configuration of masticwing-loader.
 type Settings struct {
 	daemon.Common
 	enroll.Settings
@@ -23,12 +23,12 @@
 	// Link is the capacity of the VM's link in each direction, in bytes per
 	// second.
 	Link int64
-	// Memory is the most that the process may use.
+	// Memory is the memory limit of the process in bytes.
 	Memory int64
 }
 
-// member returns the entry of this loader in the store.
-func (c *Settings) member() port.StoredMember {
+// storedMember returns the entry of this loader in the store.
+func (c *Settings) storedMember() port.StoredMember {
 	return port.StoredMember{
 		ID: c.ID, Kind: fleet.KindAgent.String(), Domain: c.Domain, Region: c.Regions[c.Domain],
 		Address: c.Internal, Target: c.Engine, Service: c.Service,
@@ -40,7 +40,7 @@
 	gib = 1 << 30
 )
 
-// Register registers all keys.
+// Register adds all settings to s.
 func (c *Settings) Register(s *settings.Set) {
 	c.Common.Register(s)
 	c.Settings.Register(s)
--- a/internal/app/loader/view.go
+++ b/internal/app/loader/view.go
@@ -22,48 +22,49 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// view is what a loader knows of the declarations and of the other processes.
+// view is a loader's copy of the declarations and of the registered processes.
 type view struct {
-	set   Settings
-	facts port.ItemDecoder
-	clock port.Clock
-	log   *logging.Logger
-
-	mu           sync.Mutex // guards the following
-	config       *routes.Table
-	declared     []declaredWeights
-	members      enroll.Members
-	senders      []netip.AddrPort
-	readFrom     []feed.Member
-	declaredNews chan struct{}
-	// listed is closed once the processes were listed.
-	listed chan struct{}
-	once   sync.Once
+	settings Settings
+	decoder  port.ItemDecoder
+	clock    port.Clock
+	log      *logging.Logger
+
+	mu                  sync.Mutex // guards the following
+	routeTable          *routes.Table
+	declarations        []declaredWeights
+	members             enroll.Members
+	gatewayAddresses    []netip.AddrPort
+	feedReaders         []feed.Member
+	declarationsChanged chan struct{}
+	// membersListed is closed once the registered processes are known.
+	membersListed chan struct{}
+	listedOnce    sync.Once
 }
 
-// declaredWeights is a declaration and the time at which it was learned.
+// declaredWeights is a declaration of weights.
 type declaredWeights struct {
 	port.ModelWeights
-	since time.Time
-	// late is set if the declaration was found, not seen being made.
-	late bool
+	// learnedAt is the time at which this loader learned of the declaration.
+	learnedAt time.Time
+	// fromListing is set if the declaration was read from a listing, so that it may be
+	// older than learnedAt.
+	fromListing bool
 }
 
 func newView(s Settings, f port.ItemDecoder, c port.Clock, l *logging.Logger) *view {
 	return &view{
-		set: s, facts: f, clock: c, log: l,
-		members: enroll.Members{}, declaredNews: make(chan struct{}, 1), listed: make(chan struct{}),
+		settings: s, decoder: f, clock: c, log: l,
+		members: enroll.Members{}, declarationsChanged: make(chan struct{}, 1), membersListed: make(chan struct{}),
 	}
 }
 
-// peers returns the loaders of the same service, which fetch the same
-// versions.
+// peers returns the loaders of the same service, which fetch the same versions.
 func (v *view) peers() []chain.Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var out []chain.Member
 	for _, m := range v.members {
-		if m.Kind == fleet.KindAgent.String() && m.Service == v.set.Service {
+		if m.Kind == fleet.KindAgent.String() && m.Service == v.settings.Service {
 			out = append(out, chain.Member{VM: fleet.VM(m.ID), Region: m.Region, Address: m.Address})
 		}
 	}
@@ -77,7 +78,8 @@
 	}
 }
 
-func (v *view) applyOperator(e follow.Event) {
+// applyOperatorKeys applies an event of the configuration or of the declared weights.
+func (v *view) applyOperatorKeys(e follow.Event) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.clock.Now()
@@ -85,70 +87,74 @@
 		if c.Removed {
 			continue
 		}
-		fact, err := v.facts.Decode(c.StoreItem)
+		item, err := v.decoder.Decode(c.StoreItem)
 		if err != nil {
 			v.log.Fault("operator's item can't be read", err, logging.F("key", c.Key), logging.F("revision", c.Revision))
 			continue
 		}
-		switch f := fact.(type) {
+		switch it := item.(type) {
 		case port.ConfigItem:
-			if v.config == nil || f.Config.Version >= v.config.Version {
-				v.config = routes.Compile(f.Config)
+			if v.routeTable == nil || it.Config.Version >= v.routeTable.Version {
+				v.routeTable = routes.Compile(it.Config)
 			}
 		case port.WeightsItem:
-			v.declare(declaredWeights{port.ModelWeights(f), now, e.Reset}, c.Revision)
+			v.addDeclaration(declaredWeights{port.ModelWeights(it), now, e.Reset}, c.Revision)
 		}
 	}
-	signal(v.declaredNews)
+	signal(v.declarationsChanged)
 }
 
-func (v *view) declare(d declaredWeights, revision int64) {
-	for _, old := range v.declared {
+// addDeclaration adds a declaration unless one with the same or a higher number is
+// known for its model. The caller holds mu.
+func (v *view) addDeclaration(d declaredWeights, revision int64) {
+	for _, old := range v.declarations {
 		if old.Model == d.Model && old.Number >= d.Number {
 			return
 		}
 	}
-	const kept = 8 // more than are declared within the bound of one
-	v.declared = append(v.declared, d)
-	v.declared = v.declared[max(0, len(v.declared)-kept):]
+	const maxKept = 8 // more than are declared within one WeightsBound
+	v.declarations = append(v.declarations, d)
+	v.declarations = v.declarations[max(0, len(v.declarations)-maxKept):]
 	v.log.State("weights declared", logging.F("model", string(d.Model)), logging.F("number", d.Number), logging.F("revision", revision))
 }
 
 func (v *view) applyMembers(e follow.Event) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.members.Apply(e, v.facts, v.log)
-	_, v.senders = v.members.Gateways(v.set.ID)
-	v.readFrom = v.members.Readers(v.set.member())
-	v.once.Do(func() { close(v.listed) })
-	signal(v.declaredNews)
+	v.members.Apply(e, v.decoder, v.log)
+	_, v.gatewayAddresses = v.members.Gateways(v.settings.ID)
+	v.feedReaders = v.members.Readers(v.settings.storedMember())
+	v.listedOnce.Do(func() { close(v.membersListed) })
+	signal(v.declarationsChanged)
 }
 
-// gateways returns the addresses that take load reports.
+// gateways returns the addresses of the gateways, which receive load reports.
 func (v *view) gateways() []netip.AddrPort {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.senders
+	return v.gatewayAddresses
 }
 
-// readers returns the gateways to ask for changes of the store.
+// readers returns the gateways from which changes of the store can be read, in order
+// of preference.
 func (v *view) readers() []feed.Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.readFrom
+	return v.feedReaders
 }
 
-// service returns the service of the engine, or nil before it is known.
+// service returns the service of the engine, or nil before it is known. The caller
+// holds mu.
 func (v *view) service() *routes.Service {
-	if v.config == nil {
+	if v.routeTable == nil {
 		return nil
 	}
-	s, _ := v.config.Service(v.set.Service)
+	s, _ := v.routeTable.Service(v.settings.Service)
 	return s
 }
 
-// places returns the places of the engine, or 0 before they are known.
-func (v *view) places() int {
+// slots returns the number of slots of the engine, or 0 before it is known.
+func (v *view) slots() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if s := v.service(); s != nil && s.Engine != nil {
@@ -157,28 +163,31 @@
 	return 0
 }
 
-// goal is what an engine has to hold.
+// goal describes the weights that the engine has to hold, and when it may load them.
 type goal struct {
 	port.ModelWeights
-	// since is the time of the oldest declaration above the weights held.
-	since time.Time
-	// staged means that the chunks may lie in the engine's area: it holds them, or
-	// has started again.
-	staged bool
-	// fresh means that the newest declaration was seen being made.
-	fresh bool
-	// now means that the engine must not wait for its turn.
-	now bool
-	// rank is the engine's turn among count.
+	// learnedAt is the time at which the loader learned of the oldest declaration that
+	// is newer than the weights held.
+	learnedAt time.Time
+	// mayBeStaged means that the chunks may be in the engine's staging area: the engine
+	// holds these weights, or has restarted.
+	mayBeStaged bool
+	// newlyDeclared means that the newest declaration was received as a change, not
+	// from a listing.
+	newlyDeclared bool
+	// immediate means that the engine must not wait for its turn.
+	immediate bool
+	// rank is the position of the engine in the order of turns, of count engines.
 	rank, count int
-	fenced      bool
+	// fenced means that load orders need a fencing number.
+	fenced bool
 }
 
-// firstNumber is the number of the weights before any declaration.
-const firstNumber = 1
+// initialNumber is the number of the weights to hold before any declaration.
+const initialNumber = 1
 
-// goal returns what an engine that holds the given weights has to hold. It
-// returns false before a configuration is known.
+// goal returns the goal of an engine that now holds the given weights. It returns
+// false before the models of the engine are known.
 func (v *view) goal(held port.ModelWeights) (goal, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -186,56 +195,57 @@
 	if s == nil || s.Engine == nil || len(s.Engine.Models) == 0 {
 		return goal{}, false
 	}
-	g := goal{ModelWeights: port.ModelWeights{Model: s.Engine.Models[0], Number: firstNumber}, now: held.Number == 0, fenced: s.Engine.Fenced}
-	for _, d := range v.declared {
+	g := goal{ModelWeights: port.ModelWeights{Model: s.Engine.Models[0], Number: initialNumber}, immediate: held.Number == 0, fenced: s.Engine.Fenced}
+	for _, d := range v.declarations {
 		if d.Model != g.Model {
 			continue
 		}
-		if d.Number > held.Number && g.since.IsZero() {
-			g.since = d.since
-			g.now = g.now || d.late
+		if d.Number > held.Number && g.learnedAt.IsZero() {
+			g.learnedAt = d.learnedAt
+			g.immediate = g.immediate || d.fromListing
 		}
 		if d.Number > g.Number {
-			g.Number, g.fresh = d.Number, !d.late
+			g.Number, g.newlyDeclared = d.Number, !d.fromListing
 		}
 	}
-	g.staged = held.Number == 0 || held.Number == g.Number
+	g.mayBeStaged = held.Number == 0 || held.Number == g.Number
 	g.rank, g.count = v.turn(g.Number)
 	return g, true
 }
 
-// turn returns the rank of this loader among those of the service. Failure
-// domains take turns, so that no domain loses all its engines at a time.
+// turn returns the rank of this loader and the number of loaders of the service. Ranks
+// alternate between failure domains, so that no domain has all its engines out of
+// service at the same time. The caller holds mu.
 func (v *view) turn(number int64) (rank, count int) {
 	byDomain := map[fleet.Domain][]string{}
 	for _, m := range v.members {
-		if m.Kind == fleet.KindAgent.String() && m.Service == v.set.Service {
+		if m.Kind == fleet.KindAgent.String() && m.Service == v.settings.Service {
 			byDomain[m.Domain] = append(byDomain[m.Domain], m.ID)
 			count++
 		}
 	}
-	mine := byDomain[v.set.Domain]
-	slices.Sort(mine)
-	at := max(0, slices.Index(mine, v.set.ID))
-	at = (at + int(number)) % max(1, len(mine))
+	domainIDs := byDomain[v.settings.Domain]
+	slices.Sort(domainIDs)
+	position := max(0, slices.Index(domainIDs, v.settings.ID))
+	position = (position + int(number)) % max(1, len(domainIDs))
 	for d, ids := range byDomain {
-		if d < v.set.Domain {
-			rank += min(len(ids), at+1)
+		if d < v.settings.Domain {
+			rank += min(len(ids), position+1)
 		} else {
-			rank += min(len(ids), at)
+			rank += min(len(ids), position)
 		}
 	}
 	return rank, max(count, 1)
 }
 
-// originService returns the service of the origin, or an empty one.
+// originService returns the service of the origin, or an empty one if none is known.
 func (v *view) originService() routes.Service {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.config == nil {
+	if v.routeTable == nil {
 		return routes.Service{}
 	}
-	for _, s := range v.config.Services {
+	for _, s := range v.routeTable.Services {
 		if s.Origin != "" {
 			return s
 		}
@@ -243,32 +253,36 @@
 	return routes.Service{}
 }
 
+// originRate returns the capacity of the origin's link in bytes per second, or 0 if it
+// is not known.
 func (v *view) originRate() int64 { return v.originService().OriginBytesPerSecond }
 
-// namedOrigin gives package chunks, which knows versions by their digest, the
-// versions of an origin that numbers them.
-type namedOrigin struct {
-	view *view
-	open func(fleet.Address) port.NumberedOrigin
-
-	mu     sync.Mutex // guards the following
-	client port.NumberedOrigin
-	addr   fleet.Address
-	names  []namedVersion
-	lost   bool
+// originAdapter implements port.Origin, whose versions are digests, with an origin
+// that numbers its versions.
+type originAdapter struct {
+	view      *view
+	newClient func(fleet.Address) port.NumberedOrigin
+
+	mu          sync.Mutex // guards the following
+	client      port.NumberedOrigin
+	addr        fleet.Address
+	resolved    []resolvedVersion
+	unreachable bool
 }
 
-type namedVersion struct {
+// resolvedVersion is numbered weights whose manifest is known.
+type resolvedVersion struct {
 	port.ModelWeights
 	id  fleet.Version
 	man manifest.Manifest
 }
 
-var _ port.Origin = (*namedOrigin)(nil)
+var _ port.Origin = (*originAdapter)(nil)
 
 var errNoOrigin = errors.New("no origin is configured")
 
-func (o *namedOrigin) get() (port.NumberedOrigin, error) {
+// currentClient returns a client for the configured address of the origin.
+func (o *originAdapter) currentClient() (port.NumberedOrigin, error) {
 	addr := o.view.originService().Origin
 	if addr == "" {
 		return nil, errNoOrigin
@@ -276,27 +290,29 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.client == nil || o.addr != addr {
-		o.client, o.addr = o.open(addr), addr
+		o.client, o.addr = o.newClient(addr), addr
 	}
 	return o.client, nil
 }
 
-// versionName is what loaders call numbered weights before they know the digest.
+// versionName returns the name by which loaders identify numbered weights before they
+// know the digest.
 func versionName(w port.ModelWeights) fleet.Version {
 	return fleet.Version(fmt.Sprintf("%s@%d", w.Model, w.Number))
 }
 
-// resolve returns the manifest of numbered weights. The origin may spoil an answer, so two answers have to agree.
-func (o *namedOrigin) resolve(ctx context.Context, w port.ModelWeights) (manifest.Manifest, error) {
-	c, err := o.get()
+// resolveManifest returns the manifest of numbered weights. Responses of the origin may
+// be corrupted, so two of them have to agree.
+func (o *originAdapter) resolveManifest(ctx context.Context, w port.ModelWeights) (manifest.Manifest, error) {
+	c, err := o.currentClient()
 	if err != nil {
 		return manifest.Manifest{}, err
 	}
 	seen := map[fleet.Version]bool{}
-	const tries = 4 // one spoilt answer in 25 leaves two that agree among these
-	for range tries {
+	const attempts = 4 // if one response in 25 is corrupted, two of these agree
+	for range attempts {
 		man, e := c.Manifest(ctx, w)
-		o.note(ctx, e)
+		o.logReachability(ctx, e)
 		if errors.Is(e, port.ErrVersionUnknown) {
 			return manifest.Manifest{}, e
 		}
@@ -311,36 +327,39 @@
 		seen[id] = true
 	}
 	if err == nil {
-		err = errors.New("manifests of the origin differ")
+		err = errors.New("no two manifests from the origin agree")
 	}
 	return manifest.Manifest{}, err
 }
 
-func (o *namedOrigin) remember(n namedVersion) {
+// remember keeps a resolved version for later lookups.
+func (o *originAdapter) remember(n resolvedVersion) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	const kept = 4 // more than are fetched at a time
-	o.names = append(o.names, n)
-	o.names = o.names[max(0, len(o.names)-kept):]
+	const maxKept = 4 // more than are fetched at the same time
+	o.resolved = append(o.resolved, n)
+	o.resolved = o.resolved[max(0, len(o.resolved)-maxKept):]
 }
 
-func (o *namedOrigin) named(id fleet.Version) (namedVersion, error) {
+// lookup returns a remembered version, or port.ErrVersionUnknown.
+func (o *originAdapter) lookup(id fleet.Version) (resolvedVersion, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, n := range o.names {
+	for _, n := range o.resolved {
 		if n.id == id {
 			return n, nil
 		}
 	}
-	return namedVersion{}, port.ErrVersionUnknown
+	return resolvedVersion{}, port.ErrVersionUnknown
 }
 
-// newest returns the newest complete version of a model above a number.
-func (o *namedOrigin) newest(m fleet.Model, above int64, complete func(fleet.Version) bool) (namedVersion, bool) {
+// newestComplete returns the complete version of a model with the highest number above
+// the given one.
+func (o *originAdapter) newestComplete(m fleet.Model, above int64, complete func(fleet.Version) bool) (resolvedVersion, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var best namedVersion
-	for _, n := range o.names {
+	var best resolvedVersion
+	for _, n := range o.resolved {
 		if n.Model == m && n.Number > max(above, best.Number) && complete(n.id) {
 			best = n
 		}
@@ -349,35 +368,36 @@
 }
 
 // Manifest implements port.Origin.
-func (o *namedOrigin) Manifest(_ context.Context, id fleet.Version) (manifest.Manifest, error) {
-	n, err := o.named(id)
+func (o *originAdapter) Manifest(_ context.Context, id fleet.Version) (manifest.Manifest, error) {
+	n, err := o.lookup(id)
 	return n.man, err
 }
 
 // Chunk implements port.Origin.
-func (o *namedOrigin) Chunk(ctx context.Context, id fleet.Version, i int) (io.ReadCloser, error) {
-	n, err := o.named(id)
+func (o *originAdapter) Chunk(ctx context.Context, id fleet.Version, i int) (io.ReadCloser, error) {
+	n, err := o.lookup(id)
 	if err != nil {
 		return nil, err
 	}
-	c, err := o.get()
+	c, err := o.currentClient()
 	if err != nil {
 		return nil, err
 	}
 	rc, err := c.Chunk(ctx, n.ModelWeights, i)
-	o.note(ctx, err)
+	o.logReachability(ctx, err)
 	return rc, err
 }
 
-// note logs when the origin stops to answer, and when it answers again.
-func (o *namedOrigin) note(ctx context.Context, err error) {
+// logReachability logs when the origin stops responding and when it responds again. err
+// is the result of a call.
+func (o *originAdapter) logReachability(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	failed := err != nil && !errors.Is(err, port.ErrVersionUnknown)
 	o.mu.Lock()
-	changed := failed != o.lost
-	o.lost = failed
+	changed := failed != o.unreachable
+	o.unreachable = failed
 	o.mu.Unlock()
 	switch {
 	case changed && failed:
