--- a/internal/core/eventstream/eventstream.go
+++ b/internal/core/eventstream/eventstream.go
@@ -1,61 +1,66 @@
-// Package eventstream cuts a stream of server-sent events into whole events,
-// so that an answer never ends, or goes on elsewhere, in the middle of one.
+// Package eventstream splits a stream of server-sent events at event
+// boundaries, so that a response never ends, or continues from another target,
+// in the middle of an event.
 package eventstream
 
 import "bytes"
 
-// MaxEventBytes bounds an event that is not complete yet. Events of model
-// engines are well below 1 KiB.
+// MaxEventBytes bounds an incomplete event. Events of model engines are well
+// below 1 KiB.
 const MaxEventBytes = 1 << 20
 
-// Splitter collects bytes and returns whole events. The zero value is ready.
+// Splitter buffers bytes and returns complete events. The zero value is ready
+// to use.
 type Splitter struct {
 	pending []byte
 	lastID  string
 	events  int
 }
 
-// Push takes the next bytes and returns all events that are complete with them.
-// The result is valid until the next call. It returns false if an event is
-// longer than MaxEventBytes.
+// Push appends b and returns all events that are now complete. The result is
+// valid until the next call. It returns false if an event exceeds
+// MaxEventBytes.
 func (s *Splitter) Push(b []byte) ([]byte, bool) {
 	s.pending = append(s.pending, b...)
-	end := lastEnd(s.pending)
+	end := lastEventEnd(s.pending)
 	if end == 0 {
 		return nil, len(s.pending) <= MaxEventBytes
 	}
-	whole := s.pending[:end:end]
-	s.scan(whole)
+	complete := s.pending[:end:end]
+	s.countEvents(complete)
 	s.pending = append([]byte(nil), s.pending[end:]...)
-	return whole, true
+	return complete, true
 }
 
-// PartialBytes returns the number of bytes of an event that is not complete.
+// PartialBytes returns the number of buffered bytes of an incomplete event.
 func (s *Splitter) PartialBytes() int { return len(s.pending) }
 
-// DiscardPartial drops the bytes of an event that is not complete.
+// DiscardPartial drops the buffered bytes of an incomplete event.
 func (s *Splitter) DiscardPartial() { s.pending = nil }
 
-// LastID returns the id of the last whole event, or an empty text.
+// LastID returns the id of the last complete event that has one, or an empty
+// string.
 func (s *Splitter) LastID() string { return s.lastID }
 
-// EventCount returns the number of whole events.
+// EventCount returns the number of complete events so far.
 func (s *Splitter) EventCount() int { return s.events }
 
-// lastEnd returns the offset behind the last blank line.
-func lastEnd(b []byte) int {
-	return max(behind(b, "\n\n"), behind(b, "\r\n\r\n"))
+// lastEventEnd returns the offset after the last blank line, or 0.
+func lastEventEnd(b []byte) int {
+	return max(endOfLast(b, "\n\n"), endOfLast(b, "\r\n\r\n"))
 }
 
-func behind(b []byte, sep string) int {
-	at := bytes.LastIndex(b, []byte(sep))
-	if at < 0 {
+// endOfLast returns the offset after the last occurrence of sep, or 0.
+func endOfLast(b []byte, sep string) int {
+	i := bytes.LastIndex(b, []byte(sep))
+	if i < 0 {
 		return 0
 	}
-	return at + len(sep)
+	return i + len(sep)
 }
 
-func (s *Splitter) scan(b []byte) {
+// countEvents updates the event count and the last id from complete events.
+func (s *Splitter) countEvents(b []byte) {
 	for len(b) > 0 {
 		line, rest, _ := bytes.Cut(b, []byte("\n"))
 		b = rest
--- a/internal/core/eventstream/eventstream_test.go
+++ b/internal/core/eventstream/eventstream_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestOnlyWholeEvents guards against a part of an event that reaches the caller
-// before the stream goes on elsewhere.
-func TestOnlyWholeEvents(t *testing.T) {
+// TestOnlyCompleteEvents guards against sending the caller a part of an event
+// before the stream continues from another target.
+func TestOnlyCompleteEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sep := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "line end")
 		var all strings.Builder
@@ -31,7 +31,7 @@
 			in = in[k:]
 		}
 		if out.String() != all.String() || s.PartialBytes() != len(tail) || s.EventCount() != n {
-			t.Fatalf("passed %q of %q, rest %d, %d events", out.String(), all.String(), s.PartialBytes(), s.EventCount())
+			t.Fatalf("returned %q of %q, %d bytes left, %d events", out.String(), all.String(), s.PartialBytes(), s.EventCount())
 		}
 		want := ""
 		if n > 0 {
@@ -43,22 +43,22 @@
 	})
 }
 
-// TestDiscard guards against the rest of a broken event that is joined with the
-// answer of another target.
-func TestDiscard(t *testing.T) {
+// TestDiscardPartial guards against joining the rest of an interrupted event to
+// the response of another target.
+func TestDiscardPartial(t *testing.T) {
 	var s Splitter
 	s.Push([]byte("id: 1\n\nid: 2\nda"))
 	s.DiscardPartial()
 	b, _ := s.Push([]byte("id: 2\n\n"))
 	if string(b) != "id: 2\n\n" || s.LastID() != "2" {
-		t.Errorf("passed %q, last id %q", b, s.LastID())
+		t.Errorf("returned %q, last id %q", b, s.LastID())
 	}
 }
 
-// TestLongEvent guards against a target that sends an event without end.
-func TestLongEvent(t *testing.T) {
+// TestEventTooLong guards against a target that sends an endless event.
+func TestEventTooLong(t *testing.T) {
 	var s Splitter
 	if _, ok := s.Push(make([]byte, MaxEventBytes+1)); ok {
-		t.Error("an event longer than the bound is kept")
+		t.Error("an event longer than MaxEventBytes is accepted")
 	}
 }
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -1,38 +1,38 @@
-// Package fleet defines the names of the parts of a deployment as distinct
-// types, so that one is not passed for another.
+// Package fleet defines distinct types for the names and classes used across a
+// deployment, so that one kind of name cannot be passed for another.
 package fleet
 
-// Names of the parts of a deployment.
 type (
-	// Region is a set of failure domains with short links between them.
+	// Region is a set of failure domains with low network latency between them.
 	Region string
-	// Domain is a failure domain: VMs that tend to fail, or to be taken out,
-	// together.
+	// Domain is a failure domain: VMs that tend to fail, or to be taken out of
+	// service, together.
 	Domain string
-	// VM is the name of one virtual machine.
+	// VM is the name of a virtual machine.
 	VM string
-	// Address is "ip:port".
+	// Address is a network address of the form "ip:port".
 	Address string
-	// Customer is a client account.
+	// Customer is the name of a client account.
 	Customer string
-	// Group is a labelled set of VMs that serve one model.
+	// Group is the name of a labelled set of VMs that serve one model.
 	Group string
 	// Model is the name of a model.
 	Model string
 	// Version is the hexadecimal digest of a manifest.
 	Version string
-	// Service is the name of a plain service beside the model engines.
+	// Service is the name of a plain service, that is, one that is not a model
+	// engine.
 	Service string
-	// Instance names one run of a target; an address may be used by others.
+	// Instance identifies one run of a target. A later run may have the same
+	// address.
 	Instance string
 	// RequestID identifies one request across all hops.
 	RequestID string
 )
 
-// Kind says which binary a member runs.
+// Kind is the type of program that a member of the fleet runs.
 type Kind uint8
 
-// The kinds of members.
 const (
 	KindUnknown Kind = iota
 	KindEntry
@@ -51,7 +51,8 @@
 	}
 }
 
-// Class is the priority class of a request; a lower value goes first.
+// Class is the priority class of a request. A lower value has a higher
+// priority.
 type Class uint8
 
 // The classes, most urgent first.
@@ -78,7 +79,7 @@
 	return "unknown"
 }
 
-// ParseClass returns the class called s.
+// ParseClass returns the class named s and whether there is one.
 func ParseClass(s string) (Class, bool) {
 	for i, n := range classNames {
 		if n == s {
--- a/internal/core/inflight/inflight.go
+++ b/internal/core/inflight/inflight.go
@@ -1,9 +1,10 @@
-// Package inflight counts work in progress and signals when there is none.
+// Package inflight counts operations in progress and signals when none is left.
 package inflight
 
 import "sync/atomic"
 
-// Counter counts work in progress. One goroutine may wait for its end.
+// Counter counts operations in progress. At most one goroutine may wait on its
+// IdleSignal.
 type Counter struct {
 	n    atomic.Int64
 	idle chan struct{}
@@ -12,10 +13,10 @@
 // New returns a counter at zero.
 func New() *Counter { return &Counter{idle: make(chan struct{}, 1)} }
 
-// Start counts the start of one piece of work.
+// Start counts the start of an operation.
 func (c *Counter) Start() { c.n.Add(1) }
 
-// Done counts the end of one piece of work.
+// Done counts the end of an operation.
 func (c *Counter) Done() {
 	if c.n.Add(-1) > 0 {
 		return
@@ -26,12 +27,13 @@
 	}
 }
 
-// Idle reports whether no work is in progress.
+// Idle reports whether no operation is in progress.
 func (c *Counter) Idle() bool { return c.Count() == 0 }
 
-// Count returns the work in progress.
+// Count returns the number of operations in progress.
 func (c *Counter) Count() int64 { return c.n.Load() }
 
-// IdleSignal receives after the last piece of work has ended. The signal may be of an
-// earlier end, and work may have started since, so the receiver asks Idle again.
+// IdleSignal returns a channel that receives a value after the last operation
+// has ended. The value may be left over from an earlier idle time, so the
+// receiver must check Idle.
 func (c *Counter) IdleSignal() <-chan struct{} { return c.idle }
--- a/internal/core/inflight/inflight_test.go
+++ b/internal/core/inflight/inflight_test.go
@@ -7,26 +7,27 @@
 	"github.com/sourcegraph/conc"
 )
 
-// TestLeftWakes guards against a waiter that sleeps on after the last piece of
-// work has ended, and against one that an old signal ends too early.
-func TestLeftWakes(t *testing.T) {
+// TestIdleSignalWakesWaiter guards against a waiter that is not woken when the
+// last operation ends, and against one that returns early because of a stale
+// signal.
+func TestIdleSignalWakesWaiter(t *testing.T) {
 	for range 200 {
 		c := New()
 		c.Start()
-		c.Done() // leaves an old signal behind
-		const works = 8
-		for range works {
+		c.Done() // leaves a stale signal
+		const operations = 8
+		for range operations {
 			c.Start()
 		}
 		var wg conc.WaitGroup
-		for range works {
+		for range operations {
 			wg.Go(c.Done)
 		}
 		for !c.Idle() {
 			select {
 			case <-c.IdleSignal():
 			case <-time.After(10 * time.Second):
-				t.Fatal("the end of the last piece of work woke nobody")
+				t.Fatal("no signal after the last operation ended")
 			}
 		}
 		wg.Wait()
--- a/internal/core/revision/revision.go
+++ b/internal/core/revision/revision.go
@@ -1,8 +1,8 @@
-// Package revision holds the newest declaration that a process knows, and how
-// long ago the platform confirmed it as the newest.
+// Package revision stores the newest declaration known to a process and the age
+// of the platform's confirmation that it is the newest.
 //
-// The revision held never falls: a document with a lower or equal revision is
-// not accepted, whatever its source.
+// The revision never decreases: a declaration with a lower or equal revision is
+// rejected, whatever its source.
 package revision
 
 import (
@@ -12,42 +12,43 @@
 	"github.com/masticwing/masticwing/internal/core/declare"
 )
 
-// Unconfirmed is the age of a declaration that the platform never confirmed.
+// Unconfirmed is the age of a declaration that the platform has not confirmed.
 const Unconfirmed = time.Duration(-1)
 
-// Snapshot is a declaration with its stored form.
+// Snapshot is a declaration in decoded and in stored form.
 type Snapshot struct {
 	Declaration *declare.Declaration
-	// Stored is the document as the platform stores it; it is passed on
+	// Stored is the document as the platform stores it. It is forwarded
 	// unchanged and must not be modified.
 	Stored []byte
 }
 
-// Store holds the newest declaration. The zero value holds none. One lock
-// covers the pointer and its age, which change together.
+// Store holds the newest declaration. The zero value is empty. One lock guards
+// the declaration and its age, which change together.
 type Store struct {
 	mu        sync.Mutex
-	held      Snapshot
+	current   Snapshot
 	confirmed time.Time
 }
 
-// Accept takes h if its revision is higher than the one held, and reports
-// whether it did. age is the time since the platform confirmed it, or
-// negative; an equal revision only lowers the age.
-func (s *Store) Accept(h Snapshot, age time.Duration, now time.Time) bool {
+// Accept replaces the current declaration if the revision of next is higher,
+// and reports whether it did. The age is the time since the platform confirmed
+// that revision, or negative if it did not. An equal revision can only lower
+// the age.
+func (s *Store) Accept(next Snapshot, age time.Duration, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if h.Declaration.Revision <= s.revisionLocked() {
-		s.confirmLocked(h.Declaration.Revision, age, now)
+	if next.Declaration.Revision <= s.revisionLocked() {
+		s.confirmLocked(next.Declaration.Revision, age, now)
 		return false
 	}
-	s.held, s.confirmed = h, time.Time{}
-	s.confirmLocked(h.Declaration.Revision, age, now)
+	s.current, s.confirmed = next, time.Time{}
+	s.confirmLocked(next.Declaration.Revision, age, now)
 	return true
 }
 
-// Confirm notes that the platform had rev as its newest revision age ago. It
-// has no effect for another revision than the one held.
+// Confirm records that revision rev was the newest of the platform at the given
+// age before now. It has no effect unless rev is the current revision.
 func (s *Store) Confirm(rev uint64, age time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,26 +65,26 @@
 }
 
 func (s *Store) revisionLocked() uint64 {
-	if s.held.Declaration == nil {
+	if s.current.Declaration == nil {
 		return 0
 	}
-	return s.held.Declaration.Revision
+	return s.current.Declaration.Revision
 }
 
-// Revision returns the revision held, or 0.
+// Revision returns the current revision, or 0 if the store is empty.
 func (s *Store) Revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revisionLocked()
 }
 
-// Snapshot returns what is held and its age, Unconfirmed if it was never
-// confirmed. The declaration is nil if none is known.
+// Snapshot returns the current declaration and its age, or Unconfirmed. The
+// declaration is nil if the store is empty.
 func (s *Store) Snapshot(now time.Time) (Snapshot, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.confirmed.IsZero() {
-		return s.held, Unconfirmed
+		return s.current, Unconfirmed
 	}
-	return s.held, max(0, now.Sub(s.confirmed))
+	return s.current, max(0, now.Sub(s.confirmed))
 }
--- a/internal/core/revision/revision_test.go
+++ b/internal/core/revision/revision_test.go
@@ -9,9 +9,9 @@
 	"github.com/masticwing/masticwing/internal/core/declare"
 )
 
-// TestRevisionNeverFalls guards against a process that returns to an older
-// declaration, and against an age that belongs to another revision.
-func TestRevisionNeverFalls(t *testing.T) {
+// TestRevisionNeverDecreases guards against returning to an older declaration,
+// and against an age that belongs to another revision.
+func TestRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Store
 		now, last := time.Unix(1000, 0), uint64(0)
@@ -21,9 +21,9 @@
 			age := time.Duration(rapid.IntRange(-1, 5).Draw(t, "age")) * time.Second
 			_, ageBefore := s.Snapshot(now)
 			if rapid.Bool().Draw(t, "accept") {
-				took := s.Accept(Snapshot{Declaration: &declare.Declaration{Revision: rev}}, age, now)
-				if took != (rev > last) {
-					t.Fatalf("accepted %d over %d: %v", rev, last, took)
+				accepted := s.Accept(Snapshot{Declaration: &declare.Declaration{Revision: rev}}, age, now)
+				if accepted != (rev > last) {
+					t.Fatalf("accepted %d over %d: %v", rev, last, accepted)
 				}
 				last = max(last, rev)
 			} else {
@@ -40,9 +40,9 @@
 	})
 }
 
-// TestAge guards against an age that shrinks by an older confirmation or that
-// is reported without one.
-func TestAge(t *testing.T) {
+// TestConfirmationNeverRaisesAge guards against an age taken from an older
+// confirmation, and against an age without any confirmation.
+func TestConfirmationNeverRaisesAge(t *testing.T) {
 	var s Store
 	now := time.Unix(1000, 0)
 	s.Accept(Snapshot{Declaration: &declare.Declaration{Revision: 3}}, Unconfirmed, now)
--- a/internal/core/shard/shard_test.go
+++ b/internal/core/shard/shard_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMapMatchesModel guards against a key that is written to one shard and
-// read from another.
+// TestMapMatchesModel guards against writing a key to one shard and reading it
+// from another.
 func TestMapMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New[int, int](rapid.IntRange(0, 9).Draw(t, "shards"))
@@ -23,7 +23,7 @@
 				k := rapid.IntRange(0, 20).Draw(t, "k")
 				_, had := model[k]
 				if m.Delete(k) != had {
-					t.Fatalf("Delete(%d) disagrees with the model", k)
+					t.Fatalf("Delete(%d) does not match the model", k)
 				}
 				delete(model, k)
 			},
@@ -41,7 +41,7 @@
 	})
 }
 
-// TestUpdateIsAtomic guards against a lost update between two goroutines.
+// TestUpdateIsAtomic guards against lost updates by concurrent goroutines.
 func TestUpdateIsAtomic(t *testing.T) {
 	const workers, rounds = 8, 500
 	m := New[string, int](4)
--- a/internal/core/verdict/verdict.go
+++ b/internal/core/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict defines the error type of the product. Each error says
-// whether the request that it belongs to may have run.
+// Package verdict defines the error type returned to callers. Each error says
+// whether the request that it answers may have run.
 package verdict
 
 import (
@@ -12,8 +12,7 @@
 // Verdict says whether a request ran at its target.
 type Verdict uint8
 
-// The zero value is MayHaveRun, so that an error whose origin is unknown never
-// claims that the request did not run.
+// XX
 const (
 	MayHaveRun Verdict = iota
 	NotRun
@@ -32,7 +31,8 @@
 	}
 }
 
-// Parse returns the verdict for s, or MayHaveRun if s is not known.
+// Parse returns the verdict written as s. Unknown text yields MayHaveRun, which
+// makes no claim about the request.
 func Parse(s string) Verdict {
 	switch s {
 	case "not-run":
@@ -44,7 +44,7 @@
 	}
 }
 
-// Code is a stable, machine-readable reason.
+// Code is a stable, machine-readable error code.
 type Code string
 
 // Codes of errors that callers can see. docs/http.md lists the HTTP status of
@@ -82,7 +82,7 @@
 	CodeStaleConfiguration Code = "configuration_stale"
 )
 
-// Error is a typed error with a verdict.
+// Error is an error with a verdict and a code.
 type Error struct {
 	Verdict    Verdict
 	Code       Code
@@ -96,21 +96,22 @@
 	return &Error{Verdict: v, Code: c, Message: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an error that keeps cause for errors.Is and errors.As.
+// Wrap returns an error with a cause that errors.Is and errors.As can find.
 func Wrap(cause error, v Verdict, c Code, format string, args ...any) *Error {
 	e := New(v, c, format, args...)
 	e.cause = cause
 	return e
 }
 
-// WithRetryAfter returns a copy of e that tells the caller when to try again.
+// WithRetryAfter returns a copy of e that tells the caller how long to wait
+// before a retry.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// WithVerdict returns a copy of e with another verdict.
+// WithVerdict returns a copy of e with the given verdict.
 func (e *Error) WithVerdict(v Verdict) *Error {
 	c := *e
 	c.Verdict = v
@@ -128,8 +129,9 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// FromError returns the *Error in err's chain. Any other error becomes CodeInternal
-// with MayHaveRun, since nothing is known about it.
+// FromError returns the first *Error in the chain of err. Any other error
+// becomes CodeInternal with MayHaveRun, since nothing is known about the
+// request.
 func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/internal/core/verdict/verdict_test.go
+++ b/internal/core/verdict/verdict_test.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// TestUnknownErrorsMayHaveRun guards against reporting a request as not run
-// when nothing is known about it.
+// TestUnknownErrorsMayHaveRun guards against a "not run" verdict for an error
+// or text that says nothing about the request.
 func TestUnknownErrorsMayHaveRun(t *testing.T) {
 	if v := FromError(errors.New("connection reset")).Verdict; v != MayHaveRun {
 		t.Fatalf("verdict = %v, want %v", v, MayHaveRun)
@@ -17,8 +17,8 @@
 	}
 }
 
-// TestWrappedErrorKeepsVerdict guards against a verdict that is lost when a
-// caller adds context.
+// TestWrappedErrorKeepsVerdict guards against losing the verdict when a caller
+// wraps the error.
 func TestWrappedErrorKeepsVerdict(t *testing.T) {
 	err := errors.Wrap(New(NotRun, CodeTargetFull, "10 of 10 requests"), "opening stream")
 	e := FromError(err)
