--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -49,7 +49,7 @@
 	refusing         atomic.Bool
 	active           *inflight.Counter
 	source           *feed.Source
-	hub              *feed.Hub
+	hub              *feed.Server
 	operatorFollower *follow.Follower
 	// applyOperatorKeys publishes changes of the operator keys, which are the store's keys
 	// that operators write, to other processes and applies them to the view.
@@ -71,12 +71,12 @@
 	}
 	ps := d.Facts.Prefixes()
 	readers := func() []core.Member { return *g.view.readers.Load() }
-	g.source = feed.NewSource(d.Store, d.Feed, d.Clock, d.Log, readers, map[string]feed.Prefix{
-		ps.Operator: {Wait: feedWaitOperator, Direct: storeWaitOperator},
-		ps.Targets:  {Wait: feedWaitTargets, Direct: storeWaitTargets},
-		ps.Members:  {Wait: feedWaitMembers, Direct: storeWaitMembers},
+	g.source = feed.NewSource(d.Store, d.Feed, d.Clock, d.Log, readers, map[string]feed.PrefixOptions{
+		ps.Operator: {Wait: feedWaitOperator, MaxStoreWait: storeWaitOperator},
+		ps.Targets:  {Wait: feedWaitTargets, MaxStoreWait: storeWaitTargets},
+		ps.Members:  {Wait: feedWaitMembers, MaxStoreWait: storeWaitMembers},
 	})
-	g.hub = feed.NewHub(d.Clock, g.viewAge)
+	g.hub = feed.NewServer(d.Clock, g.viewAge)
 	g.operatorFollower = g.newFollower(ps.Operator, operatorBatchDelay)
 	g.applyOperatorKeys = g.publishThenApply(g.operatorFollower, func(e follow.Event) {
 		at := d.Clock.SinceBoot()
--- a/internal/core/revision/revision_test.go
+++ b/internal/core/revision/revision_test.go
@@ -9,9 +9,9 @@
 	"github.com/masticwing/masticwing/internal/core/declare"
 )
 
-// TestRevisionNeverFalls guards against a process that returns to an older
-// declaration, and against an age that belongs to another revision.
-func TestRevisionNeverFalls(t *testing.T) {
+// TestRevisionNeverDecreases guards against returning to an older declaration,
+// and against an age that belongs to another revision.
+func TestRevisionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Store
 		now, last := time.Unix(1000, 0), uint64(0)
@@ -19,17 +19,17 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "wait")) * time.Second)
 			rev := rapid.Uint64Range(1, 9).Draw(t, "rev")
 			age := time.Duration(rapid.IntRange(-1, 5).Draw(t, "age")) * time.Second
-			_, ageBefore := s.Current(now)
+			_, ageBefore := s.Snapshot(now)
 			if rapid.Bool().Draw(t, "accept") {
-				took := s.Accept(Snapshot{Declaration: &declare.Declaration{Revision: rev}}, age, now)
-				if took != (rev > last) {
-					t.Fatalf("accepted %d over %d: %v", rev, last, took)
+				accepted := s.Accept(Snapshot{Declaration: &declare.Declaration{Revision: rev}}, age, now)
+				if accepted != (rev > last) {
+					t.Fatalf("accepted %d over %d: %v", rev, last, accepted)
 				}
 				last = max(last, rev)
 			} else {
 				s.Confirm(rev, age, now)
 			}
-			_, ageAfter := s.Current(now)
+			_, ageAfter := s.Snapshot(now)
 			if s.Revision() != last {
 				t.Fatalf("revision %d, want %d", s.Revision(), last)
 			}
@@ -40,18 +40,18 @@
 	})
 }
 
-// TestAge guards against an age that shrinks by an older confirmation or that
-// is reported without one.
-func TestAge(t *testing.T) {
+// TestConfirmationNeverRaisesAge guards against an age taken from an older
+// confirmation, and against an age without any confirmation.
+func TestConfirmationNeverRaisesAge(t *testing.T) {
 	var s Store
 	now := time.Unix(1000, 0)
 	s.Accept(Snapshot{Declaration: &declare.Declaration{Revision: 3}}, Unconfirmed, now)
-	if _, age := s.Current(now); age != Unconfirmed {
+	if _, age := s.Snapshot(now); age != Unconfirmed {
 		t.Errorf("age = %v, want unconfirmed", age)
 	}
 	s.Confirm(3, 2*time.Second, now)
 	s.Confirm(3, 9*time.Second, now)
-	if _, age := s.Current(now.Add(time.Second)); age != 3*time.Second {
+	if _, age := s.Snapshot(now.Add(time.Second)); age != 3*time.Second {
 		t.Errorf("age = %v, want 3s", age)
 	}
 }
