--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -95,9 +95,10 @@
 	})
 }
 
-// SetCordoned sets whether new requests are refused because the target is cordoned.
-func (t *Table) SetCordoned(target string, cordoned bool) {
-	t.update(target, func(s *targetState) { s.cordoned = cordoned })
+// SetCordoned cordons the target, or ends the cordon. A cordoned target refuses new
+// requests.
+func (t *Table) SetCordoned(target string, on bool) {
+	t.update(target, func(s *targetState) { s.cordoned = on })
 }
 
 // SetLeaving makes the target refuse all further requests, permanently.
--- a/internal/core/admission/identity_test.go
+++ b/internal/core/admission/identity_test.go
@@ -96,10 +96,10 @@
 	inFlight, served int
 }
 
-// simCall is a request between admission and release, admitted at sentAt.
+// simCall is a request between admission and release, admitted at the time sent.
 type simCall struct {
 	permit *Permit
-	sentAt time.Time
+	sent   time.Time
 }
 
 // sim simulates admission to an engine. Requests and responses of an engine that
@@ -112,7 +112,7 @@
 	checksIdentity bool
 	now            time.Time
 	engine         simEngine
-	inTransit      []simCall
+	sent           []simCall
 	running        []simCall
 	finished       []simCall
 	reports        []Observation
@@ -133,19 +133,19 @@
 	if p == nil {
 		return
 	}
-	s.inTransit = append(s.inTransit, simCall{p, s.now})
+	s.sent = append(s.sent, simCall{p, s.now})
 	if !s.checksIdentity {
 		s.arrive(t)
 	}
 }
 
 func (s *sim) arrive(t *rapid.T) {
-	c, ok := removeAny(t, &s.inTransit)
+	c, ok := removeAny(t, &s.sent)
 	if !ok {
 		return
 	}
 	if s.checksIdentity && c.permit.ExpectedIdentity() != s.engine.id {
-		s.table.ObserveEngine("t", Observation{EngineIdentity: s.engine.id, ChecksIdentity: true, AskedAt: c.sentAt}, s.now)
+		s.table.ObserveEngine("t", Observation{EngineIdentity: s.engine.id, ChecksIdentity: true, AskedAt: c.sent}, s.now)
 		c.permit.Release(Unused, s.now)
 		return
 	}
