--- a/internal/core/routing/hash.go
+++ b/internal/core/routing/hash.go
@@ -1,5 +1,5 @@
-// Package routing decides where an entry sends a request: which agents it
-// watches, which target it tries next, and whether it may retry.
+// Package routing decides where an entry sends a request: which agents it watches
+// for their status, which target it tries next, and whether it may retry.
 package routing
 
 import (
@@ -14,8 +14,8 @@
 	fnvPrime  = 1099511628211
 )
 
-// Hash returns a hash of the parts that is the same in every process. Parts
-// are delimited, so that ("a", "bc") and ("ab", "c") differ.
+// Hash returns a hash of the parts that is the same in every process. Parts are
+// delimited, so ("a", "bc") and ("ab", "c") have different hashes.
 func Hash(parts ...string) uint64 {
 	h := uint64(fnvOffset)
 	for _, p := range parts {
@@ -27,16 +27,17 @@
 	return mix(h)
 }
 
-// mix spreads the bits of an FNV hash, whose high bits depend little on the
-// last bytes of short inputs.
+// mix is a finalizer for FNV hashes, whose high bits depend little on the last
+// bytes of short inputs.
 func mix(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
 	return h ^ h>>33
 }
 
-// RendezvousRank returns the ids in rendezvous order for a key: each process computes
-// the same order, and an id that joins or leaves moves only its own share.
+// RendezvousRank returns the ids in the order of rendezvous hashing for a key.
+// Every process computes the same order, and adding or removing an id does not
+// change the order of the others.
 func RendezvousRank(key uint64, ids []string) []string {
 	type scored struct {
 		id    string
@@ -44,7 +45,7 @@
 	}
 	s := make([]scored, len(ids))
 	for i, id := range ids {
-		s[i] = scored{id, score(key, id)}
+		s[i] = scored{id, rendezvousScore(key, id)}
 	}
 	slices.SortFunc(s, func(a, b scored) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.id, b.id))
@@ -56,9 +57,11 @@
 	return out
 }
 
-func score(key uint64, id string) uint64 { return mix(key ^ Hash(id)) }
+// rendezvousScore returns the weight of an id for a key in rendezvous hashing.
+func rendezvousScore(key uint64, id string) uint64 { return mix(key ^ Hash(id)) }
 
-// LedgerPartitionKey is the rendezvous key of a service's ledger partition.
+// LedgerPartitionKey returns the rendezvous key that determines the agent of a
+// partition of a service's ledger.
 func LedgerPartitionKey(s fleet.Service, partition int) uint64 {
 	return mix(Hash("once", string(s)) + uint64(partition))
 }
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -16,17 +16,17 @@
 	pool  = Pool{Group: "g"}
 )
 
-// TestHashIsStable guards against a hash that changes between releases: two
-// versions of the product would disagree on the agent of a partition.
-func TestHashIsStable(t *testing.T) {
+// TestHashStable guards against a hash that changes between releases. Processes of
+// different releases would then disagree on the agent of a ledger partition.
+func TestHashStable(t *testing.T) {
 	if h := Hash("a", "bc"); h != 0xb1ab3f8db794b96 || h == Hash("ab", "c") {
 		t.Errorf("Hash(a, bc) = %#x", h)
 	}
 }
 
-// TestRankMovesLittle guards against a key that moves to another agent when an
-// unrelated agent leaves.
-func TestRankMovesLittle(t *testing.T) {
+// TestRendezvousRankStable guards against a key that moves to another agent when an
+// unrelated agent is removed.
+func TestRendezvousRankStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfNDistinct(rapid.StringN(1, 8, -1), 2, 20, rapid.ID[string]).Draw(t, "ids")
 		key := rapid.Uint64().Draw(t, "key")
@@ -42,8 +42,8 @@
 	})
 }
 
-// TestSubsetBalance guards against agents that many entries watch while others
-// are watched by none, and against an entry without targets in other domains.
+// TestSubsetBalance guards against agents that many entries watch while others are
+// watched by none, and against an entry that watches no agents in other domains.
 func TestSubsetBalance(t *testing.T) {
 	const entries, agents, domains = 390, 2400, 14
 	var all []Agent
@@ -60,22 +60,22 @@
 				far++
 			}
 		}
-		if len(sub) != MaxWatchedAgents || far != MaxWatchedAgents-maxOwn {
-			t.Fatalf("%d agents, %d of other domains", len(sub), far)
+		if len(sub) != MaxWatchedAgents || far != MaxWatchedAgents-maxOwnDomainAgents {
+			t.Fatalf("%d agents, %d in other domains", len(sub), far)
 		}
 	}
 	most := 0
 	for _, n := range seen {
 		most = max(most, n)
 	}
-	// The mean is 5.2; 20 leaves room for chance, not for a hot spot.
+	// The mean is 5.2; 20 allows for random variation but not for a hot spot.
 	if most > 20 || len(seen) < agents*95/100 {
-		t.Errorf("%d of %d agents are watched, one by %d entries", len(seen), agents, most)
+		t.Errorf("%d of %d agents are watched, one of them by %d entries", len(seen), agents, most)
 	}
 }
 
-// TestBudget guards against retries that add more load than the budget allows.
-func TestBudget(t *testing.T) {
+// TestRetryBudget guards against more retries than the budget allows.
+func TestRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewRetryBudget()
 		first, retries := 0, 0
@@ -86,25 +86,26 @@
 			} else if b.TryWithdraw(pool) {
 				retries++
 			}
-			if float64(retries) > retryBurst+retryEarned*float64(first)+1e-6 {
+			if float64(retries) > retryBurst+retryRatio*float64(first)+1e-6 {
 				t.Fatalf("%d retries after %d first attempts", retries, first)
 			}
 		}
 	})
 }
 
-func usable(vm, dom string, inFlight int) TargetStatus {
+func usableStatus(vm, dom string, inFlight int) TargetStatus {
 	return TargetStatus{VM: fleet.VM(vm), Domain: fleet.Domain(dom), Pool: pool, Version: "v", InFlight: inFlight, Limit: 10, Usable: true}
 }
 
-// TestChooseKeepsRules guards against work for a target that must not get any:
-// wrong pool or version, not usable, stale, cordoned or tried before.
-func TestChooseKeepsRules(t *testing.T) {
+// TestChooseReturnsEligibleTarget guards against a choice that must not run the
+// request: of another pool or version, not usable, with a stale status, cordoned, or
+// already tried. It also fails if an eligible target exists and none is chosen.
+func TestChooseReturnsEligibleTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tab, tried, ok := NewTable(), map[fleet.VM]bool{}, map[fleet.VM]bool{}
+		table, tried, ok := NewTable(), map[fleet.VM]bool{}, map[fleet.VM]bool{}
 		cordoned := map[fleet.VM]bool{}
 		for i := range rapid.IntRange(0, 12).Draw(t, "targets") {
-			r := usable(fmt.Sprint(i), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "domain"), rapid.IntRange(0, 20).Draw(t, "load"))
+			r := usableStatus(fmt.Sprint(i), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "domain"), rapid.IntRange(0, 20).Draw(t, "load"))
 			at, good := start, true
 			switch rapid.IntRange(0, 7).Draw(t, "fault") {
 			case 0:
@@ -122,65 +123,66 @@
 			case 6:
 				tried[r.VM], good = true, false
 			}
-			tab.RecordStatus(r, at)
+			table.RecordStatus(r, at)
 			ok[r.VM] = good
 		}
 		q := Query{Pool: pool, Version: "v", OwnDomain: "a", Probe: true, Tried: tried, Prefix: rapid.Uint64Range(0, 2).Draw(t, "prefix"),
 			Cordoned: func(_ fleet.Domain, vm fleet.VM) bool { return cordoned[vm] }}
-		c, out := tab.Choose(q, start, rand.IntN)
+		c, outcome := table.Choose(q, start, rand.IntN)
 		any := false
 		for _, good := range ok {
 			any = any || good
 		}
-		if (out == Chosen) != any || out == Chosen && !ok[c.VM] {
-			t.Fatalf("chose %v (%v) of %v", c, out, ok)
+		if (outcome == Chosen) != any || outcome == Chosen && !ok[c.VM] {
+			t.Fatalf("chose %v (%v) of %v", c, outcome, ok)
 		}
 	})
 }
 
-// TestChooseOrder guards against a target of another domain or an older version
-// while a better one has spare capacity, and against waiting for a full domain.
+// TestChooseOrder guards against the choice of a target in another domain or with an
+// older version while a better one has spare capacity, and against waiting for a
+// full domain while another has capacity.
 func TestChooseOrder(t *testing.T) {
-	tab := NewTable()
-	older := usable("older", "a", 0)
+	table := NewTable()
+	older := usableStatus("older", "a", 0)
 	older.Version = "u"
-	tab.RecordStatus(older, start)
+	table.RecordStatus(older, start)
 	q := Query{Pool: pool, Version: "v", OlderVersions: map[fleet.Version]bool{"u": true}, OwnDomain: "a"}
-	for _, r := range []TargetStatus{usable("far", "b", 9), usable("near", "a", 9)} {
-		tab.RecordStatus(r, start)
-		if c, _ := tab.Choose(q, start, rand.IntN); c.VM != r.VM {
+	for _, r := range []TargetStatus{usableStatus("far", "b", 9), usableStatus("near", "a", 9)} {
+		table.RecordStatus(r, start)
+		if c, _ := table.Choose(q, start, rand.IntN); c.VM != r.VM {
 			t.Errorf("chose %s, want %s", c.VM, r.VM)
 		}
 	}
 	for _, want := range []fleet.VM{"near", "far", "older"} {
-		c, _ := tab.Choose(q, start, rand.IntN)
+		c, _ := table.Choose(q, start, rand.IntN)
 		if c.VM != want {
 			t.Errorf("chose %s, want %s", c.VM, want)
 		}
-		tab.Reserve(c.VM)
+		table.Reserve(c.VM)
 	}
 }
 
-// TestAffinity guards against a prefix that wanders between targets, and
-// against a hot prefix that overloads its target.
+// TestAffinity guards against a prefix that moves between targets without need, and
+// against a frequent prefix that overloads its target.
 func TestAffinity(t *testing.T) {
-	tab := NewTable()
+	table := NewTable()
 	for i := range 5 {
-		tab.RecordStatus(usable(fmt.Sprint(i), "a", 2), start)
+		table.RecordStatus(usableStatus(fmt.Sprint(i), "a", 2), start)
 	}
 	q := Query{Pool: pool, Version: "v", OwnDomain: "a", Prefix: 42}
-	first, _ := tab.Choose(q, start, rand.IntN)
+	first, _ := table.Choose(q, start, rand.IntN)
 	for range 20 {
-		if c, _ := tab.Choose(q, start, rand.IntN); c != first {
+		if c, _ := table.Choose(q, start, rand.IntN); c != first {
 			t.Fatalf("prefix moved from %s to %s", first.VM, c.VM)
 		}
 	}
 	for range 3 {
-		tab.Reserve(first.VM)
+		table.Reserve(first.VM)
 	}
 	moved := 0
 	for range 50 {
-		if c, _ := tab.Choose(q, start, rand.IntN); c != first {
+		if c, _ := table.Choose(q, start, rand.IntN); c != first {
 			moved++
 		}
 	}
@@ -189,76 +191,75 @@
 	}
 }
 
-// TestFullTargets guards against requests that are sent to be refused, against
-// an entry that gets nothing while others fill a target, and against waiting
-// for ever on an old report.
+// TestFullTargets guards against requests that are sent although they will be
+// refused, against an entry that gets no slots while others fill a target, and
+// against an endless wait because of an outdated report.
 func TestFullTargets(t *testing.T) {
-	tab := NewTable()
-	tab.RecordStatus(usable("x", "a", 10), start)
+	table := NewTable()
+	table.RecordStatus(usableStatus("x", "a", 10), start)
 	q := Query{Pool: pool, Version: "v", EntriesPerTarget: 4}
 	for range 2 {
-		if _, out := tab.Choose(q, start, rand.IntN); out != Chosen || !tab.Reserve("x") {
-			t.Errorf("outcome %v inside the share of the entry", out)
+		if _, outcome := table.Choose(q, start, rand.IntN); outcome != Chosen || !table.Reserve("x") {
+			t.Errorf("outcome %v within the share of the entry", outcome)
 		}
 	}
-	if _, out := tab.Choose(q, start, rand.IntN); out != AllFull {
-		t.Errorf("outcome %v for a full target", out)
+	if _, outcome := table.Choose(q, start, rand.IntN); outcome != AllFull {
+		t.Errorf("outcome %v for a full target", outcome)
 	}
-	tab.Release("x")
-	tab.RecordFull("x", 10, 10, start)
-	if _, out := tab.Choose(q, start.Add(FullPause), rand.IntN); out != AllFull {
-		t.Errorf("outcome %v right after a refusal", out)
+	table.Release("x")
+	table.RecordFull("x", 10, 10, start)
+	if _, outcome := table.Choose(q, start.Add(FullPause), rand.IntN); outcome != AllFull {
+		t.Errorf("outcome %v right after a refusal", outcome)
 	}
-	if _, out := tab.Choose(q, start.Add(FullPause+1), rand.IntN); out != Chosen {
-		t.Errorf("outcome %v after the pause", out)
+	if _, outcome := table.Choose(q, start.Add(FullPause+1), rand.IntN); outcome != Chosen {
+		t.Errorf("outcome %v after the pause", outcome)
 	}
 	q.Probe = true
-	if _, out := tab.Choose(q, start.Add(FullPause), rand.IntN); out != AllFull {
-		t.Errorf("outcome %v of a probe right after a refusal", out)
+	if _, outcome := table.Choose(q, start.Add(FullPause), rand.IntN); outcome != AllFull {
+		t.Errorf("outcome %v of a probe right after a refusal", outcome)
 	}
 	later := start.Add(FullPause + 1)
 	for range 9 {
-		if _, out := tab.Choose(q, later, rand.IntN); out != Chosen || !tab.Reserve("x") {
-			t.Errorf("outcome %v of a probe", out)
+		if _, outcome := table.Choose(q, later, rand.IntN); outcome != Chosen || !table.Reserve("x") {
+			t.Errorf("outcome %v of a probe", outcome)
 		}
 	}
-	if _, out := tab.Choose(q, later, rand.IntN); out != AllFull || tab.Reserve("x") {
-		t.Errorf("outcome %v for a target that this entry fills", out)
+	if _, outcome := table.Choose(q, later, rand.IntN); outcome != AllFull || table.Reserve("x") {
+		t.Errorf("outcome %v for a target filled by this entry", outcome)
 	}
 }
 
-// TestPartOfAPlace guards against a last place that stays free in every target
-// although entries with less than their share wait, because shares are cut to
-// whole places.
-func TestPartOfAPlace(t *testing.T) {
-	tab := NewTable()
-	r := usable("x", "a", 5)
+// TestFractionalShare guards against a slot that stays free in every target while
+// entries below their share wait, because shares are rounded down to whole slots.
+func TestFractionalShare(t *testing.T) {
+	table := NewTable()
+	r := usableStatus("x", "a", 5)
 	r.Limit = 8
-	tab.RecordStatus(r, start)
+	table.RecordStatus(r, start)
 	q := Query{Pool: pool, Version: "v", EntriesPerTarget: 3}
-	for own := range 3 { // a share of 8/3 places
-		if _, out := tab.Choose(q, start, rand.IntN); out != Chosen || !tab.Reserve("x") {
-			t.Errorf("outcome %v with %d own and %d places free", out, own, 3-own)
+	for own := range 3 { // a share of 8/3 slots
+		if _, outcome := table.Choose(q, start, rand.IntN); outcome != Chosen || !table.Reserve("x") {
+			t.Errorf("outcome %v with %d own requests and %d free slots", outcome, own, 3-own)
 		}
 	}
-	tab = NewTable()
+	table = NewTable()
 	r.InFlight = 4
-	tab.RecordStatus(r, start)
+	table.RecordStatus(r, start)
 	for range 3 {
-		tab.Reserve("x")
+		table.Reserve("x")
 	}
-	if _, out := tab.Choose(q, start, rand.IntN); out != AllFull {
-		t.Errorf("outcome %v for the last place beyond the share", out)
+	if _, outcome := table.Choose(q, start, rand.IntN); outcome != AllFull {
+		t.Errorf("outcome %v for the last slot beyond the share", outcome)
 	}
 }
 
-// TestWaiters guards against a lower class that gets the room for which a
-// higher one waits, and against a change that wakes nobody because the one it
-// woke left or could not use it.
+// TestWaiters guards against a lower class that gets capacity for which a higher one
+// waits, and against a lost wake-up because the woken waiter left or could not use
+// the change.
 func TestWaiters(t *testing.T) {
-	tab := NewTable()
-	tab.RecordStatus(usable("x", "a", 4), start)
-	draft, status := tab.AddWaiter(pool, fleet.ClassDraft), tab.AddWaiter(pool, fleet.ClassStatus)
+	table := NewTable()
+	table.RecordStatus(usableStatus("x", "a", 4), start)
+	draft, status := table.AddWaiter(pool, fleet.ClassDraft), table.AddWaiter(pool, fleet.ClassStatus)
 	woken := func(w *Waiter) bool {
 		select {
 		case <-w.Woken():
@@ -267,26 +268,26 @@
 			return false
 		}
 	}
-	tab.Reserve("x")
-	tab.Release("x")
+	table.Reserve("x")
+	table.Release("x")
 	if woken(draft) || !woken(status) {
-		t.Error("a free place did not go to the first class")
+		t.Error("a free slot did not go to the highest class")
 	}
-	tab.WakeNext(status)
+	table.WakeNext(status)
 	if !woken(draft) {
-		t.Error("a change that the first waiter passed on woke nobody")
+		t.Error("a change that the first waiter passed on woke no other")
 	}
-	tab.RecordLoad("x", 4, 4)
+	table.RecordLoad("x", 4, 4)
 	if woken(status) || woken(draft) {
 		t.Error("the load of a full target woke a waiter")
 	}
-	tab.RecordStatus(usable("x", "a", 4), start)
-	tab.RemoveWaiter(status)
-	if !woken(draft) || tab.lines.m.Len() != 1 {
+	table.RecordStatus(usableStatus("x", "a", 4), start)
+	table.RemoveWaiter(status)
+	if !woken(draft) || table.waitQueues.byPool.Len() != 1 {
 		t.Error("a waiter that was woken and left did not wake the next one")
 	}
-	tab.RemoveWaiter(draft)
-	if tab.lines.m.Len() != 0 {
-		t.Error("an empty line is kept")
+	table.RemoveWaiter(draft)
+	if table.waitQueues.byPool.Len() != 0 {
+		t.Error("an empty wait queue was kept")
 	}
 }
--- a/internal/core/routing/subset.go
+++ b/internal/core/routing/subset.go
@@ -3,41 +3,43 @@
 import "github.com/masticwing/masticwing/internal/core/fleet"
 
 const (
-	// MaxWatchedAgents bounds the agents that an entry watches for one group or
-	// service.
+	// MaxWatchedAgents is the maximum number of agents that an entry watches for one
+	// group or service.
 	MaxWatchedAgents = 32
-	// maxOwn leaves room for agents of other failure domains, so that an entry
-	// still has targets at once when its own domain leaves service.
-	maxOwn = 24
+	// maxOwnDomainAgents is the maximum number of watched agents in the entry's own
+	// failure domain, if there are enough others. The rest are in other domains, so
+	// that the entry has targets at once when its own domain goes out of service.
+	maxOwnDomainAgents = 24
 )
 
-// Agent is an agent that an entry may watch.
+// Agent is an agent whose status an entry may watch.
 type Agent struct {
 	VM      fleet.VM
 	Domain  fleet.Domain
 	Address fleet.Address
 }
 
-// Subset returns the agents of one group that an entry watches. Agents of the
-// entry's own domain come first; the rest are ranked by rendezvous hash of
-// (entry, agent), which spreads the watches of many entries evenly.
-func Subset(entry string, own fleet.Domain, agents []Agent) []Agent {
+// Subset returns the agents of one group that an entry watches. Agents in the
+// entry's own domain come first. Within the own and the other domains, agents are
+// selected by rendezvous hashing of (entry, agent), which distributes the watches of
+// many entries evenly.
+func Subset(entry string, ownDomain fleet.Domain, agents []Agent) []Agent {
 	byID := make(map[string]Agent, len(agents))
-	var near, far []string
+	var ownIDs, otherIDs []string
 	for _, a := range agents {
 		byID[string(a.VM)] = a
-		if a.Domain == own {
-			near = append(near, string(a.VM))
+		if a.Domain == ownDomain {
+			ownIDs = append(ownIDs, string(a.VM))
 		} else {
-			far = append(far, string(a.VM))
+			otherIDs = append(otherIDs, string(a.VM))
 		}
 	}
 	key := Hash("watch", entry)
-	near, far = RendezvousRank(key, near), RendezvousRank(key, far)
-	ownCount := min(len(near), max(maxOwn, MaxWatchedAgents-len(far)), MaxWatchedAgents)
-	farCount := min(len(far), MaxWatchedAgents-ownCount)
-	out := make([]Agent, 0, ownCount+farCount)
-	for _, id := range append(near[:ownCount:ownCount], far[:farCount]...) {
+	ownIDs, otherIDs = RendezvousRank(key, ownIDs), RendezvousRank(key, otherIDs)
+	ownCount := min(len(ownIDs), max(maxOwnDomainAgents, MaxWatchedAgents-len(otherIDs)), MaxWatchedAgents)
+	otherCount := min(len(otherIDs), MaxWatchedAgents-ownCount)
+	out := make([]Agent, 0, ownCount+otherCount)
+	for _, id := range append(ownIDs[:ownCount:ownCount], otherIDs[:otherCount]...) {
 		out = append(out, byID[id])
 	}
 	return out
--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -7,17 +7,17 @@
 	"github.com/masticwing/masticwing/internal/core/shard"
 )
 
-// StatusMaxAge is the age after which a reported status is not used. Agents
-// report each second, so it allows one report to be lost.
+// StatusMaxAge is the age above which a reported status is ignored. Agents report
+// every second, so one report may be lost.
 const StatusMaxAge = 2500 * time.Millisecond
 
-// FullPause is the time in which a target that refused a request for lack of
-// room gets no other one, unless an answer brings a newer load. It bounds the
-// refusals that one target gives to one entry to 100 a second.
+// FullPause is the time for which a target gets no requests after it refused one
+// for lack of capacity, unless a response brings a newer load. It limits the refusals
+// that one target sends to one entry to 100 per second.
 const FullPause = 10 * time.Millisecond
 
-// Pool names the targets that can serve a request: those of a group or those
-// of a service. Exactly one field is set.
+// Pool identifies the targets that can serve a request: those of a group or those of
+// a service. Exactly one field is set.
 type Pool struct {
 	Group   fleet.Group
 	Service fleet.Service
@@ -31,7 +31,7 @@
 	return "group/" + string(p.Group)
 }
 
-// TargetStatus is the state of a target as its agent reports it.
+// TargetStatus is the state of a target as reported by its agent.
 type TargetStatus struct {
 	VM       fleet.VM
 	Domain   fleet.Domain
@@ -43,148 +43,155 @@
 	Usable   bool
 }
 
-// target is what the table holds of one VM. own counts the requests of this
-// entry in the target; ownSeen is own at the time of the last load report.
+// target is the table's state of one VM.
 type target struct {
 	TargetStatus
-	at      time.Time
-	known   bool
-	own     int
-	ownSeen int
-	// fullUntil is the end of the pause after a refusal for lack of room.
+	reportedAt time.Time
+	// hasStatus is cleared when the status stream ends.
+	hasStatus bool
+	// ownInFlight is the number of this entry's requests in the target, and
+	// ownAtReport its value at the time of the last load report.
+	ownInFlight int
+	ownAtReport int
+	// fullUntil is the end of the pause after a refusal for lack of capacity.
 	fullUntil time.Time
 }
 
-// estimate is the number of requests in the target: the reported number plus
-// those that this entry started since.
-func (t *target) estimate() int { return max(t.InFlight+t.own-t.ownSeen, t.own) }
+// estimatedInFlight estimates the number of requests in the target: the last reported
+// number, adjusted by the change in this entry's own requests since.
+func (t *target) estimatedInFlight() int {
+	return max(t.InFlight+t.ownInFlight-t.ownAtReport, t.ownInFlight)
+}
 
-func (t *target) fresh(now time.Time) bool { return t.known && now.Sub(t.at) <= StatusMaxAge }
+func (t *target) isFresh(now time.Time) bool {
+	return t.hasStatus && now.Sub(t.reportedAt) <= StatusMaxAge
+}
 
-// Table holds the reported state of the watched targets, sharded by VM, and
-// the requests that wait for a change of it, sharded by pool. No method holds
-// the locks of both at once.
+// Table holds the reported state of the watched targets, sharded by VM, and the
+// requests that wait for a change of that state, sharded by pool. No method holds a
+// lock of each at the same time.
 type Table struct {
-	targets *shard.Map[fleet.VM, target]
-	lines   lines
+	targets    *shard.Map[fleet.VM, target]
+	waitQueues waitQueues
 }
 
 // NewTable returns an empty table.
-func NewTable() *Table { return &Table{shard.New[fleet.VM, target](0), newLines()} }
+func NewTable() *Table { return &Table{shard.New[fleet.VM, target](0), newWaitQueues()} }
 
-// RecordStatus records a status of a target.
+// RecordStatus records a reported status and, if the target is usable, wakes a waiter.
 func (t *Table) RecordStatus(r TargetStatus, now time.Time) {
 	t.targets.Update(r.VM, func(v target, _ bool) (target, bool) {
-		v.TargetStatus, v.at, v.known, v.ownSeen = r, now, true, v.own
+		v.TargetStatus, v.reportedAt, v.hasStatus, v.ownAtReport = r, now, true, v.ownInFlight
 		return v, true
 	})
 	if r.Usable {
-		t.lines.wake(r.Pool, nil)
+		t.waitQueues.wake(r.Pool, nil)
 	}
 }
 
-// RecordLoad records a load that came with an answer.
+// RecordLoad records the load that a response stated. It wakes a waiter if the target
+// has capacity.
 func (t *Table) RecordLoad(vm fleet.VM, inFlight, limit int) {
 	var p Pool
-	room := false
+	free := false
 	t.targets.Update(vm, func(v target, ok bool) (target, bool) {
-		v.InFlight, v.Limit, v.ownSeen, v.fullUntil = inFlight, limit, v.own, time.Time{}
-		p, room = v.Pool, v.estimate() < v.Limit
+		v.InFlight, v.Limit, v.ownAtReport, v.fullUntil = inFlight, limit, v.ownInFlight, time.Time{}
+		p, free = v.Pool, v.estimatedInFlight() < v.Limit
 		return v, ok
 	})
-	if room {
-		t.lines.wake(p, nil)
+	if free {
+		t.waitQueues.wake(p, nil)
 	}
 }
 
-// RecordFull records that a target refused a request for lack of room. Without the
-// pause, each place that becomes free in the queue would be spent on the same
-// refusal. Done was called for the request, which the load does not include.
+// RecordFull records that a target refused a request for lack of capacity, and
+// pauses the target. Without the pause, each request that reaches the head of the
+// queue would be sent there and refused again. The caller has already called Release
+// for the refused request, which the load does not include.
 func (t *Table) RecordFull(vm fleet.VM, inFlight, limit int, now time.Time) {
 	t.targets.Update(vm, func(v target, ok bool) (target, bool) {
-		v.InFlight, v.Limit, v.ownSeen, v.fullUntil = inFlight, limit, v.own, now.Add(FullPause)
+		v.InFlight, v.Limit, v.ownAtReport, v.fullUntil = inFlight, limit, v.ownInFlight, now.Add(FullPause)
 		return v, ok
 	})
 }
 
-// Forget stops using a target whose status stream ended. Its count of own
-// requests is kept until they end.
+// Forget stops using a target whose status stream ended. The count of this entry's
+// requests in it is kept until they end.
 func (t *Table) Forget(vm fleet.VM) {
 	t.targets.Update(vm, func(v target, _ bool) (target, bool) {
-		v.known = false
-		return v, v.own > 0
+		v.hasStatus = false
+		return v, v.ownInFlight > 0
 	})
 }
 
-// Reserve counts a request of this entry in a target. It returns false and
-// counts nothing if the requests of this entry alone fill the target. Done
-// ends the count.
+// Reserve counts a request of this entry in a target, until Release. It returns false
+// and counts nothing if the requests of this entry alone reach the target's limit.
 func (t *Table) Reserve(vm fleet.VM) bool {
-	started := false
+	reserved := false
 	t.targets.Update(vm, func(v target, ok bool) (target, bool) {
-		if started = !v.known || v.own < v.Limit; started {
-			v.own++
+		if reserved = !v.hasStatus || v.ownInFlight < v.Limit; reserved {
+			v.ownInFlight++
 		}
-		return v, ok || started
+		return v, ok || reserved
 	})
-	return started
+	return reserved
 }
 
-// Release ends the count of one Start.
+// Release ends the count of one Reserve and wakes a waiter.
 func (t *Table) Release(vm fleet.VM) {
 	var p Pool
 	t.targets.Update(vm, func(v target, _ bool) (target, bool) {
-		v.own--
+		v.ownInFlight--
 		p = v.Pool
-		return v, v.known || v.own > 0
+		return v, v.hasStatus || v.ownInFlight > 0
 	})
-	t.lines.wake(p, nil)
+	t.waitQueues.wake(p, nil)
 }
 
-// CheckUsable reports whether a fresh status of the VM is held, and whether it says
-// that the target takes work.
+// CheckUsable reports whether the table holds a fresh status of the VM, and whether
+// the VM takes requests according to it.
 func (t *Table) CheckUsable(vm fleet.VM, now time.Time) (usable, fresh bool) {
 	v, _ := t.targets.Get(vm)
-	fresh = v.fresh(now)
+	fresh = v.isFresh(now)
 	return fresh && v.Usable, fresh
 }
 
-// IsPaused reports whether the VM has just refused a request for lack of room.
+// IsPaused reports whether the VM is paused after a refusal for lack of capacity.
 func (t *Table) IsPaused(vm fleet.VM, now time.Time) bool {
 	v, _ := t.targets.Get(vm)
 	return !now.After(v.fullUntil)
 }
 
-// Capacity is what the usable targets of a pool can bear.
+// Capacity is the total capacity of the usable targets of a pool.
 type Capacity struct {
 	Targets int
-	// Limit is the sum of the targets' limits, OwnInFlight what this entry uses of it,
-	// and Free what seems unused.
+	// Limit is the sum of the targets' limits, OwnInFlight the number of this
+	// entry's requests, and Free the estimated number of unused slots.
 	Limit, OwnInFlight, Free int
 }
 
-// Capacity sums over a pool's usable targets.
+// Capacity returns the capacity of a pool's usable targets with a fresh status.
 func (t *Table) Capacity(p Pool, now time.Time) Capacity {
 	var c Capacity
 	t.targets.Range(func(_ fleet.VM, v target) bool {
-		if v.Pool == p && v.fresh(now) && v.Usable {
+		if v.Pool == p && v.isFresh(now) && v.Usable {
 			c.Targets++
 			c.Limit += v.Limit
-			c.OwnInFlight += v.own
-			c.Free += max(0, v.Limit-v.estimate())
+			c.OwnInFlight += v.ownInFlight
+			c.Free += max(0, v.Limit-v.estimatedInFlight())
 		}
 		return true
 	})
 	return c
 }
 
-// Snapshot returns the fresh reports, for operators.
+// Snapshot returns the fresh statuses, with estimated loads, for display to operators.
 func (t *Table) Snapshot(now time.Time) []TargetStatus {
 	var out []TargetStatus
 	t.targets.Range(func(_ fleet.VM, v target) bool {
-		if v.fresh(now) {
+		if v.isFresh(now) {
 			r := v.TargetStatus
-			r.InFlight = v.estimate()
+			r.InFlight = v.estimatedInFlight()
 			out = append(out, r)
 		}
 		return true
--- a/internal/core/routing/wait.go
+++ b/internal/core/routing/wait.go
@@ -7,26 +7,27 @@
 	"github.com/masticwing/masticwing/internal/core/shard"
 )
 
-// Waiter is a request that waits for a change of the targets of its pool. It
-// has a place in the line of the pool until Table.Stop.
+// Waiter is a request that waits for a change in the targets of its pool. It stays
+// in the wait queue of the pool until Table.RemoveWaiter.
 type Waiter struct {
 	pool  Pool
 	class fleet.Class
 	woken chan struct{}
 }
 
-// Woken returns a channel that receives when a target of the pool has changed.
-// The waiter keeps its place in the line, so it can look and wait again.
+// Woken returns a channel that receives a value when a target of the pool has
+// changed. The waiter keeps its position in the queue, so it can try to choose a
+// target and wait again.
 func (w *Waiter) Woken() <-chan struct{} { return w.woken }
 
-// lines holds the waiters of each pool by class and, in a class, by arrival.
-// A change wakes one waiter, since most changes make room for one request.
-type lines struct{ m *shard.Map[Pool, []*Waiter] }
+// waitQueues holds the waiters of each pool, ordered by class and then by arrival. A
+// change wakes one waiter, since most changes free capacity for one request.
+type waitQueues struct{ byPool *shard.Map[Pool, []*Waiter] }
 
-func newLines() lines { return lines{shard.New[Pool, []*Waiter](0)} }
+func newWaitQueues() waitQueues { return waitQueues{shard.New[Pool, []*Waiter](0)} }
 
-func (l lines) add(w *Waiter) {
-	l.m.Update(w.pool, func(v []*Waiter, _ bool) ([]*Waiter, bool) {
+func (l waitQueues) add(w *Waiter) {
+	l.byPool.Update(w.pool, func(v []*Waiter, _ bool) ([]*Waiter, bool) {
 		i := len(v)
 		for i > 0 && v[i-1].class > w.class {
 			i--
@@ -35,8 +36,8 @@
 	})
 }
 
-func (l lines) remove(w *Waiter) {
-	l.m.Update(w.pool, func(v []*Waiter, _ bool) ([]*Waiter, bool) {
+func (l waitQueues) remove(w *Waiter) {
+	l.byPool.Update(w.pool, func(v []*Waiter, _ bool) ([]*Waiter, bool) {
 		if i := slices.Index(v, w); i >= 0 {
 			v = slices.Delete(v, i, i+1)
 		}
@@ -44,11 +45,11 @@
 	})
 }
 
-// wake wakes the first waiter behind after, or the first of all if after is
-// nil, that has not been woken already. The channels have room for the only
-// value that they hold, so sends do not block.
-func (l lines) wake(p Pool, after *Waiter) {
-	l.m.Update(p, func(v []*Waiter, _ bool) ([]*Waiter, bool) {
+// wake wakes the first waiter without a pending wake-up, of those behind the waiter
+// after or, if after is nil, of the whole queue. It does not block: a full channel
+// means that a wake-up is pending.
+func (l waitQueues) wake(p Pool, after *Waiter) {
+	l.byPool.Update(p, func(v []*Waiter, _ bool) ([]*Waiter, bool) {
 		for _, w := range v[slices.Index(v, after)+1:] {
 			select {
 			case w.woken <- struct{}{}:
@@ -60,10 +61,10 @@
 	})
 }
 
-// WakeAll wakes all waiters, for a change that is not in the table, such as a
-// new declaration.
+// WakeAll wakes all waiters. It is for changes outside the table, such as a new
+// declaration.
 func (t *Table) WakeAll() {
-	t.lines.m.Range(func(_ Pool, v []*Waiter) bool {
+	t.waitQueues.byPool.Range(func(_ Pool, v []*Waiter) bool {
 		for _, w := range v {
 			select {
 			case w.woken <- struct{}{}:
@@ -74,21 +75,22 @@
 	})
 }
 
-// AddWaiter puts a request into the line of its pool. The caller looks for a target
-// once more before it waits, because a change may have come just before.
+// AddWaiter adds a request to the wait queue of its pool. The caller must try once
+// more to choose a target before it waits, because a change may have occurred just
+// before.
 func (t *Table) AddWaiter(p Pool, c fleet.Class) *Waiter {
 	w := &Waiter{pool: p, class: c, woken: make(chan struct{}, 1)}
-	t.lines.add(w)
+	t.waitQueues.add(w)
 	return w
 }
 
-// RemoveWaiter takes a waiter out of its line and wakes the next one, which may use
-// what the waiter left or did not look at.
+// RemoveWaiter removes a waiter from its queue and wakes the first remaining one, in
+// case a wake-up of the removed waiter went unused.
 func (t *Table) RemoveWaiter(w *Waiter) {
-	t.lines.remove(w)
-	t.lines.wake(w.pool, nil)
+	t.waitQueues.remove(w)
+	t.waitQueues.wake(w.pool, nil)
 }
 
-// WakeNext wakes the waiter behind w, for a change that w cannot use although
-// others may.
-func (t *Table) WakeNext(w *Waiter) { t.lines.wake(w.pool, w) }
+// WakeNext wakes the next waiter behind w. It is for a change that w cannot use but
+// another waiter may.
+func (t *Table) WakeNext(w *Waiter) { t.waitQueues.wake(w.pool, w) }
