--- a/internal/core/schedule/fair.go
+++ b/internal/core/schedule/fair.go
@@ -2,22 +2,23 @@
 
 import "github.com/masticwing/masticwing/internal/core/fleet"
 
-// classQueue orders the requests of one class by start-time fair queueing:
-// each request starts, in virtual time, when the previous one of its customer
-// finishes, and the earliest start goes first.
+// classQueue orders the requests of one class by start-time fair queueing. The start
+// tag of a request is the virtual time or, if later, the finish tag of the
+// customer's previous request. The request with the lowest start tag goes first.
 type classQueue struct {
-	flows   map[fleet.Customer]*flow
-	size    int
-	virtual float64
+	flows       map[fleet.Customer]*flow
+	size        int
+	virtualTime float64
 }
 
-// flow is the queue of one customer.
+// flow is the queue of one customer's requests. finishTag is that of the last one.
 type flow struct {
-	tickets []*Ticket
-	finish  float64
-	share   float64
+	tickets   []*Ticket
+	finishTag float64
+	share     float64
 }
 
+// push adds a request to the queue of its customer.
 func (q *classQueue) push(t *Ticket) {
 	f := q.flows[t.req.Customer]
 	if f == nil {
@@ -25,13 +26,14 @@
 		q.flows[t.req.Customer] = f
 	}
 	f.share = float64(max(t.req.Share, 1))
-	t.start = max(q.virtual, f.finish)
-	f.finish = t.start + 1/f.share
+	t.startTag = max(q.virtualTime, f.finishTag)
+	f.finishTag = t.startTag + 1/f.share
 	f.tickets = append(f.tickets, t)
 	q.size++
 }
 
-// pop removes the request with the earliest start. The queue is not empty.
+// pop removes and returns the request with the lowest start tag. The queue must not
+// be empty.
 func (q *classQueue) pop() *Ticket {
 	var best *flow
 	var name fleet.Customer
@@ -39,7 +41,7 @@
 		if len(f.tickets) == 0 {
 			continue
 		}
-		if best == nil || earlier(f, c, best, name) {
+		if best == nil || startsBefore(f, c, best, name) {
 			best, name = f, c
 		}
 	}
@@ -47,20 +49,22 @@
 	best.tickets[0] = nil
 	best.tickets = best.tickets[1:]
 	q.size--
-	q.virtual = t.start
-	q.tidy()
+	q.virtualTime = t.startTag
+	q.dropIdleFlows()
 	return t
 }
 
-func earlier(a *flow, an fleet.Customer, b *flow, bn fleet.Customer) bool {
-	if a.tickets[0].start != b.tickets[0].start {
-		return a.tickets[0].start < b.tickets[0].start
+// startsBefore reports whether the first request of flow a goes before that of flow b.
+// The customers an and bn break ties.
+func startsBefore(a *flow, an fleet.Customer, b *flow, bn fleet.Customer) bool {
+	if a.tickets[0].startTag != b.tickets[0].startTag {
+		return a.tickets[0].startTag < b.tickets[0].startTag
 	}
 	return an < bn
 }
 
-// remove takes a request out that stopped waiting. Later requests of its
-// customer keep their start, so a customer gains nothing by canceling.
+// remove removes a request that stopped waiting. Later requests of its customer keep
+// their start tags, so a customer gains nothing by canceling.
 func (q *classQueue) remove(t *Ticket) {
 	f := q.flows[t.req.Customer]
 	if f == nil {
@@ -73,26 +77,27 @@
 			break
 		}
 	}
-	q.tidy()
+	q.dropIdleFlows()
 }
 
-// tidy drops customers without requests whose finish lies in the past; their
-// next request would start at the current virtual time anyway.
-func (q *classQueue) tidy() {
+// dropIdleFlows deletes the flows without requests whose finish tag is not later than
+// the virtual time. The next request of such a customer starts at the virtual time
+// anyway.
+func (q *classQueue) dropIdleFlows() {
 	for c, f := range q.flows {
-		if len(f.tickets) == 0 && f.finish <= q.virtual {
+		if len(f.tickets) == 0 && f.finishTag <= q.virtualTime {
 			delete(q.flows, c)
 		}
 	}
 	if q.size == 0 {
 		clear(q.flows)
-		q.virtual = 0
+		q.virtualTime = 0
 	}
 }
 
-// ahead estimates the requests of the class that go before a new one of r's
-// customer.
-func (q *classQueue) ahead(r Request) int {
+// requestsAhead estimates the number of requests of the class that go before the new
+// request r.
+func (q *classQueue) requestsAhead(r Request) int {
 	f := q.flows[r.Customer]
 	if f == nil || len(f.tickets) == 0 {
 		return 0
--- a/internal/core/schedule/pool.go
+++ b/internal/core/schedule/pool.go
@@ -8,35 +8,41 @@
 )
 
 const (
-	// firstLower is the first class of the lower band. Status and order go
-	// strictly before summary and draft, but for the minimum share.
-	firstLower = fleet.ClassSummary
-	// lowerEvery gives each 20th grant, 5%, to the lower band if it waits.
-	lowerEvery = 20
-	// secondEvery gives each fourth grant of a band to its second class, so
-	// that check logs are not starved by status reads, nor drafts by summaries.
-	secondEvery = 4
-	// lateSpreads is the number of mean deviations that a request may take
-	// longer than the mean. Twice the mean deviation covers about 95 in 100.
-	lateSpreads = 2
-	// holdWeight is the weight of the newest sample in the mean hold time.
-	holdWeight = 0.1
+	// firstLowerClass is the first class of the lower band. The upper band, status
+	// and order, has strict priority over summary and draft, except for the
+	// minimum share of the lower band.
+	firstLowerClass = fleet.ClassSummary
+	// lowerBandInterval reserves every 20th grant, 5%, for the lower band while it
+	// has waiting requests.
+	lowerBandInterval = 20
+	// secondClassInterval reserves every fourth grant of a band for its second
+	// class while it has waiting requests, so that status requests do not starve
+	// orders (such as check logs), and summaries do not starve drafts.
+	secondClassInterval = 4
+	// lateDeviations is the number of mean deviations above the mean hold time for
+	// which a request must have time left. Two mean deviations cover about 95% of
+	// requests.
+	lateDeviations = 2
+	// holdTimeWeight is the weight of a new sample in the moving averages of the hold
+	// time and its deviation.
+	holdTimeWeight = 0.1
 )
 
-// pool is the queue and the permits of one group or service. The lock of its
-// shard guards it.
+// pool is the queue and the permits of one group or service. It is guarded by the
+// lock of its shard.
 type pool struct {
 	capacity int
 	inUse    int
 	classes  [fleet.NumClasses]classQueue
-	// upperRun counts grants to the upper band while the lower band waits.
-	upperRun int
-	// firstRun counts grants to the first class of each band while its second
-	// class waits.
-	firstRun [2]int
-	// hold is the mean time that a permit is held, zero before the first, and
-	// spread the mean deviation from it.
-	hold, spread time.Duration
+	// upperBandRun counts consecutive grants to the upper band while the lower band
+	// has waiting requests.
+	upperBandRun int
+	// firstClassRun counts, per band, consecutive grants to the first class while the
+	// second has waiting requests.
+	firstClassRun [2]int
+	// meanHoldTime is the mean time for which a permit is held, or zero before the
+	// first sample, and holdTimeDeviation the mean deviation from it.
+	meanHoldTime, holdTimeDeviation time.Duration
 }
 
 func newPool() *pool {
@@ -55,57 +61,61 @@
 	return n
 }
 
-// refuse returns an error if the request must not be queued.
-func (p *pool) refuse(r Request, now time.Time, maxQueued int) error {
+// refusalReason returns the reason why the request must not be queued, or nil.
+func (p *pool) refusalReason(r Request, now time.Time, maxQueued int) error {
 	if p.inUse < p.capacity {
 		return nil
 	}
-	wait := p.estimate(r)
+	wait := p.expectedWait(r)
 	if p.queued() >= maxQueued {
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "queue is full").WithRetryAfter(max(wait, retryAfter))
 	}
 	if now.Add(wait).After(r.Deadline) {
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded,
-			"expected wait of %v passes the deadline", wait).WithRetryAfter(max(wait, retryAfter))
+			"expected wait of %v exceeds the deadline", wait).WithRetryAfter(max(wait, retryAfter))
 	}
 	return nil
 }
 
-// estimate is the expected wait of a new request: those ahead of it in higher
-// classes and, by its customer's share, in its own class.
-func (p *pool) estimate(r Request) time.Duration {
+// expectedWait estimates the wait of a new request from the number of requests ahead
+// of it: all in higher classes and, depending on its customer's share, some in its
+// own class.
+func (p *pool) expectedWait(r Request) time.Duration {
 	ahead := 1
 	for c := range r.Class {
 		ahead += p.classes[c].size
 	}
-	ahead += p.classes[r.Class].ahead(r)
-	return p.hold * time.Duration(ahead) / time.Duration(p.capacity)
+	ahead += p.classes[r.Class].requestsAhead(r)
+	return p.meanHoldTime * time.Duration(ahead) / time.Duration(p.capacity)
 }
 
 func (p *pool) push(t *Ticket) { p.classes[t.req.Class].push(t) }
 
-func (p *pool) leave(t *Ticket, now time.Time) {
+// release removes a waiting request or returns the permit of a running one.
+func (p *pool) release(t *Ticket, now time.Time) {
 	switch t.state {
-	case waiting:
+	case stateWaiting:
 		p.classes[t.req.Class].remove(t)
-	case running:
+	case stateRunning:
 		p.inUse--
-		p.sample(now.Sub(t.granted))
+		p.recordHoldTime(now.Sub(t.grantedAt))
 	}
-	t.state = ended
+	t.state = stateEnded
 }
 
-func (p *pool) sample(d time.Duration) {
-	if p.hold == 0 {
-		p.hold = d
+// recordHoldTime adds a sample to the moving averages of the hold time and its
+// deviation.
+func (p *pool) recordHoldTime(d time.Duration) {
+	if p.meanHoldTime == 0 {
+		p.meanHoldTime = d
 		return
 	}
-	p.spread += time.Duration(holdWeight * float64((d-p.hold).Abs()-p.spread))
-	p.hold += time.Duration(holdWeight * float64(d-p.hold))
+	p.holdTimeDeviation += time.Duration(holdTimeWeight * float64((d-p.meanHoldTime).Abs()-p.holdTimeDeviation))
+	p.meanHoldTime += time.Duration(holdTimeWeight * float64(d-p.meanHoldTime))
 }
 
-// dispatch grants permits while there are any. Grant channels have room for
-// the only value that they receive, so sends never block.
+// dispatch grants free permits to waiting requests. It never blocks, since the grant
+// channels are buffered and receive only one value.
 func (p *pool) dispatch(now time.Time) {
 	for p.inUse < p.capacity {
 		c, ok := p.nextClass()
@@ -113,71 +123,75 @@
 			return
 		}
 		t := p.classes[c].pop()
-		if p.late(t, now) {
-			t.state = ended
+		if p.isLate(t, now) {
+			t.state = stateEnded
 			t.grant <- verdict.New(verdict.NotRun, verdict.CodeOverloaded,
 				"deadline cannot be met after waiting").WithRetryAfter(retryAfter)
 			continue
 		}
-		p.count(c)
+		p.recordGrant(c)
 		p.inUse++
-		t.state, t.granted = running, now
+		t.state, t.grantedAt = stateRunning, now
 		t.grant <- nil
 	}
 }
 
-// late reports whether a request has too little time left to finish. Under a
-// steady overload most requests reach the head of the queue with just this
-// time left, so a request that is merely as slow as the mean must not be
-// started: half of those would be cut after they used a target. The estimate
-// applies only while others wait for the permit, so that an estimate
-// that is too high is corrected by the requests that still run.
-func (p *pool) late(t *Ticket, now time.Time) bool {
-	left := t.req.Deadline.Sub(now)
-	return left <= 0 || p.queued() > 0 && left < p.hold+lateSpreads*p.spread
+// isLate reports whether a request has too little time left to finish. Under steady
+// overload most requests reach the head of the queue with just about the required
+// time left. If the mean hold time were required, half of them would be cut off after
+// they used a target; hence the allowance for the deviation. The estimate applies
+// only while other requests are queued. Otherwise the request runs, and its sample
+// can correct an estimate that is too high.
+func (p *pool) isLate(t *Ticket, now time.Time) bool {
+	remaining := t.req.Deadline.Sub(now)
+	return remaining <= 0 || p.queued() > 0 && remaining < p.meanHoldTime+lateDeviations*p.holdTimeDeviation
 }
 
+// nextClass returns the class that gets the next permit, and false if no request
+// waits.
 func (p *pool) nextClass() (fleet.Class, bool) {
-	upper, upperOK := p.inBand(0)
-	lower, lowerOK := p.inBand(firstLower)
-	if upperOK && (!lowerOK || p.upperRun < lowerEvery-1) {
+	upper, upperOK := p.nextInBand(0)
+	lower, lowerOK := p.nextInBand(firstLowerClass)
+	if upperOK && (!lowerOK || p.upperBandRun < lowerBandInterval-1) {
 		return upper, true
 	}
 	return lower, lowerOK
 }
 
-// inBand returns the next class of the band that starts at first.
-func (p *pool) inBand(first fleet.Class) (fleet.Class, bool) {
-	a, b := p.classes[first].size > 0, p.classes[first+1].size > 0
+// nextInBand returns the class that gets the next permit within the band that starts
+// with the class first, and false if no request of the band waits.
+func (p *pool) nextInBand(first fleet.Class) (fleet.Class, bool) {
+	firstWaits, secondWaits := p.classes[first].size > 0, p.classes[first+1].size > 0
 	switch {
-	case a && (!b || p.firstRun[band(first)] < secondEvery-1):
+	case firstWaits && (!secondWaits || p.firstClassRun[bandOf(first)] < secondClassInterval-1):
 		return first, true
-	case b:
+	case secondWaits:
 		return first + 1, true
 	}
 	return first, false
 }
 
-func band(c fleet.Class) int {
-	if c < firstLower {
+// bandOf returns 0 for a class of the upper band and 1 for one of the lower band.
+func bandOf(c fleet.Class) int {
+	if c < firstLowerClass {
 		return 0
 	}
 	return 1
 }
 
-// count keeps the runs of grants that the minimum shares are derived from.
-func (p *pool) count(c fleet.Class) {
-	b := band(c)
-	_, lowerWaits := p.inBand(firstLower)
-	if b == 0 && lowerWaits {
-		p.upperRun++
+// recordGrant updates the run lengths by which the minimum shares are enforced.
+func (p *pool) recordGrant(c fleet.Class) {
+	band := bandOf(c)
+	_, lowerWaits := p.nextInBand(firstLowerClass)
+	if band == 0 && lowerWaits {
+		p.upperBandRun++
 	} else {
-		p.upperRun = 0
+		p.upperBandRun = 0
 	}
-	first := fleet.Class(b) * firstLower
+	first := fleet.Class(band) * firstLowerClass
 	if c == first && p.classes[first+1].size > 0 {
-		p.firstRun[b]++
+		p.firstClassRun[band]++
 	} else {
-		p.firstRun[b] = 0
+		p.firstClassRun[band] = 0
 	}
 }
--- a/internal/core/schedule/schedule_test.go
+++ b/internal/core/schedule/schedule_test.go
@@ -13,12 +13,12 @@
 )
 
 var (
-	start = time.Unix(1000, 0)
-	pool1 = routing.Pool{Group: "g"}
+	start    = time.Unix(1000, 0)
+	testPool = routing.Pool{Group: "g"}
 )
 
 func request(c string, class fleet.Class, share int) Request {
-	return Request{Pool: pool1, Customer: fleet.Customer(c), Class: class, Share: share, Deadline: start.Add(time.Hour)}
+	return Request{Pool: testPool, Customer: fleet.Customer(c), Class: class, Share: share, Deadline: start.Add(time.Hour)}
 }
 
 func granted(t *Ticket) bool {
@@ -30,7 +30,7 @@
 	}
 }
 
-func enter(t *testing.T, q *Queue, r Request) *Ticket {
+func enqueue(t *testing.T, q *Queue, r Request) *Ticket {
 	t.Helper()
 	x, err := q.Enqueue(r, start)
 	if err != nil {
@@ -39,15 +39,15 @@
 	return x
 }
 
-// serveBacklog fills the queue with n requests of each kind behind one permit
-// and returns how many of the first half of the grants each kind got.
-func serveBacklog(t *testing.T, n int, kinds ...Request) []int {
+// grantsPerKind queues n requests of each kind behind a single permit and returns how
+// many of the first half of the grants go to each kind.
+func grantsPerKind(t *testing.T, n int, kinds ...Request) []int {
 	q := NewQueue(n * len(kinds))
-	holder := enter(t, q, request("holder", fleet.ClassStatus, 1))
+	holder := enqueue(t, q, request("holder", fleet.ClassStatus, 1))
 	waiting := map[*Ticket]int{}
 	for range n {
 		for i, r := range kinds {
-			waiting[enter(t, q, r)] = i
+			waiting[enqueue(t, q, r)] = i
 		}
 	}
 	got := make([]int, len(kinds))
@@ -69,43 +69,43 @@
 	return got
 }
 
-// TestSharesInsideClass guards against a customer that gets more or less than
-// its share because of how much it asks.
-func TestSharesInsideClass(t *testing.T) {
-	got := serveBacklog(t, 200, request("a", fleet.ClassStatus, 3), request("b", fleet.ClassStatus, 1))
+// TestSharesWithinClass guards against a customer whose part of the permits depends on
+// how many requests it queues instead of on its share.
+func TestSharesWithinClass(t *testing.T) {
+	got := grantsPerKind(t, 200, request("a", fleet.ClassStatus, 3), request("b", fleet.ClassStatus, 1))
 	if got[0] < 148 || got[0] > 152 {
 		t.Errorf("grants %v, want 3 to 1", got)
 	}
 }
 
-// TestFloodDoesNotDelay guards against a customer that floods the queue and
-// delays the first request of another.
-func TestFloodDoesNotDelay(t *testing.T) {
+// TestFloodDoesNotDelayOthers guards against a customer that floods the queue and
+// thereby delays the first request of another customer.
+func TestFloodDoesNotDelayOthers(t *testing.T) {
 	q := NewQueue(1000)
-	holder := enter(t, q, request("flood", fleet.ClassStatus, 1))
+	holder := enqueue(t, q, request("flood", fleet.ClassStatus, 1))
 	for range 500 {
-		enter(t, q, request("flood", fleet.ClassStatus, 1))
+		enqueue(t, q, request("flood", fleet.ClassStatus, 1))
 	}
-	small := enter(t, q, request("small", fleet.ClassStatus, 1))
-	q.SetCapacity(pool1, 3, start)
+	small := enqueue(t, q, request("small", fleet.ClassStatus, 1))
+	q.SetCapacity(testPool, 3, start)
 	if !granted(small) {
-		t.Error("the small customer waits behind the flood")
+		t.Error("the request of the small customer waits behind the flood")
 	}
 	q.Release(holder, start)
 }
 
-// TestClassPriority guards against drafts that delay a station check, and
-// against status traffic that starves the lower classes.
+// TestClassPriority guards against lower classes that delay status requests, and
+// against status requests that starve the lower classes.
 func TestClassPriority(t *testing.T) {
-	got := serveBacklog(t, 400, request("a", fleet.ClassStatus, 1), request("a", fleet.ClassSummary, 1))
-	if low := float64(got[1]) / float64(got[0]+got[1]); low < 0.045 || low > 0.055 {
+	got := grantsPerKind(t, 400, request("a", fleet.ClassStatus, 1), request("a", fleet.ClassSummary, 1))
+	if lower := float64(got[1]) / float64(got[0]+got[1]); lower < 0.045 || lower > 0.055 {
 		t.Errorf("grants %v, want 5%% for the lower class", got)
 	}
 }
 
-// TestPermits guards against a permit that leaks or is granted twice, and
-// against counters that drift, under any order of events.
-func TestPermits(t *testing.T) {
+// TestPermitInvariants guards against permits that leak or are granted twice, and
+// against wrong counters, in any order of events.
+func TestPermitInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue(20)
 		now, capacity := start, 1
@@ -142,10 +142,10 @@
 				leave(rapid.IntRange(0, len(open)-1).Draw(t, "i"))
 			},
 			"time":     func(t *rapid.T) { now = now.Add(time.Duration(rapid.IntRange(1, 30).Draw(t, "ms")) * time.Millisecond) },
-			"capacity": func(t *rapid.T) { capacity = rapid.IntRange(1, 4).Draw(t, "n"); q.SetCapacity(pool1, capacity, now) },
+			"capacity": func(t *rapid.T) { capacity = rapid.IntRange(1, 4).Draw(t, "n"); q.SetCapacity(testPool, capacity, now) },
 			"": func(t *rapid.T) {
 				refresh()
-				queued, inUse := q.Depth(pool1)
+				queued, inUse := q.Depth(testPool)
 				if inUse != len(running) || queued > 20 || queued > 0 && inUse < capacity {
 					t.Fatalf("%d permits of %d in use, %d granted, %d queued", inUse, capacity, len(running), queued)
 				}
@@ -155,42 +155,42 @@
 			leave(0)
 			refresh()
 		}
-		if queued, inUse := q.Depth(pool1); queued != 0 || inUse != 0 || q.customers.Len() != 0 {
+		if queued, inUse := q.Depth(testPool); queued != 0 || inUse != 0 || q.customers.Len() != 0 {
 			t.Fatalf("%d queued, %d in use, %d customers at the end", queued, inUse, q.customers.Len())
 		}
 	})
 }
 
-// TestShedsLateRequests guards against requests that wait although their
-// deadline cannot be met, and against shedding when there is room.
-func TestShedsLateRequests(t *testing.T) {
+// TestDeadlineShedding guards against requests that are queued although their deadline
+// cannot be met, and against shedding while a permit is free.
+func TestDeadlineShedding(t *testing.T) {
 	q := NewQueue(100)
-	x := enter(t, q, request("a", fleet.ClassStatus, 1))
+	x := enqueue(t, q, request("a", fleet.ClassStatus, 1))
 	q.Release(x, start.Add(100*time.Millisecond))
 	short := request("a", fleet.ClassStatus, 1)
 	short.Deadline = start.Add(50 * time.Millisecond)
 	if x, err := q.Enqueue(short, start); err != nil || !granted(x) {
-		t.Fatalf("shed although a permit is free: %v", err)
+		t.Fatalf("request was shed although a permit is free: %v", err)
 	}
 	_, err := q.Enqueue(short, start)
 	if e := verdict.FromError(err); err == nil || e.Code != verdict.CodeOverloaded || e.RetryAfter <= 0 {
-		t.Errorf("error %v, want overloaded with a retry time", err)
+		t.Errorf("error %v, want overloaded with a retry delay", err)
 	}
 }
 
-// TestCustomerBounds guards against one customer that fills the queue or the
-// memory, and against bounds that are not returned.
-func TestCustomerBounds(t *testing.T) {
+// TestCustomerLimits guards against one customer that fills the queue or the memory,
+// and against counts that are not given back.
+func TestCustomerLimits(t *testing.T) {
 	q := NewQueue(100)
 	r := request("a", fleet.ClassStatus, 1)
 	r.MaxQueued = 2
-	first := enter(t, q, r)
-	enter(t, q, r)
+	first := enqueue(t, q, r)
+	enqueue(t, q, r)
 	if _, err := q.Enqueue(r, start); verdict.FromError(err).Code != verdict.CodeCustomerLimit {
 		t.Errorf("third request: %v", err)
 	}
 	q.MarkStarted(first)
-	enter(t, q, r)
+	enqueue(t, q, r)
 
 	b := NewByteLimiter(100)
 	for i, c := range []struct {
@@ -200,7 +200,7 @@
 	}{{"a", 60, 70, ""}, {"a", 20, 70, verdict.CodeCustomerLimit}, {"b", 50, 0, verdict.CodeOverloaded}, {"b", 40, 0, ""}} {
 		err := b.Reserve(c.customer, c.n, c.max)
 		if (err == nil) != (c.code == "") || err != nil && verdict.FromError(err).Code != c.code {
-			t.Error(fmt.Errorf("take %d: %w", i, err))
+			t.Error(fmt.Errorf("reservation %d: %w", i, err))
 		}
 	}
 	b.Release("a", 60)
@@ -210,20 +210,20 @@
 	}
 }
 
-// TestStartsOnlyWhatCanFinish guards against requests that are started with
-// just the mean time left, half of which are cut after they used a target.
-func TestStartsOnlyWhatCanFinish(t *testing.T) {
+// TestLateAllowsForDeviation guards against requests that are started with only the
+// mean hold time left. Half of them would be cut off after they used a target.
+func TestLateAllowsForDeviation(t *testing.T) {
 	p := newPool()
 	for i := range 200 {
-		p.sample(time.Duration(90+20*(i%2)) * time.Millisecond)
+		p.recordHoldTime(time.Duration(90+20*(i%2)) * time.Millisecond)
 	}
 	p.push(&Ticket{})
 	now := time.Unix(0, 0)
-	for left, late := range map[time.Duration]bool{
+	for remaining, late := range map[time.Duration]bool{
 		105 * time.Millisecond: true, 115 * time.Millisecond: true, 140 * time.Millisecond: false,
 	} {
-		if got := p.late(&Ticket{req: Request{Deadline: now.Add(left)}}, now); got != late {
-			t.Errorf("late with %v left: %v, want %v (hold %v, spread %v)", left, got, late, p.hold, p.spread)
+		if got := p.isLate(&Ticket{req: Request{Deadline: now.Add(remaining)}}, now); got != late {
+			t.Errorf("late with %v left: %v, want %v (mean hold time %v, deviation %v)", remaining, got, late, p.meanHoldTime, p.holdTimeDeviation)
 		}
 	}
 }
