--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -161,7 +161,7 @@
 		start:    startup{ready: make(chan struct{})},
 	}
 	d.gossip = membership.Gossip[port.MemberRecord]{
-		Table: d.table, Budget: membership.NewBudget(cfg.ExchangeBytes, now), Size: recordSize, Pick: deps.Rand.IntN,
+		Table: d.table, Budget: membership.NewBudget(cfg.ExchangeBytes, now), RecordSize: recordSize, RandIntN: deps.Rand.IntN,
 	}
 	d.own.rec = cloneRecord(cfg.Self)
 	d.start.reason.Store(&reasonStarting)
--- a/internal/app/directory/exchange.go
+++ b/internal/app/directory/exchange.go
@@ -78,9 +78,9 @@
 	if ns := d.table.Neighbours(now); len(ns) > 0 {
 		out = d.appendTarget(out, ns[d.turn.Add(1)%uint64(len(ns))])
 	}
-	out = d.pick(out, d.table.Failing(), maxRetries)
-	out = d.pick(out, d.table.Suspected(now), maxChecks)
-	out = d.pick(out, d.table.Troubled(now), maxRetries)
+	out = d.pick(out, d.table.FailingIDs(), maxRetries)
+	out = d.pick(out, d.table.ReportedSilentIDs(now), maxChecks)
+	out = d.pick(out, d.table.LiveIDsInFailingDomains(now), maxRetries)
 	if len(out) == 0 {
 		out = d.seeds()
 	}
@@ -106,7 +106,7 @@
 		out = d.appendTarget(out, dead[d.deps.Rand.IntN(len(dead))])
 	}
 	live := map[fleet.Address]bool{}
-	for _, s := range d.table.Live(now) {
+	for _, s := range d.table.LiveMembers(now) {
 		live[s.Address] = true
 	}
 	var unknown []target
@@ -178,7 +178,7 @@
 	// Tables that agree are compared by their digests alone, which keeps a quiet
 	// fleet quiet, also while records wait to be passed on once more.
 	if !suspected && e != updatesOnly && (e == headOnly || d.agreed.Load() == d.table.Digest()) {
-		if _, _, ok := d.swap(ctx, t, d.gossip.Head()); !ok || e == headOnly || d.agreed.Load() != 0 {
+		if _, _, ok := d.swap(ctx, t, d.gossip.NewMessage()); !ok || e == headOnly || d.agreed.Load() != 0 {
 			return ok
 		}
 	}
@@ -199,7 +199,7 @@
 
 // sendUpdates sends what changed lately, if anything.
 func (d *Directory) sendUpdates(ctx context.Context, t target) bool {
-	m := d.gossip.Open(t.id, d.deps.Clock.Now())
+	m := d.gossip.FirstMessage(t.id, d.deps.Clock.Now())
 	if len(m.Records) == 0 {
 		return true
 	}
@@ -211,7 +211,7 @@
 // compare exchanges updates with t and then what else differs, in pieces.
 func (d *Directory) compare(ctx context.Context, t target) (refuted, ok bool) {
 	for range maxComparisons {
-		reply, r, ok := d.swap(ctx, t, d.gossip.Open(t.id, d.deps.Clock.Now()))
+		reply, r, ok := d.swap(ctx, t, d.gossip.FirstMessage(t.id, d.deps.Clock.Now()))
 		refuted = refuted || r
 		if !ok {
 			return refuted, false
@@ -219,13 +219,13 @@
 		if len(reply.Digests) == 0 {
 			return refuted, true
 		}
-		for m, more := d.gossip.Next(reply, d.deps.Clock.Now()); more; m, more = d.gossip.Next(reply, d.deps.Clock.Now()) {
+		for m, more := d.gossip.NextMessage(reply, d.deps.Clock.Now()); more; m, more = d.gossip.NextMessage(reply, d.deps.Clock.Now()) {
 			if reply, r, ok = d.swap(ctx, t, m); !ok {
 				return refuted, false
 			}
 			refuted = refuted || r
 		}
-		if d.agreed.Load() == d.table.Digest() || !d.gossip.Budget.Full(d.deps.Clock.Now()) {
+		if d.agreed.Load() == d.table.Digest() || !d.gossip.Budget.HalfFull(d.deps.Clock.Now()) {
 			break
 		}
 	}
@@ -244,12 +244,12 @@
 	}
 	if err != nil {
 		d.deps.Metrics.Count("directory_exchanges_failed_total", 1)
-		d.table.Fail(t.id, began)
+		d.table.RecordFailure(t.id, began)
 		return answer, false, false
 	}
 	d.deps.Metrics.Count("directory_exchanges_total", 1)
 	answer = d.toMessage(reply)
-	l := d.gossip.Absorb(answer, d.deps.Clock.Now())
+	l := d.gossip.MergeMessage(answer, d.deps.Clock.Now())
 	d.merged(l)
 	d.observe(reply, t.addr)
 	own := d.table.Digest()
@@ -263,14 +263,14 @@
 // merged wakes those who pass on or use what an exchange changed. New members
 // are passed on at once only in a small fleet and while much of the budget is
 // left.
-func (d *Directory) merged(l membership.Merged) {
-	d.deps.Metrics.Count("directory_records_total", int64(l.New), port.Attr{Key: "known", Value: "false"})
-	d.deps.Metrics.Count("directory_records_total", int64(l.Known), port.Attr{Key: "known", Value: "true"})
+func (d *Directory) merged(l membership.MergeResult) {
+	d.deps.Metrics.Count("directory_records_total", int64(l.NewRecords), port.Attr{Key: "known", Value: "false"})
+	d.deps.Metrics.Count("directory_records_total", int64(l.KnownRecords), port.Attr{Key: "known", Value: "true"})
 	if l.Refuted {
 		d.deps.Metrics.Count("directory_refutations_total", 1)
 		signal(d.announce)
 	}
-	if l.Moved || l.Changed && d.table.Len() <= smallFleet && d.gossip.Budget.Full(d.deps.Clock.Now()) {
+	if l.StateChanged || l.Changed && d.table.Len() <= smallFleet && d.gossip.Budget.HalfFull(d.deps.Clock.Now()) {
 		signal(d.relay)
 	}
 	if l.Changed {
--- a/internal/app/directory/handler.go
+++ b/internal/app/directory/handler.go
@@ -25,7 +25,7 @@
 	if m.From == "" {
 		return d.ownFacts(), nil
 	}
-	out, l := d.gossip.Answer(d.toMessage(m), d.deps.Clock.Now())
+	out, l := d.gossip.Reply(d.toMessage(m), d.deps.Clock.Now())
 	d.merged(l)
 	d.observe(m, "")
 	return d.fromMessage(out), nil
@@ -45,14 +45,14 @@
 func (d handler) Members(context.Context) (port.ExchangeMessage, error) { return d.wholeTable(), nil }
 
 func (d *Directory) wholeTable() port.ExchangeMessage {
-	m := d.fromMessage(d.gossip.Head())
+	m := d.fromMessage(d.gossip.NewMessage())
 	m.Records = d.allRecords()
 	return m
 }
 
 func (d *Directory) ownFacts() port.ExchangeMessage {
 	now := d.deps.Clock.Now()
-	m := d.fromMessage(d.gossip.Head())
+	m := d.fromMessage(d.gossip.NewMessage())
 	if s, ok := d.table.Get(d.cfg.Self.ID, now); ok {
 		m.Records = []port.MemberRecord{fromCore(s)}
 	}
@@ -61,7 +61,7 @@
 
 func (d *Directory) allRecords() []port.MemberRecord {
 	var out []port.MemberRecord
-	for _, s := range d.table.All(d.deps.Clock.Now()) {
+	for _, s := range d.table.AllMembers(d.deps.Clock.Now()) {
 		out = append(out, fromCore(s))
 	}
 	return out
--- a/internal/app/directory/large_bench_test.go
+++ b/internal/app/directory/large_bench_test.go
@@ -55,7 +55,7 @@
 	})
 	b.Run("head", func(b *testing.B) {
 		for b.Loop() {
-			d.gossip.Head()
+			d.gossip.NewMessage()
 		}
 	})
 	b.Run("members", func(b *testing.B) {
--- a/internal/app/directory/members.go
+++ b/internal/app/directory/members.go
@@ -27,8 +27,8 @@
 		return l.records
 	}
 	var out []port.MemberRecord
-	d.table.Range(now, func(s membership.Seen[port.MemberRecord]) bool {
-		if s.Kind == k && !s.Gone {
+	d.table.Range(now, func(s membership.ObservedRecord[port.MemberRecord]) bool {
+		if s.Kind == k && !s.ConfirmedDead {
 			out = append(out, fromCore(s))
 		}
 		return true
--- a/internal/app/directory/reader.go
+++ b/internal/app/directory/reader.go
@@ -145,7 +145,7 @@
 	defer wg.Wait()
 	probes := 0
 	known := map[string]bool{}
-	for _, s := range d.table.Live(now) {
+	for _, s := range d.table.LiveMembers(now) {
 		if s.Kind != fleet.KindAgent || s.Domain != d.cfg.Self.Domain || s.State == membership.Dead {
 			continue
 		}
--- a/internal/app/directory/record.go
+++ b/internal/app/directory/record.go
@@ -13,7 +13,7 @@
 	return membership.Record[port.MemberRecord]{
 		ID: r.ID, Kind: r.Kind, Domain: r.Domain, Address: r.Address,
 		Incarnation: r.Incarnation, Version: r.Version, State: membership.State(r.State),
-		Marks: marks(r.Status), Payload: r,
+		Flags: marks(r.Status), Payload: r,
 	}
 }
 
@@ -40,7 +40,7 @@
 
 // recordSize estimates the bytes of a record in a message.
 func recordSize(r *membership.Record[port.MemberRecord]) int {
-	if r.Bare {
+	if r.StateOnly {
 		return bareBytes + len(r.ID)
 	}
 	p := &r.Payload
@@ -68,8 +68,8 @@
 			continue
 		}
 		d.intern.record(&r)
-		s := membership.Seen[port.MemberRecord]{Record: toCore(r), Age: r.Age}
-		s.Bare = r.Address == ""
+		s := membership.ObservedRecord[port.MemberRecord]{Record: toCore(r), Age: r.Age}
+		s.StateOnly = r.Address == ""
 		out.Records = append(out.Records, s)
 	}
 	return out
@@ -89,7 +89,7 @@
 	}
 	for _, s := range m.Records {
 		r := fromCore(s)
-		if s.Bare {
+		if s.StateOnly {
 			r.ID = s.ID
 		}
 		out.Records = append(out.Records, r)
@@ -98,7 +98,7 @@
 }
 
 // fromCore returns the payload with what the table knows better.
-func fromCore(s membership.Seen[port.MemberRecord]) port.MemberRecord {
+func fromCore(s membership.ObservedRecord[port.MemberRecord]) port.MemberRecord {
 	r := s.Payload
 	r.Incarnation, r.Version, r.State, r.Age = s.Incarnation, s.Version, port.MemberState(s.State), s.Age
 	return r
@@ -156,7 +156,7 @@
 	d.own.rec.Revision = max(d.own.rec.Revision, d.rev.Revision())
 	d.own.dirty, d.own.published = false, now
 	rec := cloneRecord(d.own.rec)
-	d.table.SetSelf(now, func(r *membership.Record[port.MemberRecord]) {
+	d.table.UpdateSelf(now, func(r *membership.Record[port.MemberRecord]) {
 		inc, ver := r.Incarnation, r.Version
 		*r = toCore(rec)
 		r.Incarnation, r.Version = inc, ver
--- a/internal/app/directory/startup.go
+++ b/internal/app/directory/startup.go
@@ -123,7 +123,7 @@
 	last := map[string]port.Traffic{}
 	for d.sleep(ctx, meterEvery) {
 		now := d.deps.Clock.Now()
-		d.deps.Metrics.Gauge("directory_members", float64(len(d.table.Live(now))))
+		d.deps.Metrics.Gauge("directory_members", float64(len(d.table.LiveMembers(now))))
 		if _, age := d.rev.Snapshot(now); age >= 0 {
 			d.deps.Metrics.Gauge("directory_age_seconds", age.Seconds())
 		}
--- a/internal/core/membership/parts.go
+++ b/internal/core/membership/digest.go
@@ -10,32 +10,32 @@
 	Leaves = 32
 )
 
-// leafOf returns the leaf of a record, counted over all groups.
-func leafOf[P any](r *Record[P]) int {
-	return int(hash(string(r.Domain))%Groups)*Leaves + int(hash(r.ID)%Leaves)
+// leafIndex returns the leaf of a record, counted over all groups.
+func leafIndex[P any](r *Record[P]) int {
+	return int(stableHash(string(r.Domain))%Groups)*Leaves + int(stableHash(r.ID)%Leaves)
 }
 
-// parts holds the sum of the hashes of the records of each leaf. A record is
+// digestTree holds the sum of the hashes of the records of each leaf. A record is
 // added and removed under the lock of its shard; the sums are atomic, so that
 // a digest needs no lock.
-type parts struct {
-	leaf [Groups * Leaves]atomic.Uint64
+type digestTree struct {
+	leafSums [Groups * Leaves]atomic.Uint64
 }
 
-// stamp is the contribution of a record to a digest. Dead members do not
+// recordHash is the contribution of a record to a digest. Dead members do not
 // count, since each process forgets them at its own time.
-func stamp[P any](r *Record[P]) uint64 {
+func recordHash[P any](r *Record[P]) uint64 {
 	if r.State == Dead {
 		return 0
 	}
-	h := hash(r.ID)
+	h := stableHash(r.ID)
 	h = mix(h ^ r.Incarnation)
 	h = mix(h ^ r.Version)
 	return mix(h ^ uint64(r.State))
 }
 
-// fold makes 32 bits of a sum; zero only for an empty part.
-func fold(sum uint64) uint32 {
+// truncateSum makes 32 bits of a sum; zero only for an empty part.
+func truncateSum(sum uint64) uint32 {
 	if sum == 0 {
 		return 0
 	}
@@ -46,8 +46,8 @@
 // have the same digest, whatever the order in which they received them.
 func (t *Table[P]) Digest() uint64 {
 	var sum uint64
-	for i := range t.parts.leaf {
-		sum += t.parts.leaf[i].Load()
+	for i := range t.digestTree.leafSums {
+		sum += t.digestTree.leafSums[i].Load()
 	}
 	return sum
 }
@@ -58,9 +58,9 @@
 	for g := range out {
 		var sum uint64
 		for i := range Leaves {
-			sum += t.parts.leaf[g*Leaves+i].Load()
+			sum += t.digestTree.leafSums[g*Leaves+i].Load()
 		}
-		out[g] = fold(sum)
+		out[g] = truncateSum(sum)
 	}
 	return out
 }
@@ -69,26 +69,26 @@
 func (t *Table[P]) LeafDigests(group int) []uint32 {
 	out := make([]uint32, Leaves)
 	for i := range out {
-		out[i] = fold(t.parts.leaf[group*Leaves+i].Load())
+		out[i] = truncateSum(t.digestTree.leafSums[group*Leaves+i].Load())
 	}
 	return out
 }
 
 // update is shard.Map.Update that keeps the digests. All changes of the table
 // go through it.
-func (t *Table[P]) update(id string, f func(e entry[P], ok bool) (entry[P], bool)) {
-	t.m.Update(id, func(e entry[P], ok bool) (entry[P], bool) {
-		old, had := e.rec, ok
+func (t *Table[P]) update(id string, f func(e tableEntry[P], ok bool) (tableEntry[P], bool)) {
+	t.m.Update(id, func(e tableEntry[P], ok bool) (tableEntry[P], bool) {
+		old, had := e.record, ok
 		next, keep := f(e, ok)
-		if had && keep && old.Incarnation == next.rec.Incarnation && old.Version == next.rec.Version &&
-			old.State == next.rec.State && old.Domain == next.rec.Domain {
+		if had && keep && old.Incarnation == next.record.Incarnation && old.Version == next.record.Version &&
+			old.State == next.record.State && old.Domain == next.record.Domain {
 			return next, keep
 		}
 		if had {
-			t.parts.leaf[leafOf(&old)].Add(-stamp(&old))
+			t.digestTree.leafSums[leafIndex(&old)].Add(-recordHash(&old))
 		}
 		if keep {
-			t.parts.leaf[leafOf(&next.rec)].Add(stamp(&next.rec))
+			t.digestTree.leafSums[leafIndex(&next.record)].Add(recordHash(&next.record))
 		}
 		return next, keep
 	})
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -98,9 +98,9 @@
 func TestSuspicion(t *testing.T) {
 	tb := table(fleet.KindEntry, "a", 3)
 	at := func(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
-	tb.Fail("m00", at(0))
+	tb.RecordFailure("m00", at(0))
 	tb.Tick(at(2))
-	tb.Fail("m00", at(2))
+	tb.RecordFailure("m00", at(2))
 	for _, step := range []struct {
 		at   float64
 		want State
@@ -114,8 +114,8 @@
 	if got := state(tb, "m00", at(7)); got != Alive {
 		t.Errorf("after a refutation: %v", got)
 	}
-	tb.Fail("m01", at(8))
-	tb.Contact("m01", at(9))
+	tb.RecordFailure("m01", at(8))
+	tb.RecordSuccess("m01", at(9))
 	tb.Tick(at(8.9))
 	tb.Tick(at(11.1))
 	if got := state(tb, "m01", at(11.1)); got != Alive {
@@ -128,7 +128,7 @@
 func TestPauseIsForgiven(t *testing.T) {
 	tb := table(fleet.KindEntry, "a", 3)
 	tb.Tick(t0)
-	tb.Fail("m00", t0)
+	tb.RecordFailure("m00", t0)
 	tb.Merge(Record[string]{ID: "m01", Incarnation: 1, State: Suspect}, 0, t0)
 	tb.Tick(t0.Add(time.Minute))
 	if a, b := state(tb, "m00", t0), state(tb, "m01", t0); a != Alive || b != Suspect {
@@ -166,10 +166,10 @@
 func TestReportedDeathHasGrace(t *testing.T) {
 	tb := table(fleet.KindEntry, "a", 2)
 	tb.Merge(Record[string]{ID: "m00", Incarnation: 1, State: Dead}, 0, t0)
-	if n := len(tb.Live(t0.Add(time.Second))); n != 3 {
+	if n := len(tb.LiveMembers(t0.Add(time.Second))); n != 3 {
 		t.Errorf("%d live members within the grace, want 3", n)
 	}
-	if n := len(tb.Live(t0.Add(ReportedGrace))); n != 2 {
+	if n := len(tb.LiveMembers(t0.Add(ReportedGrace))); n != 2 {
 		t.Errorf("%d live members after the grace, want 2", n)
 	}
 }
@@ -206,10 +206,10 @@
 			own++
 		}
 	}
-	if own != OwnNeighbours || len(before) != OwnNeighbours+OtherNeighbours {
+	if own != SameDomainNeighbours || len(before) != SameDomainNeighbours+OtherDomainNeighbours {
 		t.Fatalf("neighbours = %v", before)
 	}
-	for _, s := range tb.All(t0) {
+	for _, s := range tb.AllMembers(t0) {
 		if s.ID == "self" || slices.Contains(before, s.ID) {
 			continue
 		}
@@ -237,7 +237,7 @@
 	one := func(*Record[string]) int { return 1 }
 	seen := map[string]bool{}
 	for range 4 {
-		rs := tb.Changed(32, 32, one, t0)
+		rs := tb.TakeChanges(32, 32, one, t0)
 		if len(rs) > 32 {
 			t.Fatalf("%d records, want at most 32", len(rs))
 		}
@@ -249,14 +249,14 @@
 		t.Errorf("%d members passed on after 4 messages, want 101", len(seen))
 	}
 	for range 200 {
-		tb.Changed(32, 32, one, t0)
+		tb.TakeChanges(32, 32, one, t0)
 	}
-	if tb.Pending(t0) || len(tb.Changed(32, 32, one, t0)) != 0 {
+	if tb.HasPendingChanges(t0) || len(tb.TakeChanges(32, 32, one, t0)) != 0 {
 		t.Error("changes are passed on without end")
 	}
 	late := table(fleet.KindEntry, "a", 100)
-	if rs := late.Changed(32, 32, one, t0.Add(updateFor)); len(rs) != 0 {
-		t.Errorf("%d records are passed on after %v", len(rs), updateFor)
+	if rs := late.TakeChanges(32, 32, one, t0.Add(sendPeriod)); len(rs) != 0 {
+		t.Errorf("%d records are passed on after %v", len(rs), sendPeriod)
 	}
 }
 
@@ -266,12 +266,12 @@
 	tb := table(fleet.KindEntry, "a", 100)
 	one := func(*Record[string]) int { return 1 }
 	tb.Merge(Record[string]{ID: "m50", Incarnation: 1, State: Suspect}, 0, t0)
-	tb.Merge(Record[string]{ID: "m60", Kind: fleet.KindEntry, Incarnation: 1, Version: 1, Marks: 1}, 0, t0)
-	rs := tb.Changed(4, 0, one, t0)
-	if len(rs) != 2 || rs[0].ID != "m50" || !rs[0].Bare || rs[1].ID != "m60" || rs[1].Bare {
+	tb.Merge(Record[string]{ID: "m60", Kind: fleet.KindEntry, Incarnation: 1, Version: 1, Flags: 1}, 0, t0)
+	rs := tb.TakeChanges(4, 0, one, t0)
+	if len(rs) != 2 || rs[0].ID != "m50" || !rs[0].StateOnly || rs[1].ID != "m60" || rs[1].StateOnly {
 		t.Errorf("without room for other records: %+v, want the state of m50 and the record of m60", rs)
 	}
-	if rs = tb.Changed(4, 3, one, t0); len(rs) != 3 {
+	if rs = tb.TakeChanges(4, 3, one, t0); len(rs) != 3 {
 		t.Errorf("%d records with room for 3, want 3", len(rs))
 	}
 }
@@ -281,13 +281,13 @@
 func TestSuspicionIsAnswered(t *testing.T) {
 	one := func(*Record[string]) int { return 1 }
 	rec := Record[string]{ID: "m", Domain: "a", Incarnation: 6}
-	m := Gossip[string]{Table: NewTable(rec, t0), Budget: NewBudget(800, t0), Size: one}
+	m := Gossip[string]{Table: NewTable(rec, t0), Budget: NewBudget(800, t0), RecordSize: one}
 	tb := table(fleet.KindEntry, "a", 0)
 	tb.Merge(Record[string]{ID: "m", Domain: "a", Incarnation: 5, State: Dead}, 0, t0)
-	g := Gossip[string]{Table: tb, Budget: NewBudget(800, t0), Size: one}
-	now := t0.Add(2 * updateFor)
-	answer, _ := m.Answer(g.Open("m", now), now)
-	g.Absorb(answer, now)
+	g := Gossip[string]{Table: tb, Budget: NewBudget(800, t0), RecordSize: one}
+	now := t0.Add(2 * sendPeriod)
+	answer, _ := m.Reply(g.FirstMessage("m", now), now)
+	g.MergeMessage(answer, now)
 	if s := state(tb, "m", now); s != Alive {
 		t.Errorf("after the answer: %v, want alive", s)
 	}
@@ -298,14 +298,14 @@
 func TestBareRecord(t *testing.T) {
 	tb := table(fleet.KindEntry, "a", 2)
 	for _, r := range []Record[string]{
-		{ID: "new", Incarnation: 1, Bare: true},
-		{ID: "m00", Incarnation: 2, State: Dead, Bare: true},
+		{ID: "new", Incarnation: 1, StateOnly: true},
+		{ID: "m00", Incarnation: 2, State: Dead, StateOnly: true},
 	} {
 		if out := tb.Merge(r, 0, t0); out != Unchanged {
 			t.Errorf("%+v: %v, want no change", r, out)
 		}
 	}
-	tb.Merge(Record[string]{ID: "m00", Incarnation: 1, Version: 9, State: Suspect, Bare: true}, 0, t0)
+	tb.Merge(Record[string]{ID: "m00", Incarnation: 1, Version: 9, State: Suspect, StateOnly: true}, 0, t0)
 	if s, _ := tb.Get("m00", t0); s.State != Suspect || s.Version != 0 || s.Domain != "a" {
 		t.Errorf("after its state alone: %+v", s.Record)
 	}
--- a/internal/core/membership/choose.go
+++ b/internal/core/membership/neighbours.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// OwnNeighbours and OtherNeighbours are the neighbours in the own failure
+	// SameDomainNeighbours and OtherNeighbours are the neighbours in the own failure
 	// domain and in others. With eight, 2,790 processes are four hops apart.
-	OwnNeighbours   = 6
-	OtherNeighbours = 2
+	SameDomainNeighbours  = 6
+	OtherDomainNeighbours = 2
 	// ReadersPerDomain is the number of entries of a failure domain that watch
 	// the platform. The second covers the failure of the first.
 	ReadersPerDomain = 2
 )
 
-// hash is FNV-1a with a final mix. All processes must agree on it, so it has
+// stableHash is FNV-1a with a final mix. All processes must agree on it, so it has
 // no random seed.
-func hash(parts ...string) uint64 {
+func stableHash(parts ...string) uint64 {
 	h := uint64(14695981039346656037)
 	for _, p := range parts {
 		for i := range len(p) {
@@ -37,32 +37,32 @@
 	return h ^ h>>33
 }
 
-type ranked struct {
+type scoredID struct {
 	id    string
 	score uint64
 }
 
-// best keeps the ids with the highest scores, in falling order. n is small.
-type best struct {
-	n  int
-	rs []ranked
+// topScores keeps the ids with the highest scores, in falling order. n is small.
+type topScores struct {
+	limit int
+	top   []scoredID
 }
 
-func (b *best) add(r ranked) {
-	at := len(b.rs)
-	for at > 0 && (b.rs[at-1].score < r.score || b.rs[at-1].score == r.score && b.rs[at-1].id > r.id) {
+func (b *topScores) add(r scoredID) {
+	at := len(b.top)
+	for at > 0 && (b.top[at-1].score < r.score || b.top[at-1].score == r.score && b.top[at-1].id > r.id) {
 		at--
 	}
-	if at == b.n {
+	if at == b.limit {
 		return
 	}
-	b.rs = slices.Insert(b.rs, at, r)
-	b.rs = b.rs[:min(len(b.rs), b.n)]
+	b.top = slices.Insert(b.top, at, r)
+	b.top = b.top[:min(len(b.top), b.limit)]
 }
 
-func (b *best) ids() []string {
-	out := make([]string, 0, len(b.rs))
-	for _, r := range b.rs {
+func (b *topScores) ids() []string {
+	out := make([]string, 0, len(b.top))
+	for _, r := range b.top {
 		out = append(out, r.id)
 	}
 	return out
@@ -74,14 +74,14 @@
 // the choice only of those that had chosen it.
 func (t *Table[P]) Neighbours(now time.Time) []string {
 	self := t.Self()
-	own, other := best{n: OwnNeighbours}, best{n: OtherNeighbours}
-	t.m.Range(func(id string, e entry[P]) bool {
+	own, other := topScores{limit: SameDomainNeighbours}, topScores{limit: OtherDomainNeighbours}
+	t.m.Range(func(id string, e tableEntry[P]) bool {
 		switch {
-		case id == self.ID || e.gone(now):
-		case e.rec.Domain == self.Domain:
-			own.add(ranked{id, hash(self.ID, id)})
+		case id == self.ID || e.confirmedDead(now):
+		case e.record.Domain == self.Domain:
+			own.add(scoredID{id, stableHash(self.ID, id)})
 		default:
-			other.add(ranked{id, hash(self.ID, id)})
+			other.add(scoredID{id, stableHash(self.ID, id)})
 		}
 		return true
 	})
@@ -91,8 +91,8 @@
 // Dead returns the ids of dead members.
 func (t *Table[P]) Dead() []string {
 	var out []string
-	t.m.Range(func(id string, e entry[P]) bool {
-		if e.rec.State == Dead {
+	t.m.Range(func(id string, e tableEntry[P]) bool {
+		if e.record.State == Dead {
 			out = append(out, id)
 		}
 		return true
@@ -111,12 +111,12 @@
 // Readers returns the readers of a failure domain. A suspect is passed over,
 // so that the domain has two readers that answer.
 func (t *Table[P]) Readers(d fleet.Domain) []string {
-	first := best{n: ReadersPerDomain}
-	t.m.Range(func(id string, e entry[P]) bool {
-		if e.rec.Kind == fleet.KindEntry && e.rec.Domain == d && e.rec.State == Alive {
-			first.add(ranked{id, hash(string(d), id)})
+	readers := topScores{limit: ReadersPerDomain}
+	t.m.Range(func(id string, e tableEntry[P]) bool {
+		if e.record.Kind == fleet.KindEntry && e.record.Domain == d && e.record.State == Alive {
+			readers.add(scoredID{id, stableHash(string(d), id)})
 		}
 		return true
 	})
-	return first.ids()
+	return readers.ids()
 }
--- a/internal/core/membership/scale_test.go
+++ b/internal/core/membership/simulation_test.go
@@ -50,7 +50,7 @@
 }
 
 func simSize(r *Record[string]) int {
-	if r.Bare {
+	if r.StateOnly {
 		return bareBytes
 	}
 	return recordBytes
@@ -72,10 +72,10 @@
 		recs = append(recs, r)
 	}
 	for i, r := range recs {
-		n := &simNode{Gossip: &Gossip[string]{Table: NewTable(r, s.now), Budget: NewBudget(rate, s.now), Size: simSize, Pick: s.rnd.IntN}}
+		n := &simNode{Gossip: &Gossip[string]{Table: NewTable(r, s.now), Budget: NewBudget(rate, s.now), RecordSize: simSize, RandIntN: s.rnd.IntN}}
 		for j, o := range recs {
 			if i != j && (full || j < simSeeds) {
-				n.Table.Merge(o, updateFor, s.now)
+				n.Table.Merge(o, sendPeriod, s.now)
 			}
 		}
 		s.nodes, s.byID[r.ID] = append(s.nodes, n), n
@@ -85,18 +85,18 @@
 
 func (s *sim) call(n, to *simNode, m Message[string]) Message[string] {
 	count := func(m Message[string]) {
-		b := headBytes + len(m.Digests)*digestBytes + len(m.Want)*wantBytes
+		b := headBytes + len(m.Digests)*digestBytes + len(m.Want)*wantedIDBytes
 		for i := range m.Records {
 			b += simSize(&m.Records[i].Record)
 		}
 		n.bytes, to.bytes = n.bytes+b, to.bytes+b
 	}
 	count(m)
-	a, l := to.Answer(m, s.now)
-	to.relay = to.relay || l.Moved || l.Refuted
+	a, l := to.Reply(m, s.now)
+	to.relay = to.relay || l.StateChanged || l.Refuted
 	count(a)
-	l = n.Absorb(a, s.now)
-	n.relay = n.relay || l.Moved || l.Refuted
+	l = n.MergeMessage(a, s.now)
+	n.relay = n.relay || l.StateChanged || l.Refuted
 	return a
 }
 
@@ -104,15 +104,15 @@
 func (s *sim) exchange(n *simNode, id string, compare bool) {
 	to := s.byID[id]
 	if to.down {
-		n.Table.Fail(id, s.now)
+		n.Table.RecordFailure(id, s.now)
 		return
 	}
 	for range 4 {
-		a := s.call(n, to, n.Open(id, s.now))
-		for m, ok := n.Next(a, s.now); ok && compare; m, ok = n.Next(a, s.now) {
+		a := s.call(n, to, n.FirstMessage(id, s.now))
+		for m, ok := n.NextMessage(a, s.now); ok && compare; m, ok = n.NextMessage(a, s.now) {
 			a = s.call(n, to, m)
 		}
-		if !compare || a.Digest == n.Table.Digest() || !n.Budget.Full(s.now) {
+		if !compare || a.Digest == n.Table.Digest() || !n.Budget.HalfFull(s.now) {
 			return
 		}
 	}
@@ -133,7 +133,7 @@
 			}
 			n.turn++
 			s.exchange(n, n.neighbours[n.turn%len(n.neighbours)], true)
-			for j, id := range n.Table.Failing() {
+			for j, id := range n.Table.FailingIDs() {
 				if j < 2 {
 					s.exchange(n, id, true)
 				}
@@ -168,7 +168,7 @@
 func never() bool { return false }
 
 // missing returns how many live nodes do not hold what ok accepts of a member.
-func (s *sim) missing(id string, ok func(Seen[string], bool) bool) (n int) {
+func (s *sim) missing(id string, ok func(ObservedRecord[string], bool) bool) (n int) {
 	for _, o := range s.nodes {
 		if r, found := o.Table.Get(id, s.now); !o.down && !ok(r, found) {
 			n++
@@ -192,10 +192,10 @@
 	}
 
 	n := s.nodes[1000]
-	n.Table.SetSelf(s.now, func(r *Record[string]) { r.Marks = 1 })
+	n.Table.UpdateSelf(s.now, func(r *Record[string]) { r.Flags = 1 })
 	n.relay = true
 	took, mean, top := s.run(10*time.Second, func() bool {
-		return s.missing(n.Table.self, func(r Seen[string], _ bool) bool { return r.Marks == 1 }) == 0
+		return s.missing(n.Table.self, func(r ObservedRecord[string], _ bool) bool { return r.Flags == 1 }) == 0
 	})
 	t.Logf("mark known everywhere after %v; %.0f B/s, at most %.0f", took, mean, top)
 	if took > 3*time.Second {
@@ -205,11 +205,11 @@
 	s.nodes[2000].down = true
 	id := s.nodes[2000].Table.self
 	anyone := func() bool {
-		return s.missing(id, func(r Seen[string], _ bool) bool { return r.State == Alive }) > 0
+		return s.missing(id, func(r ObservedRecord[string], _ bool) bool { return r.State == Alive }) > 0
 	}
 	found, _, _ := s.run(12*time.Second, anyone)
 	took, mean, top = s.run(10*time.Second, func() bool {
-		return s.missing(id, func(r Seen[string], _ bool) bool { return r.State != Alive }) == 0
+		return s.missing(id, func(r ObservedRecord[string], _ bool) bool { return r.State != Alive }) == 0
 	})
 	t.Logf("failure suspected after %v, known everywhere %v later; %.0f B/s, at most %.0f", found, took, mean, top)
 	if took > 3*time.Second {
@@ -222,13 +222,13 @@
 // that is late meanwhile.
 func TestBudgetHolds(t *testing.T) {
 	s := newSim(t, 40, 120, true)
-	s.now = s.now.Add(startFor)
+	s.now = s.now.Add(startupPeriod)
 	for _, n := range s.nodes {
-		n.Budget.Take(rate*startSeconds, s.now)
+		n.Budget.Charge(rate*startupBurstSeconds, s.now)
 	}
 	churn := func() bool {
 		for range 16 {
-			s.nodes[s.rnd.IntN(len(s.nodes))].Table.SetSelf(s.now, func(*Record[string]) {})
+			s.nodes[s.rnd.IntN(len(s.nodes))].Table.UpdateSelf(s.now, func(*Record[string]) {})
 		}
 		return false
 	}
@@ -238,11 +238,11 @@
 		t.Errorf("%.0f B/s, at most %.0f; want %d and %d", mean, top, 2*rate, perDaemon)
 	}
 	n := s.nodes[50]
-	n.Table.SetSelf(s.now, func(r *Record[string]) { r.Marks = 1 })
+	n.Table.UpdateSelf(s.now, func(r *Record[string]) { r.Flags = 1 })
 	n.relay = true
 	took, _, _ = s.run(10*time.Second, func() bool {
 		churn()
-		return s.missing(n.Table.self, func(r Seen[string], _ bool) bool { return r.Marks == 1 }) == 0
+		return s.missing(n.Table.self, func(r ObservedRecord[string], _ bool) bool { return r.Flags == 1 }) == 0
 	})
 	t.Logf("mark known everywhere after %v meanwhile", took)
 	if took > 3*time.Second {
--- a/internal/core/membership/table.go
+++ b/internal/core/membership/table.go
@@ -55,14 +55,14 @@
 	// Version rises with each change that the member makes to its record.
 	Version uint64
 	State   State
-	// Marks hold what the payload says that others should hear of at once, such
+	// Flags hold what the payload says that others should hear of at once, such
 	// as that the member is cordoned. Only a difference of marks matters.
-	Marks uint8
-	// Bare marks a record of the state alone: incarnation and state count, the
+	Flags uint8
+	// StateOnly marks a record of the state alone: incarnation and state count, the
 	// rest is not set. It changes nothing in a table that does not hold the
 	// member in that incarnation.
-	Bare    bool
-	Payload P
+	StateOnly bool
+	Payload   P
 }
 
 // Merge returns the join of two records of the same member and whether it
@@ -75,7 +75,7 @@
 		return a, false
 	}
 	out, state := a, max(a.State, b.State)
-	if b.Version > a.Version && !b.Bare {
+	if b.Version > a.Version && !b.StateOnly {
 		out = b
 	}
 	out.State = state
@@ -86,64 +86,66 @@
 // the memory of a time.Time.
 type instant int64
 
-func at(t time.Time) instant { return instant(t.UnixNano()) }
+func instantOf(t time.Time) instant { return instant(t.UnixNano()) }
 
-// until returns the time from i to now.
-func (i instant) until(now time.Time) time.Duration { return time.Duration(now.UnixNano() - int64(i)) }
+// elapsed returns the time from i to now.
+func (i instant) elapsed(now time.Time) time.Duration {
+	return time.Duration(now.UnixNano() - int64(i))
+}
 
-// entry is a record with what this process observed of the member.
-type entry[P any] struct {
-	rec Record[P]
-	// heard is when the record was last known to be true, here or elsewhere.
-	heard instant
-	// failing is when the first of a row of failed contacts happened; zero
+// tableEntry is a record with what this process observed of the member.
+type tableEntry[P any] struct {
+	record Record[P]
+	// confirmedAt is when the record was last known to be true, here or elsewhere.
+	confirmedAt instant
+	// failingSince is when the first of a row of failed contacts happened; zero
 	// after a successful one.
-	failing instant
-	// since is when the state was entered, as seen here.
-	since instant
-	// listed is the time until which a member that others report as dead is
+	failingSince instant
+	// stateSince is when the state was entered, as seen here.
+	stateSince instant
+	// refutableUntil is the time until which a member that others report as dead is
 	// still used, so that it can refute.
-	listed instant
+	refutableUntil instant
 	// changedAt is when this process learned of the last change, and sends counts how
 	// often it is still to be passed on.
 	changedAt instant
-	sends     uint16
+	sendsLeft uint16
 	// urgent means that the change is one of state or marks.
 	urgent bool
 }
 
-// gone reports whether the member is dead and had the time to refute. When a
+// confirmedDead reports whether the member is dead and had the time to refute. When a
 // partition heals, each side learns that the other held it for dead; without
 // that time every member would vanish for a moment. It ends early if this
 // process cannot reach the member either.
-func (e entry[P]) gone(now time.Time) bool {
-	silent := e.failing != 0 && e.failing.until(now) >= SuspectAfter
-	return e.rec.State == Dead && (silent || e.listed.until(now) >= 0)
+func (e tableEntry[P]) confirmedDead(now time.Time) bool {
+	silent := e.failingSince != 0 && e.failingSince.elapsed(now) >= SuspectAfter
+	return e.record.State == Dead && (silent || e.refutableUntil.elapsed(now) >= 0)
 }
 
-// Seen is a record with the time since it was last known to be true.
-type Seen[P any] struct {
+// ObservedRecord is a record with the time since it was last known to be true.
+type ObservedRecord[P any] struct {
 	Record[P]
 	Age time.Duration
-	// Gone means that the member is known to be dead.
-	Gone bool
+	// ConfirmedDead means that the member is known to be dead.
+	ConfirmedDead bool
 }
 
 // Table holds the members, sharded by id. The record of the process itself is
 // in the table as well; only the process changes it.
 type Table[P any] struct {
 	self string
-	m    *shard.Map[string, entry[P]]
-	// ticked is the time of the last Tick in Unix nanoseconds, or 0.
-	ticked atomic.Int64
-	parts  parts
+	m    *shard.Map[string, tableEntry[P]]
+	// lastTick is the time of the last Tick in Unix nanoseconds, or 0.
+	lastTick   atomic.Int64
+	digestTree digestTree
 }
 
 // NewTable returns a table that holds the record of its own process.
 func NewTable[P any](self Record[P], now time.Time) *Table[P] {
-	t := &Table[P]{self: self.ID, m: shard.New[string, entry[P]](0)}
-	t.update(self.ID, func(entry[P], bool) (entry[P], bool) {
-		return entry[P]{rec: self, heard: at(now), since: at(now)}.changed(now, false), true
+	t := &Table[P]{self: self.ID, m: shard.New[string, tableEntry[P]](0)}
+	t.update(self.ID, func(tableEntry[P], bool) (tableEntry[P], bool) {
+		return tableEntry[P]{record: self, confirmedAt: instantOf(now), stateSince: instantOf(now)}.withPendingSends(now, false), true
 	})
 	return t
 }
@@ -151,52 +153,52 @@
 // Self returns the record of the process itself.
 func (t *Table[P]) Self() Record[P] {
 	e, _ := t.m.Get(t.self)
-	return e.rec
+	return e.record
 }
 
 // Get returns the record of a member.
-func (t *Table[P]) Get(id string, now time.Time) (Seen[P], bool) {
+func (t *Table[P]) Get(id string, now time.Time) (ObservedRecord[P], bool) {
 	e, ok := t.m.Get(id)
-	return t.seen(e, now), ok
+	return t.observed(e, now), ok
 }
 
-func (t *Table[P]) seen(e entry[P], now time.Time) Seen[P] {
-	return Seen[P]{Record: e.rec, Age: t.age(e, now), Gone: e.gone(now)}
+func (t *Table[P]) observed(e tableEntry[P], now time.Time) ObservedRecord[P] {
+	return ObservedRecord[P]{Record: e.record, Age: t.age(e, now), ConfirmedDead: e.confirmedDead(now)}
 }
 
-func (t *Table[P]) age(e entry[P], now time.Time) time.Duration {
-	if e.rec.ID == t.self {
+func (t *Table[P]) age(e tableEntry[P], now time.Time) time.Duration {
+	if e.record.ID == t.self {
 		return 0
 	}
-	return max(0, e.heard.until(now))
+	return max(0, e.confirmedAt.elapsed(now))
 }
 
-// SetSelf changes the record of the process itself and raises its version.
-func (t *Table[P]) SetSelf(now time.Time, change func(*Record[P])) Record[P] {
+// UpdateSelf changes the record of the process itself and raises its version.
+func (t *Table[P]) UpdateSelf(now time.Time, change func(*Record[P])) Record[P] {
 	var out Record[P]
-	t.update(t.self, func(e entry[P], _ bool) (entry[P], bool) {
-		old := e.rec
-		change(&e.rec)
-		e.rec.Version++
-		e.heard = at(now)
-		e = e.changed(now, old.State != e.rec.State || old.Marks != e.rec.Marks)
-		out = e.rec
+	t.update(t.self, func(e tableEntry[P], _ bool) (tableEntry[P], bool) {
+		old := e.record
+		change(&e.record)
+		e.record.Version++
+		e.confirmedAt = instantOf(now)
+		e = e.withPendingSends(now, old.State != e.record.State || old.Flags != e.record.Flags)
+		out = e.record
 		return e, true
 	})
 	return out
 }
 
-// Outcome says what a merge changed.
-type Outcome uint8
+// MergeOutcome says what a merge changed.
+type MergeOutcome uint8
 
 // The outcomes of Table.Merge.
 const (
 	// Unchanged means that nothing changed.
-	Unchanged Outcome = iota
+	Unchanged MergeOutcome = iota
 	// Updated means that the member is new or its record changed.
 	Updated
-	// Moved means that its state or marks changed, which is passed on at once.
-	Moved
+	// StateChanged means that its state or marks changed, which is passed on at once.
+	StateChanged
 	// Refuted means that another process held this one for suspect or dead, or
 	// knew a former life of it, and its incarnation was raised.
 	Refuted
@@ -204,13 +206,13 @@
 
 // Merge takes a record from another process; age is the time since it was
 // last known to be true.
-func (t *Table[P]) Merge(r Record[P], age time.Duration, now time.Time) Outcome {
+func (t *Table[P]) Merge(r Record[P], age time.Duration, now time.Time) MergeOutcome {
 	if r.ID == t.self {
 		return t.refute(r, now)
 	}
 	out := Unchanged
-	t.update(r.ID, func(e entry[P], ok bool) (entry[P], bool) {
-		if r.Bare && (!ok || r.Incarnation != e.rec.Incarnation) {
+	t.update(r.ID, func(e tableEntry[P], ok bool) (tableEntry[P], bool) {
+		if r.StateOnly && (!ok || r.Incarnation != e.record.Incarnation) {
 			return e, ok
 		}
 		if !ok {
@@ -218,35 +220,35 @@
 				return e, false
 			}
 			out = Updated
-			e = entry[P]{rec: r, heard: at(now.Add(-age)), since: at(now)}
-			if age < updateFor {
-				e = e.changed(now, false)
+			e = tableEntry[P]{record: r, confirmedAt: instantOf(now.Add(-age)), stateSince: instantOf(now)}
+			if age < sendPeriod {
+				e = e.withPendingSends(now, false)
 			}
 			return e, true
 		}
-		merged, changed := Merge(e.rec, r)
+		merged, changed := Merge(e.record, r)
 		same := merged.Incarnation == r.Incarnation && merged.Version == r.Version && merged.State == r.State
-		if heard := at(now.Add(-age)); same && heard > e.heard {
-			e.heard = heard
+		if confirmedAt := instantOf(now.Add(-age)); same && confirmedAt > e.confirmedAt {
+			e.confirmedAt = confirmedAt
 		}
 		if !changed {
 			return e, true
 		}
 		out = Updated
-		if merged.State != e.rec.State {
-			if e.rec.State == Alive && merged.State == Dead {
-				e.listed = at(now.Add(ReportedGrace))
+		if merged.State != e.record.State {
+			if e.record.State == Alive && merged.State == Dead {
+				e.refutableUntil = instantOf(now.Add(ReportedGrace))
 			}
-			e.since, out = at(now), Moved
+			e.stateSince, out = instantOf(now), StateChanged
 		}
-		if merged.Marks != e.rec.Marks {
-			out = Moved
+		if merged.Flags != e.record.Flags {
+			out = StateChanged
 		}
-		e = e.changed(now, out == Moved)
-		if merged.Incarnation > e.rec.Incarnation {
-			e.failing = 0
+		e = e.withPendingSends(now, out == StateChanged)
+		if merged.Incarnation > e.record.Incarnation {
+			e.failingSince = 0
 		}
-		e.rec = merged
+		e.record = merged
 		return e, true
 	})
 	return out
@@ -254,49 +256,49 @@
 
 // refute raises the incarnation of the process itself if another process
 // holds a record that would win over its own.
-func (t *Table[P]) refute(r Record[P], now time.Time) Outcome {
+func (t *Table[P]) refute(r Record[P], now time.Time) MergeOutcome {
 	out := Unchanged
-	t.update(t.self, func(e entry[P], _ bool) (entry[P], bool) {
-		if _, changed := Merge(e.rec, r); !changed {
+	t.update(t.self, func(e tableEntry[P], _ bool) (tableEntry[P], bool) {
+		if _, changed := Merge(e.record, r); !changed {
 			return e, true
 		}
 		out = Refuted
-		e.rec.Incarnation = max(e.rec.Incarnation, r.Incarnation) + 1
-		e.heard = at(now)
-		e = e.changed(now, true)
+		e.record.Incarnation = max(e.record.Incarnation, r.Incarnation) + 1
+		e.confirmedAt = instantOf(now)
+		e = e.withPendingSends(now, true)
 		return e, true
 	})
 	return out
 }
 
 // Range calls f for each member while the lock of its shard is held.
-func (t *Table[P]) Range(now time.Time, f func(Seen[P]) bool) {
-	t.m.Range(func(_ string, e entry[P]) bool { return f(t.seen(e, now)) })
+func (t *Table[P]) Range(now time.Time, f func(ObservedRecord[P]) bool) {
+	t.m.Range(func(_ string, e tableEntry[P]) bool { return f(t.observed(e, now)) })
 }
 
-// Gone reports whether the member is known to be dead.
-func (t *Table[P]) Gone(id string, now time.Time) bool {
+// ConfirmedDead reports whether the member is known to be dead.
+func (t *Table[P]) ConfirmedDead(id string, now time.Time) bool {
 	e, ok := t.m.Get(id)
-	return ok && e.gone(now)
+	return ok && e.confirmedDead(now)
 }
 
-// Live returns the members that are not known to be dead, the process itself
+// LiveMembers returns the members that are not known to be dead, the process itself
 // included.
-func (t *Table[P]) Live(now time.Time) []Seen[P] {
-	var out []Seen[P]
-	t.m.Range(func(_ string, e entry[P]) bool {
-		if !e.gone(now) {
-			out = append(out, t.seen(e, now))
+func (t *Table[P]) LiveMembers(now time.Time) []ObservedRecord[P] {
+	var out []ObservedRecord[P]
+	t.m.Range(func(_ string, e tableEntry[P]) bool {
+		if !e.confirmedDead(now) {
+			out = append(out, t.observed(e, now))
 		}
 		return true
 	})
 	return out
 }
 
-// All returns every member, the process itself included.
-func (t *Table[P]) All(now time.Time) []Seen[P] {
-	var out []Seen[P]
-	t.Range(now, func(s Seen[P]) bool {
+// AllMembers returns every member, the process itself included.
+func (t *Table[P]) AllMembers(now time.Time) []ObservedRecord[P] {
+	var out []ObservedRecord[P]
+	t.Range(now, func(s ObservedRecord[P]) bool {
 		out = append(out, s)
 		return true
 	})
