--- a/internal/app/feed/source.go
+++ b/internal/app/feed/source.go
@@ -195,6 +195,7 @@
 	}
 }
 
+// readerFailed records a failed call to reader m, which is then not asked for a while.
 func (s *Source) readerFailed(prefix string, m core.Member, err error) {
 	pause := unreachablePause
 	if errors.Is(err, port.ErrFeedRefused) {
@@ -206,6 +207,7 @@
 	}
 }
 
+// readerAnswered records that the changes of a prefix come from reader m.
 func (s *Source) readerAnswered(prefix string, m core.Member, confirmedAt time.Duration) {
 	if _, fromReader := s.FromReader(prefix); !fromReader {
 		s.log.State("following a reader", logging.F("prefix", prefix), logging.F("reader", m.ID))
--- a/internal/app/follow/follow.go
+++ b/internal/app/follow/follow.go
@@ -152,6 +152,7 @@
 	}
 }
 
+// markLost logs the first failed call after a successful one.
 func (f *Follower) markLost(ctx context.Context, err error) {
 	if !f.storeLost && ctx.Err() == nil {
 		f.storeLost = true
@@ -159,6 +160,7 @@
 	}
 }
 
+// markRegained logs the first successful call after a failed one.
 func (f *Follower) markRegained(revision int64) {
 	if f.storeLost {
 		f.storeLost = false
--- a/internal/core/chain/chain.go
+++ b/internal/core/chain/chain.go
@@ -30,7 +30,7 @@
 type plan struct {
 	self    Member
 	regions []fleet.Region
-	rings   map[fleet.Region][]Member
+	rings   map[fleet.Region][]Member // members in the order of their VM names
 }
 
 func newPlan(self Member, ms []Member) *plan {
--- a/internal/core/chain/table.go
+++ b/internal/core/chain/table.go
@@ -65,6 +65,7 @@
 // AnnounceOnly set, and transfers of data.
 type Capacity struct{ AnnounceOnly, Data bool }
 
+// chunkState is the progress of one chunk.
 type chunkState struct {
 	held, active bool
 	notBefore    time.Time
@@ -84,10 +85,10 @@
 	mu           sync.Mutex
 	plan         *plan
 	chunks       []chunkState
-	order        []int
+	order        []int // chunks in the order of preference
 	skipUntil    map[fleet.VM]time.Time
 	missing      int
-	originActive int
+	originActive int // fetches from the origin in progress
 	// Chunk c is not fetched from the origin before originStart + c*originInterval.
 	originStart    time.Time
 	originInterval time.Duration
@@ -187,6 +188,7 @@
 	return best, found
 }
 
+// hasCapacity reports whether fetch f may start with the given capacity.
 func (t *Table) hasCapacity(f Fetch, capacity Capacity, now time.Time) bool {
 	switch {
 	case f.AnnounceOnly:
@@ -199,6 +201,7 @@
 	}
 }
 
+// startFetch records that fetch f starts.
 func (t *Table) startFetch(f Fetch, now time.Time) {
 	s := &t.chunks[f.Chunk]
 	s.active = true
@@ -210,6 +213,7 @@
 	}
 }
 
+// nextSource returns the fetch of chunk c from the first source that is not skipped.
 func (t *Table) nextSource(c int, now time.Time) Fetch {
 	for _, m := range t.plan.sources(c) {
 		if now.Before(t.skipUntil[m.VM]) || t.chunks[c].skip[m.VM] {
--- a/internal/core/spread/members.go
+++ b/internal/core/spread/members.go
@@ -68,6 +68,8 @@
 	return mix(h)
 }
 
+// sortByHash returns the members in an order that depends on the salt and is the same
+// on every agent.
 func sortByHash(ms []Member, salt ...string) []Member {
 	type ranked struct {
 		m Member
@@ -107,14 +109,14 @@
 	ring := sortByHash(ms, string(v))
 	selfIndex := slices.IndexFunc(ring, func(m Member) bool { return m.VM == self.VM })
 	var out []Member
-	taken := map[fleet.VM]bool{self.VM: true}
+	chosen := map[fleet.VM]bool{self.VM: true}
 	for _, d := range ringDistances(v, len(ring), n) {
 		for i := range len(ring) {
 			m := ring[(selfIndex+d+i)%len(ring)]
-			if taken[m.VM] || avoid(m.VM) {
+			if chosen[m.VM] || avoid(m.VM) {
 				continue
 			}
-			taken[m.VM] = true
+			chosen[m.VM] = true
 			out = append(out, m)
 			break
 		}
@@ -129,7 +131,7 @@
 	var out []int
 	used := map[int]bool{0: true}
 	for i := range n {
-		// Each distance is taken from a separate section of the ring.
+		// Each distance is chosen from a separate section of the ring.
 		low, high := 1+i*(size-1)/n, 1+(i+1)*(size-1)/n
 		d := low
 		if i > 0 && high > low {
--- a/internal/core/spread/pick.go
+++ b/internal/core/spread/pick.go
@@ -45,6 +45,8 @@
 	return Fetch{}, false
 }
 
+// rarestChunk returns the fetchable chunk with the fewest holders in the region, among
+// those that a usable peer has, and the mask of these peers.
 func (t *Table) rarestChunk(now time.Time, m *peerMasks, usable uint64, rnd Rand) (chunk int, set uint64, ok bool) {
 	rarity, ties := 0, 0
 	t.chunks.Range(func(c int, s missingChunk) bool {
@@ -68,6 +70,7 @@
 	return chunk, set, ok
 }
 
+// availableHolders returns the usable holders that did not refuse the chunk recently.
 func (s missingChunk) availableHolders(now time.Time, usable uint64) uint64 {
 	set := s.holders & usable
 	if now.Before(s.refusedUntil) {
@@ -76,10 +79,14 @@
 	return set
 }
 
+// fetchable reports whether a first fetch of the chunk may start, or a second one
+// because the first makes no progress.
 func (s missingChunk) fetchable(now time.Time) bool {
 	return s.fetches == 0 || s.fetches == 1 && now.Sub(s.progressAt) > hedgeDelay
 }
 
+// claim records the start of a fetch. It returns false if the chunk is not fetchable
+// any more.
 func (t *Table) claim(f Fetch, now time.Time) bool {
 	claimed := false
 	t.updateMissing(f.Chunk, func(m *missingChunk) {
@@ -134,6 +141,7 @@
 	return Fetch{}, false, blocked
 }
 
+// pickFetchable picks one of the given chunks at random, and its source.
 func (t *Table) pickFetchable(now time.Time, m *peerMasks, fetchable []int, o ExternalPolicy, rnd Rand) (Fetch, bool, bool) {
 	var best Fetch
 	found, blocked, ties := false, false, 0
--- a/internal/core/spread/plan.go
+++ b/internal/core/spread/plan.go
@@ -25,7 +25,7 @@
 	// the regions.
 	originRegion fleet.Region
 	chunks       int
-	ringCount    int // the first of Neighbours are neighbours on the ring
+	ringCount    int // number of ring neighbours, which come first in Neighbours
 	regions      []fleet.Region
 	owners       []uint8 // index into Gateways by chunk
 	ownerSalts   []uint64
@@ -61,8 +61,8 @@
 // origin.
 func (p *Plan) addGatewayNeighbours(groups map[fleet.Region][]Member, avoid func(fleet.VM) bool) {
 	add := func(m Member) {
-		has := slices.ContainsFunc(p.Neighbours, func(n Member) bool { return n.VM == m.VM })
-		if m.VM != p.Self.VM && !has {
+		known := slices.ContainsFunc(p.Neighbours, func(n Member) bool { return n.VM == m.VM })
+		if m.VM != p.Self.VM && !known {
 			p.Neighbours = append(p.Neighbours, m)
 		}
 	}
@@ -73,20 +73,23 @@
 		if r == p.Self.Region || r == p.originRegion {
 			continue
 		}
-		left := remoteNeighbours
+		remaining := remoteNeighbours
 		for _, m := range sortByHash(p.selectGateways(r, groups[r]), string(p.Self.VM)) {
-			if left > 0 && !avoid(m.VM) {
+			if remaining > 0 && !avoid(m.VM) {
 				add(m)
-				left--
+				remaining--
 			}
 		}
 	}
 }
 
+// selectGateways returns the gateways of region r, chosen from its members that are
+// not suspect. If the version has too few chunks for a gateway in each region, only a
+// region that fetches chunks from the origin has one.
 func (p *Plan) selectGateways(r fleet.Region, ms []Member) []Member {
 	live := slices.DeleteFunc(slices.Clone(ms), func(m Member) bool { return m.Suspect && m.VM != p.Self.VM })
 	n := gatewayCount(p.chunks, len(p.regions), len(live))
-	if n == 0 && p.regionFetchesAny(r) {
+	if n == 0 && p.regionUsesOrigin(r) {
 		n = 1
 	}
 	return sortByHash(live, string(p.version), string(r))[:min(n, len(live))]
@@ -98,21 +101,23 @@
 // gateway in each region.
 func gatewayCount(chunks, regions, live int) int {
 	limit := min(MaxGateways, live)
-	drawn := chunks * min(maxOriginRegions, regions) / regions
+	originChunks := chunks * min(maxOriginRegions, regions) / regions
 	for g := limit; g > 0; g-- {
-		if gatewayQuota(chunks, regions, g) > (drawn+g-1)/g {
+		if gatewayQuota(chunks, regions, g) > (originChunks+g-1)/g {
 			return g
 		}
 	}
 	return min(limit, OriginCopies*chunks/regions)
 }
 
+// gatewayQuota returns the number of chunks that each gateway may fetch from the
+// origin, so that all gateways together fetch at most OriginCopies copies.
 func gatewayQuota(chunks, regions, gateways int) int {
 	return OriginCopies * chunks / (regions * max(1, gateways))
 }
 
 // Quota returns the number of chunks that this agent may fetch from the origin when
-// its region misses the given number of chunks. A gateway that joins later thus gets
+// its region lacks the given number of chunks. A gateway that joins later thus gets
 // a share of only those chunks that are still missing.
 func (p *Plan) Quota(missing int) int {
 	if !p.Gateway || missing <= 0 {
@@ -146,11 +151,13 @@
 	return ahead < maxRegions
 }
 
+// originRank orders the regions for chunk c. The lowest ranks fetch it from the origin.
 func (p *Plan) originRank(r fleet.Region, c int) uint64 {
 	return mix(hash(string(p.version), "draw", string(r)) + uint64(c))
 }
 
-func (p *Plan) regionFetchesAny(r fleet.Region) bool {
+// regionUsesOrigin reports whether region r fetches any chunk from the origin.
+func (p *Plan) regionUsesOrigin(r fleet.Region) bool {
 	for c := range p.chunks {
 		if p.regionFetchesFromOrigin(r, c) {
 			return true
@@ -181,6 +188,7 @@
 	}
 }
 
+// ownerRank orders the gateways as owners of chunk c, the lowest rank first.
 func (p *Plan) ownerRank(g, c int) uint64 { return mix(p.ownerSalts[g] + uint64(c)) }
 
 // Owner returns the gateway of the own region that fetches chunk c from an external
--- a/internal/core/spread/table.go
+++ b/internal/core/spread/table.go
@@ -89,8 +89,8 @@
 type Table struct {
 	chunks *shard.Map[int, missingChunk]
 	peers  *shard.Map[fleet.VM, peer]
-	slots  *shard.Map[int, fleet.VM]
-	total  int
+	slots  *shard.Map[int, fleet.VM] // peers by their bit in masks
+	total  int                       // number of chunks of the version
 }
 
 // NewTable returns a table in which all chunks are missing.
@@ -157,6 +157,7 @@
 	t.slots.Delete(p.slot)
 }
 
+// clearHolder removes a peer from the holders of all chunks.
 func (t *Table) clearHolder(slot int) {
 	bit := uint64(1) << slot
 	var held []int
@@ -298,6 +299,8 @@
 // MarkVerified records that a peer sent a correct chunk.
 func (t *Table) MarkVerified(vm fleet.VM) { t.updatePeer(vm, func(p *peer) { p.corruptedInRow = 0 }) }
 
+// avoidUntil suspends fetches from a peer until the given time. From lastResort on it
+// may be asked as a last resort.
 func (t *Table) avoidUntil(vm fleet.VM, until, lastResort time.Time) {
 	t.updatePeer(vm, func(p *peer) {
 		if until.After(p.avoidUntil) {
@@ -365,6 +368,8 @@
 	fetchesTotal [maxPeers]int
 }
 
+// peerMasks returns a snapshot of the peers. A peer with perPeer fetches in progress
+// is not usable.
 func (t *Table) peerMasks(now time.Time, perPeer int) peerMasks {
 	var m peerMasks
 	t.peers.Range(func(vm fleet.VM, p peer) bool {
@@ -410,6 +415,7 @@
 	return best
 }
 
+// lessLoaded reports whether the peer in slot a is less loaded than the one in slot b.
 func (m *peerMasks) lessLoaded(a, b int) bool {
 	if m.fetches[a] != m.fetches[b] {
 		return m.fetches[a] < m.fetches[b]
--- a/internal/core/spread/uploads.go
+++ b/internal/core/spread/uploads.go
@@ -17,10 +17,10 @@
 	// maxRequesters bounds the requesters whose received bytes are counted. When it
 	// is exceeded all counts are dropped, which only resets the order of requesters.
 	maxRequesters = 1024
-	// copiesPerChunk is the number of copies of one chunk that an agent sends without
-	// further conditions. With two, each chunk is distributed along a binary tree,
-	// whose inner nodes differ from chunk to chunk, so that no machine sends much more
-	// than one copy of the version.
+	// copiesPerChunk is the number of copies of one chunk that an agent sends before
+	// the stricter limit of extraSlackPercent applies. With two, each chunk is
+	// distributed along a binary tree, whose inner nodes differ from chunk to chunk,
+	// so that no machine sends much more than one copy of the version.
 	copiesPerChunk = 2
 	// firstSlackPercent and repeatSlackPercent are how far the bytes that an agent
 	// sends may exceed those that it received, in percent of the version, for the
