--- a/internal/app/chunks/chunks.go
+++ b/internal/app/chunks/chunks.go
@@ -53,7 +53,7 @@
 	maxUploads = 3
 )
 
-// Settings of a Fetcher.
+// Settings holds the configuration of a Fetcher.
 type Settings struct {
 	Self chain.Member
 	// InRate and OutRate limit the use of the link in bytes per second; 0 means no
@@ -206,7 +206,8 @@
 	}
 }
 
-// fetchVersion starts chunk fetches until the version is complete or ctx ends.
+// fetchVersion starts chunk fetches until the version is complete or ctx ends, and then
+// waits for those in flight.
 func (f *Fetcher) fetchVersion(ctx context.Context, v *version) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
--- a/internal/app/weights/fetch.go
+++ b/internal/app/weights/fetch.go
@@ -18,13 +18,14 @@
 // maxReadBytes bounds a read between two reservations of the link's rate limit.
 const maxReadBytes = 16 << 10
 
-// dispatch starts chunk fetches until the version is complete or ctx ends.
+// dispatch starts chunk fetches until the version is complete or ctx ends, and then
+// cancels those in flight and waits for them.
 func (v *version) dispatch(ctx context.Context, cs *chunkState) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	var peerFetches, outsideFetches atomic.Int64
+	var peerFetches, externalFetches atomic.Int64
 	for {
 		if cs.table.Held() == len(cs.man.Chunks) {
 			v.complete.Store(true)
@@ -32,7 +33,7 @@
 			signal(v.m.changed)
 			return
 		}
-		v.startOutsideFetches(ctx, cs, &wg, &outsideFetches)
+		v.startExternalFetches(ctx, cs, &wg, &externalFetches)
 		v.startPeerFetches(ctx, cs, &wg, &peerFetches)
 		select {
 		case <-ctx.Done():
@@ -49,17 +50,17 @@
 	for inFlight.Load() < int64(l.Total) {
 		now := v.m.deps.Clock.Now()
 		lastResort := inFlight.Load() == 0 && v.sinceNewChunk(now) > lastResortAfter
-		ch, ok := cs.table.Pick(now, l, lastResort, v.m.rand)
+		job, ok := cs.table.Pick(now, l, lastResort, v.m.rand)
 		if !ok {
 			return
 		}
-		v.startFetch(ctx, cs, wg, inFlight, ch)
+		v.startFetch(ctx, cs, wg, inFlight, job)
 	}
 }
 
-// startOutsideFetches starts fetches from the origin and from other regions if this
-// agent is a gateway of its region.
-func (v *version) startOutsideFetches(ctx context.Context, cs *chunkState, wg *conc.WaitGroup, inFlight *atomic.Int64) {
+// startExternalFetches starts fetches from external sources, which are the origin and
+// peers of other regions, if this agent is a gateway of its region.
+func (v *version) startExternalFetches(ctx context.Context, cs *chunkState, wg *conc.WaitGroup, inFlight *atomic.Int64) {
 	plan := v.plan.Load()
 	if plan == nil {
 		return
@@ -69,53 +70,53 @@
 		v.updateReason(cs, now, false)
 		return
 	}
-	v.grantAllowance(cs, plan, now)
+	v.grantOriginQuota(cs, plan, now)
 	blocked := false
 	for inFlight.Load() < int64(plan.OutsideLimit(v.m.settings.Limits.Outside)) {
 		now = v.m.deps.Clock.Now()
-		var ch spread.Choice
+		var job spread.Choice
 		var ok bool
-		ch, ok, blocked = cs.table.PickOutside(now, v.outsideRules(cs, plan, now), v.m.rand)
+		job, ok, blocked = cs.table.PickOutside(now, v.externalRules(cs, plan, now), v.m.rand)
 		if !ok {
 			break
 		}
-		v.startFetch(ctx, cs, wg, inFlight, ch)
+		v.startFetch(ctx, cs, wg, inFlight, job)
 	}
 	v.updateReason(cs, now, blocked)
 }
 
-// grantAllowance sets the origin allowance when the region is first seen to lack
-// chunks. Later it extends a used allowance after a time without new chunks.
-func (v *version) grantAllowance(cs *chunkState, plan *spread.Plan, now time.Time) {
+// grantOriginQuota sets the quota of bytes from the origin when the region is first
+// seen to lack chunks. Later it extends a used quota after a time without new chunks.
+func (v *version) grantOriginQuota(cs *chunkState, plan *spread.Plan, now time.Time) {
 	chunkSize := cs.man.Chunks[0].Bytes
-	if v.originAllowance.IsSet() {
-		lost := func(vm fleet.VM) bool { return cs.table.Unheard(vm, now) }
-		v.originAllowance.Extend(chunkSize, now, v.sinceNewChunk(now), plan.ExtendAfter(lost))
+	if v.originQuota.IsSet() {
+		unreachable := func(vm fleet.VM) bool { return cs.table.Unheard(vm, now) }
+		v.originQuota.Extend(chunkSize, now, v.sinceNewChunk(now), plan.ExtendAfter(unreachable))
 		return
 	}
-	if lacking, _ := cs.table.Lacking(now); lacking > 0 {
+	if missing, _ := cs.table.Lacking(now); missing > 0 {
 		mean := cs.size / int64(len(cs.man.Chunks))
-		v.originAllowance.Set(int64(plan.Quota(lacking)) * max(mean, chunkSize))
+		v.originQuota.Set(int64(plan.Quota(missing)) * max(mean, chunkSize))
 	}
 }
 
-// outsideRules returns what this gateway may fetch from outside its region now.
-func (v *version) outsideRules(cs *chunkState, plan *spread.Plan, now time.Time) spread.Outside {
-	sight := spread.Sight{
+// externalRules returns what this gateway may fetch from external sources now.
+func (v *version) externalRules(cs *chunkState, plan *spread.Plan, now time.Time) spread.Outside {
+	gatewayView := spread.Sight{
 		Idle:  func(vm fleet.VM) time.Duration { return cs.table.Idle(vm, now) },
 		Lost:  func(vm fleet.VM) bool { return cs.table.Unheard(vm, now) },
-		Fetch: v.originAllowance.Average(),
+		Fetch: v.originQuota.Average(),
 	}
 	sinceNewChunk := v.sinceNewChunk(now)
 	mayFetch := func(c int) (fetch, origin bool) {
 		owner, _ := plan.Owner(c)
-		fetch = owner == v.m.settings.VM || plan.MayTakeOver(c, sight)
+		fetch = owner == v.m.settings.VM || plan.MayTakeOver(c, gatewayView)
 		// A region that should get chunk c from another region falls back to the
 		// origin after a time without new chunks.
 		origin = plan.Draws(c) || sinceNewChunk > 2*spread.OriginStep
 		return fetch, origin
 	}
-	return spread.Outside{May: mayFetch, OriginReady: v.originAllowance.Ready(now, cs.man.Chunks[0].Bytes)}
+	return spread.Outside{May: mayFetch, OriginReady: v.originQuota.Ready(now, cs.man.Chunks[0].Bytes)}
 }
 
 // updateReason sets the reason why no new chunk has arrived, or clears it.
@@ -126,7 +127,7 @@
 	}
 	n, example := cs.table.Lacking(now)
 	switch {
-	case blocked && v.originAllowance.Used(cs.man.Chunks[0].Bytes):
+	case blocked && v.originQuota.Used(cs.man.Chunks[0].Bytes):
 		v.setReason("quota of the origin used")
 	case blocked:
 		v.setReason("waiting for origin")
@@ -137,47 +138,47 @@
 	}
 }
 
-func (v *version) startFetch(ctx context.Context, cs *chunkState, wg *conc.WaitGroup, inFlight *atomic.Int64, ch spread.Choice) {
+func (v *version) startFetch(ctx context.Context, cs *chunkState, wg *conc.WaitGroup, inFlight *atomic.Int64, job spread.Choice) {
 	inFlight.Add(1)
 	wg.Go(func() {
 		defer func() {
-			cs.table.Ended(ch)
+			cs.table.Ended(job)
 			inFlight.Add(-1)
 			signal(v.wake)
 		}()
-		if ch.Origin {
-			v.fetchFromOrigin(ctx, cs, ch)
+		if job.Origin {
+			v.fetchFromOrigin(ctx, cs, job)
 			return
 		}
-		v.fetchFromPeer(ctx, cs, ch)
+		v.fetchFromPeer(ctx, cs, job)
 	})
 }
 
-func (v *version) fetchFromOrigin(ctx context.Context, cs *chunkState, ch spread.Choice) {
+func (v *version) fetchFromOrigin(ctx context.Context, cs *chunkState, job spread.Choice) {
 	start := v.m.deps.Clock.Now()
-	size := cs.man.Chunks[ch.Chunk].Bytes
-	v.originAllowance.Spend(size)
-	rc, err := v.m.deps.Origin.Chunk(ctx, v.id, ch.Chunk)
+	size := cs.man.Chunks[job.Chunk].Bytes
+	v.originQuota.Spend(size)
+	rc, err := v.m.deps.Origin.Chunk(ctx, v.id, job.Chunk)
 	var data []byte
 	if err == nil {
-		data, err = v.receiveChunk(ctx, cs, ch, rc, v.m.counters.addFromOrigin)
+		data, err = v.receiveChunk(ctx, cs, job, rc, v.m.counters.addFromOrigin)
 	}
 	now := v.m.deps.Clock.Now()
 	if err != nil {
-		v.originAllowance.Failed(size-int64(len(data)), now)
+		v.originQuota.Failed(size-int64(len(data)), now)
 		return
 	}
-	v.originAllowance.Done(0, now.Sub(start))
-	v.acceptChunk(cs, ch, data)
+	v.originQuota.Done(0, now.Sub(start))
+	v.acceptChunk(cs, job, data)
 }
 
-func (v *version) fetchFromPeer(ctx context.Context, cs *chunkState, ch spread.Choice) {
-	member, ok := v.watchedPeers.Get(ch.From)
+func (v *version) fetchFromPeer(ctx context.Context, cs *chunkState, job spread.Choice) {
+	member, ok := v.watchedPeers.Get(job.From)
 	if !ok {
 		return
 	}
 	local := member.Region == v.m.settings.Region
-	r := port.ChunkRequest{Version: v.id, Index: ch.Chunk, From: v.m.settings.VM, FromRegion: v.m.settings.Region}
+	r := port.ChunkRequest{Version: v.id, Index: job.Chunk, From: v.m.settings.VM, FromRegion: v.m.settings.Region}
 	start := v.m.deps.Clock.Now()
 	rc, err := v.m.deps.Peers.FetchChunk(ctx, member.Address, r)
 	if err != nil {
@@ -185,47 +186,47 @@
 	}
 	var data []byte
 	if err == nil {
-		data, err = v.receiveChunk(ctx, cs, ch, rc, func(n int) { v.m.counters.addFromPeer(n, local) })
+		data, err = v.receiveChunk(ctx, cs, job, rc, func(n int) { v.m.counters.addFromPeer(n, local) })
 	}
 	if err == nil {
-		v.acceptChunk(cs, ch, data)
+		v.acceptChunk(cs, job, data)
 		return
 	}
 	if ctx.Err() == nil {
-		v.recordFailure(cs, ch, err)
+		v.recordFailure(cs, job, err)
 	}
 }
 
-func (v *version) recordFailure(cs *chunkState, ch spread.Choice, err error) {
+func (v *version) recordFailure(cs *chunkState, job spread.Choice, err error) {
 	now := v.m.deps.Clock.Now()
 	switch {
 	case errors.Is(err, port.ErrPeerBusy):
-		cs.table.Refused(ch.From, ch.Chunk, true, now)
+		cs.table.Refused(job.From, job.Chunk, true, now)
 	case errors.Is(err, port.ErrChunkMissing):
-		cs.table.Refused(ch.From, ch.Chunk, false, now)
+		cs.table.Refused(job.From, job.Chunk, false, now)
 	case errors.Is(err, errStalled):
-		cs.table.Avoid(ch.From, now.Add(spread.AvoidStalled))
+		cs.table.Avoid(job.From, now.Add(spread.AvoidStalled))
 		signal(v.replan)
 	default:
-		cs.table.Avoid(ch.From, now.Add(spread.AvoidFailed))
+		cs.table.Avoid(job.From, now.Add(spread.AvoidFailed))
 	}
 }
 
 // acceptChunk verifies a chunk and stores it.
-func (v *version) acceptChunk(cs *chunkState, ch spread.Choice, data []byte) {
-	if err := cs.man.VerifyChunk(ch.Chunk, data); err != nil {
+func (v *version) acceptChunk(cs *chunkState, job spread.Choice, data []byte) {
+	if err := cs.man.VerifyChunk(job.Chunk, data); err != nil {
 		v.m.counters.addCorrupted()
-		if !ch.Origin {
-			cs.table.Corrupted(ch.From, v.m.deps.Clock.Now())
+		if !job.Origin {
+			cs.table.Corrupted(job.From, v.m.deps.Clock.Now())
 			signal(v.replan)
 		}
 		return
 	}
-	if !ch.Origin {
-		cs.table.Verified(ch.From)
+	if !job.Origin {
+		cs.table.Verified(job.From)
 	}
-	if v.store(cs, ch.Chunk, data) {
-		cs.credit.Took(int64(len(data)))
+	if v.store(cs, job.Chunk, data) {
+		cs.uploadCredit.Took(int64(len(data)))
 	}
 }
 
@@ -245,10 +246,10 @@
 // so far also with an error, and fails if the sender sends more than the chunk's
 // size.
 func (v *version) receiveChunk(
-	ctx context.Context, cs *chunkState, ch spread.Choice, rc io.ReadCloser, count func(int),
+	ctx context.Context, cs *chunkState, job spread.Choice, rc io.ReadCloser, count func(int),
 ) ([]byte, error) {
 	defer func() { _ = rc.Close() }()
-	size := int(cs.man.Chunks[ch.Chunk].Bytes)
+	size := int(cs.man.Chunks[job.Chunk].Bytes)
 	data := make([]byte, 0, size)
 	for len(data) < size {
 		start := v.m.deps.Clock.Now()
@@ -260,7 +261,7 @@
 			return data, v.stallError(start, errors.Wrap(err, "receiving chunk"))
 		}
 		if n > 0 {
-			cs.table.Progress(ch.Chunk, now)
+			cs.table.Progress(job.Chunk, now)
 		}
 		if err := v.m.sleep(ctx, v.m.link.In.Reserve(now, n)); err != nil {
 			return data, err
--- a/internal/app/weights/uploads.go
+++ b/internal/app/weights/uploads.go
@@ -133,12 +133,12 @@
 		return port.ErrChunkMissing
 	}
 	size := int64(len(data))
-	if !cs.credit.Allow(r.Index, size, m.deps.Clock.Now()) {
+	if !cs.uploadCredit.Allow(r.Index, size, m.deps.Clock.Now()) {
 		return port.ErrPeerBusy
 	}
 	t, err := m.acquireSlot(ctx, r.From)
 	if err != nil {
-		cs.credit.Return(r.Index, size)
+		cs.uploadCredit.Return(r.Index, size)
 		return err
 	}
 	s := &upload{m: m, ticket: t, bytes: size}
--- a/internal/app/weights/version.go
+++ b/internal/app/weights/version.go
@@ -38,11 +38,11 @@
 // chunkState is the part of a version that exists once its manifest is known. Its
 // fields have their own locks or do not change.
 type chunkState struct {
-	man    manifest.Manifest
-	size   int64
-	table  *spread.Table
-	chunks *shard.Map[int, []byte]
-	credit *spread.Credit
+	man          manifest.Manifest
+	size         int64
+	table        *spread.Table
+	chunks       *shard.Map[int, []byte]
+	uploadCredit *spread.Credit
 }
 
 // version is one wanted version, complete or not.
@@ -53,16 +53,16 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	chunkState      atomic.Pointer[chunkState]
-	complete        atomic.Bool
-	waitsForMemory  atomic.Bool
-	plan            atomic.Pointer[spread.Plan]
-	watchers        *shard.Map[uint64, *watcher]
-	watchedPeers    *shard.Map[fleet.VM, spread.Member]
-	nextWatcherID   atomic.Uint64
-	originAllowance spread.Allowance
-	wake            chan struct{}
-	replan          chan struct{}
+	chunkState     atomic.Pointer[chunkState]
+	complete       atomic.Bool
+	waitsForMemory atomic.Bool
+	plan           atomic.Pointer[spread.Plan]
+	watchers       *shard.Map[uint64, *watcher]
+	watchedPeers   *shard.Map[fleet.VM, spread.Member]
+	nextWatcherID  atomic.Uint64
+	originQuota    spread.Allowance
+	wake           chan struct{}
+	replan         chan struct{}
 
 	mu          sync.Mutex // guards the following
 	reason      string
@@ -106,7 +106,7 @@
 	now := v.m.deps.Clock.Now()
 	cs := &chunkState{
 		man: man, size: man.Bytes(), table: spread.NewTable(len(man.Chunks)),
-		chunks: shard.New[int, []byte](0), credit: spread.NewCredit(man.Bytes(), now),
+		chunks: shard.New[int, []byte](0), uploadCredit: spread.NewCredit(man.Bytes(), now),
 	}
 	v.chunkState.Store(cs)
 	signal(v.m.changed)
