--- a/internal/app/chunks/chunks.go
+++ b/internal/app/chunks/chunks.go
@@ -132,7 +132,7 @@
 	f.previous = f.current
 	table := chain.NewTable(len(man.Chunks), f.settings.Self, f.deps.Members())
 	if rate := f.deps.OriginRate(); rate > 0 && len(man.Chunks) > 0 {
-		table.SpaceOrigin(time.Duration(man.Chunks[0].Bytes)*time.Second/time.Duration(rate), f.deps.Clock.Now())
+		table.PaceOrigin(time.Duration(man.Chunks[0].Bytes)*time.Second/time.Duration(rate), f.deps.Clock.Now())
 	}
 	f.current = &version{
 		id: id, name: name, man: man, table: table,
@@ -179,7 +179,7 @@
 	if v == nil || v.man.VerifyChunk(i, data) != nil {
 		return false
 	}
-	v.table.Hold(i)
+	v.table.MarkHeld(i)
 	v.store(i, data)
 	return true
 }
@@ -214,7 +214,7 @@
 	state := &fetchState{announcements: newLimiter(maxAnnounceRequests), transfers: newLimiter(maxTransfers), fetchEnded: make(chan struct{}, 1)}
 	refreshed := f.deps.Clock.Now()
 	for ctx.Err() == nil {
-		if v.table.Missing() == 0 {
+		if v.table.MissingCount() == 0 {
 			close(v.completed)
 			return
 		}
@@ -223,13 +223,13 @@
 			refreshed = now
 			v.table.SetMembers(f.settings.Self, f.deps.Members())
 		}
-		job, ok := v.table.Next(chain.Room{Ask: state.announcements.available(), Data: state.transfers.available()}, now)
+		job, ok := v.table.Next(chain.Capacity{AnnounceOnly: state.announcements.available(), Data: state.transfers.available()}, now)
 		if !ok {
 			f.waitForWork(ctx, v, state)
 			continue
 		}
 		limit := state.transfers
-		if job.Ask {
+		if job.AnnounceOnly {
 			limit = state.announcements
 		}
 		limit.acquire()
@@ -273,7 +273,7 @@
 	data, err := f.requestChunk(ctx, v, job, state.transfers)
 	outcome := chain.Failed
 	switch {
-	case err == nil && job.Ask:
+	case err == nil && job.AnnounceOnly:
 		outcome = chain.Announced
 	case err == nil && v.man.VerifyChunk(job.Chunk, data) == nil:
 		outcome = chain.Got
@@ -308,13 +308,13 @@
 	} else {
 		var cancel context.CancelFunc
 		timeout := transferTimeout
-		if job.Ask {
+		if job.AnnounceOnly {
 			timeout = announceTimeout
 		}
 		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 		self := f.settings.Self
-		r := port.ChunkRequest{Version: v.id, Index: job.Chunk, From: self.VM, FromRegion: self.Region, AnnounceOnly: job.Ask}
+		r := port.ChunkRequest{Version: v.id, Index: job.Chunk, From: self.VM, FromRegion: self.Region, AnnounceOnly: job.AnnounceOnly}
 		rc, err = f.deps.Peers.FetchChunk(ctx, job.From.Address, r)
 	}
 	if err != nil {
@@ -323,7 +323,7 @@
 	defer func() { _ = rc.Close() }()
 	first := make([]byte, 1)
 	_, err = io.ReadFull(rc, first)
-	if job.Ask && errors.Is(err, io.EOF) {
+	if job.AnnounceOnly && errors.Is(err, io.EOF) {
 		return nil, nil
 	}
 	if err != nil {
@@ -394,7 +394,7 @@
 func (f *Fetcher) FindManifest(ctx context.Context, name fleet.Version) (manifest.Manifest, bool) {
 	deadline := f.deps.Clock.Now().Add(manifestRetryTime)
 	for ctx.Err() == nil && f.deps.Clock.Now().Before(deadline) {
-		sources := chain.Before(f.settings.Self, f.deps.Members())
+		sources := chain.ManifestSources(f.settings.Self, f.deps.Members())
 		pending := false
 		for _, m := range sources[:min(maxManifestSources, len(sources))] {
 			man, err := f.requestManifest(ctx, m, name)
--- /dev/null
+++ b/internal/app/feed/server.go
@@ -0,0 +1,136 @@
+// Package feed forwards changes of the platform's store between processes, as
+// core/feed decides. Server serves the changes that a process has read, and Source
+// reads from other processes before it reads from the store.
+package feed
+
+import (
+	"context"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"github.com/masticwing/masticwing/internal/app/follow"
+	core "github.com/masticwing/masticwing/internal/core/feed"
+	"github.com/masticwing/masticwing/internal/port"
+)
+
+// Errors of a process that cannot serve changes. The caller then asks another
+// process or reads the store.
+var (
+	// ErrNotReader means that the process itself follows another one, or has not
+	// read the prefix yet.
+	ErrNotReader = errors.Wrap(port.ErrFeedRefused, "process does not read the store")
+	// ErrStale means that the store's last confirmation of the process's view is too
+	// old.
+	ErrStale = errors.Wrap(port.ErrFeedRefused, "last confirmation by the store is too old")
+	// ErrGap means that changes after the requested revision may be missing.
+	ErrGap = errors.Wrap(port.ErrFeedRefused, "changes after the requested revision may be missing")
+)
+
+// maxConfirmationAge is the age of the last confirmation above which no changes are
+// served. Readers confirm their view every 0.6 s. A configuration must be in force
+// within 2 s, in which followers of a stale reader still have to notice it and to
+// read the store themselves.
+const maxConfirmationAge = 1200 * time.Millisecond
+
+// Server serves the changes that a process has read from the store to the processes
+// that follow it. It implements port.FeedHandler.
+type Server struct {
+	clock port.Clock
+	// confirmationAge returns the time since the store confirmed the process's view.
+	confirmationAge func() time.Duration
+	logs            []*prefixLog
+	// lastRequest is the time of the last request in Unix nanoseconds.
+	lastRequest atomic.Int64
+}
+
+var _ port.FeedHandler = (*Server)(nil)
+
+type prefixLog struct {
+	prefix string
+	log    *core.Log
+	// fromStore reports whether the prefix is read from the store.
+	fromStore func() bool
+}
+
+// NewServer returns a server without prefixes. confirmationAge returns the time
+// since the store confirmed the process's view.
+func NewServer(clock port.Clock, confirmationAge func() time.Duration) *Server {
+	return &Server{clock: clock, confirmationAge: confirmationAge}
+}
+
+// AddPrefix adds a prefix that is served while fromStore returns true. It must be
+// called before the server is used. The caller passes each event of the prefix to
+// apply, and the revision up to which all changes are known to advance.
+func (s *Server) AddPrefix(prefix string, fromStore func() bool) (apply func(follow.Event), advance func(revision int64)) {
+	p := &prefixLog{prefix, core.NewLog(), fromStore}
+	s.logs = append(s.logs, p)
+	return p.apply, p.log.AdvanceTo
+}
+
+func (p *prefixLog) apply(e follow.Event) {
+	cs := make([]core.Change, 0, len(e.Changes))
+	for _, c := range e.Changes {
+		cs = append(cs, core.Change{Key: c.Key, Value: c.Value, Revision: c.Revision, Removed: c.Removed})
+	}
+	if e.Reset {
+		p.log.ApplyListing(cs, e.At)
+	} else {
+		p.log.ApplyChanges(cs)
+	}
+}
+
+func (s *Server) findPrefix(prefix string) *prefixLog {
+	for _, p := range s.logs {
+		if strings.HasPrefix(prefix, p.prefix) {
+			return p
+		}
+	}
+	return nil
+}
+
+// followerTimeout is the time without a request after which a process counts as
+// having no followers. Each follower sends a request at least every 3 s.
+const followerTimeout = 5 * time.Second
+
+// HasFollowers reports whether other processes follow this one.
+func (s *Server) HasFollowers() bool {
+	return s.clock.Now().UnixNano()-s.lastRequest.Load() < int64(followerTimeout)
+}
+
+// Feed implements port.FeedHandler.
+func (s *Server) Feed(ctx context.Context, r port.FeedRequest) (port.FeedReply, error) {
+	s.lastRequest.Store(s.clock.Now().UnixNano())
+	p := s.findPrefix(r.Prefix)
+	if p == nil {
+		return port.FeedReply{}, ErrNotReader
+	}
+	timeout := s.clock.After(r.Wait)
+	for waiting := true; ; {
+		if !p.fromStore() {
+			return port.FeedReply{}, ErrNotReader
+		}
+		// The age is read before the changes, so that the changes are at least as new
+		// as the view that was confirmed.
+		confirmationAge := s.confirmationAge()
+		if confirmationAge > maxConfirmationAge {
+			return port.FeedReply{}, ErrStale
+		}
+		changes, revision, known, next := p.log.Since(r.Prefix, r.After)
+		switch {
+		case !known:
+			return port.FeedReply{}, ErrGap
+		case len(changes) > 0 || !waiting:
+			return port.FeedReply{Changes: changes, At: revision, Age: confirmationAge}, nil
+		}
+		select {
+		case <-next:
+		case <-timeout:
+			waiting = false
+		case <-ctx.Done():
+			return port.FeedReply{}, ctx.Err()
+		}
+	}
+}
--- a/internal/app/gateway/follow.go
+++ b/internal/app/gateway/follow.go
@@ -58,7 +58,7 @@
 // of the store; reads from another gateway use feedBatchDelay.
 func (g *Gateway) newFollower(prefix string, storeDelay time.Duration) *follow.Follower {
 	delay := func() time.Duration {
-		if g.source.Direct(prefix) {
+		if g.source.FromStore(prefix) {
 			return storeDelay
 		}
 		return feedBatchDelay
@@ -70,8 +70,8 @@
 // publishes an event there and then calls apply. Publishing comes first because other
 // processes adopt the confirmations of this one: they must not get an event later.
 func (g *Gateway) publishThenApply(f *follow.Follower, apply func(follow.Event)) func(follow.Event) {
-	publish, markSeen := g.hub.Serve(f.Prefix, func() bool { return !g.closing.Load() && g.source.Direct(f.Prefix) })
-	f.Applied = func(at int64) {
+	publish, markSeen := g.hub.AddPrefix(f.Prefix, func() bool { return !g.closing.Load() && g.source.FromStore(f.Prefix) })
+	f.OnRevision = func(at int64) {
 		markSeen(at)
 		if f == g.operatorFollower {
 			g.adoptReaderConfirmation()
@@ -136,7 +136,7 @@
 // negative.
 func (g *Gateway) untilNextConfirm() time.Duration {
 	interval := confirmInterval
-	if g.hub.Serving() {
+	if g.hub.HasFollowers() {
 		interval = readerConfirmInterval
 	}
 	return interval - g.viewAge()
@@ -145,7 +145,7 @@
 // adoptReaderConfirmation adopts the confirmation of the gateway that this one follows,
 // if it is newer than its own.
 func (g *Gateway) adoptReaderConfirmation() {
-	at, fed := g.source.Fed(g.operatorFollower.Prefix)
+	at, fed := g.source.FromReader(g.operatorFollower.Prefix)
 	if old := g.confirmedAt.Load(); fed && int64(at) > old {
 		g.confirmedAt.CompareAndSwap(old, int64(at))
 	}
--- a/internal/app/loader/converge.go
+++ b/internal/app/loader/converge.go
@@ -9,7 +9,7 @@
 
 	"github.com/masticwing/masticwing/internal/adapter/logging"
 	"github.com/masticwing/masticwing/internal/core/fleet"
-	"github.com/masticwing/masticwing/internal/core/loadturn"
+	"github.com/masticwing/masticwing/internal/core/loadschedule"
 	"github.com/masticwing/masticwing/internal/port"
 )
 
@@ -132,7 +132,7 @@
 
 // turnReached reports whether the engine may leave service to load weights.
 func (l *Loader) turnReached(g goal) bool {
-	return g.immediate || !l.deps.Clock.Now().Before(loadturn.At(g.learnedAt, l.settings.WeightsBound, g.rank, g.count))
+	return g.immediate || !l.deps.Clock.Now().Before(loadschedule.ChangeTime(g.learnedAt, l.settings.WeightsBound, g.rank, g.count))
 }
 
 // isComplete reports whether all chunks of a version are held.
--- a/internal/app/loader/loader.go
+++ b/internal/app/loader/loader.go
@@ -70,9 +70,9 @@
 		InRate: int64(inLinkFraction * float64(s.Link)), OutRate: int64(outLinkFraction * float64(s.Link)),
 	}, chunks.Deps{Peers: d.Peers, Origin: o, Clock: d.Clock, Metrics: d.Metrics, Members: v.peers, OriginRate: v.originRate})
 	ps := d.Decoder.Prefixes()
-	source := feed.NewSource(d.Store, d.Feed, d.Clock, d.Log, v.readers, map[string]feed.Prefix{
-		ps.Weights: {Wait: feedWaitWeights, Direct: storeWaitWeights}, ps.Config: {Wait: feedWait, Patient: true},
-		ps.Members: {Wait: feedWait, Direct: storeWaitMembers},
+	source := feed.NewSource(d.Store, d.Feed, d.Clock, d.Log, v.readers, map[string]feed.PrefixOptions{
+		ps.Weights: {Wait: feedWaitWeights, MaxStoreWait: storeWaitWeights}, ps.Config: {Wait: feedWait, PreferReaders: true},
+		ps.Members: {Wait: feedWait, MaxStoreWait: storeWaitMembers},
 	})
 	return &Loader{settings: s, deps: d, view: v, origin: o, chunks: f, source: source}
 }
--- a/internal/app/weights/fetch.go
+++ b/internal/app/weights/fetch.go
@@ -27,7 +27,7 @@
 	defer cancel()
 	var peerFetches, externalFetches atomic.Int64
 	for {
-		if cs.table.Held() == len(cs.man.Chunks) {
+		if cs.table.HeldCount() == len(cs.man.Chunks) {
 			v.complete.Store(true)
 			v.setReason("")
 			signal(v.m.changed)
@@ -50,7 +50,7 @@
 	for inFlight.Load() < int64(l.Total) {
 		now := v.m.deps.Clock.Now()
 		lastResort := inFlight.Load() == 0 && v.sinceNewChunk(now) > lastResortAfter
-		job, ok := cs.table.Pick(now, l, lastResort, v.m.rand)
+		job, ok := cs.table.PickLocal(now, l, lastResort, v.m.rand)
 		if !ok {
 			return
 		}
@@ -66,17 +66,17 @@
 		return
 	}
 	now := v.m.deps.Clock.Now()
-	if !plan.Gateway || !cs.table.Settled(now) {
+	if !plan.Gateway || !cs.table.PeersReported(now) {
 		v.updateReason(cs, now, false)
 		return
 	}
 	v.grantOriginQuota(cs, plan, now)
 	blocked := false
-	for inFlight.Load() < int64(plan.OutsideLimit(v.m.settings.Limits.Outside)) {
+	for inFlight.Load() < int64(plan.ExternalLimit(v.m.settings.Limits.External)) {
 		now = v.m.deps.Clock.Now()
-		var job spread.Choice
+		var job spread.Fetch
 		var ok bool
-		job, ok, blocked = cs.table.PickOutside(now, v.externalRules(cs, plan, now), v.m.rand)
+		job, ok, blocked = cs.table.PickExternal(now, v.externalPolicy(cs, plan, now), v.m.rand)
 		if !ok {
 			break
 		}
@@ -90,22 +90,22 @@
 func (v *version) grantOriginQuota(cs *chunkState, plan *spread.Plan, now time.Time) {
 	chunkSize := cs.man.Chunks[0].Bytes
 	if v.originQuota.IsSet() {
-		unreachable := func(vm fleet.VM) bool { return cs.table.Unheard(vm, now) }
-		v.originQuota.Extend(chunkSize, now, v.sinceNewChunk(now), plan.ExtendAfter(unreachable))
+		unreachable := func(vm fleet.VM) bool { return cs.table.IsUnreachable(vm, now) }
+		v.originQuota.Extend(chunkSize, now, v.sinceNewChunk(now), plan.ExtensionDelay(unreachable))
 		return
 	}
-	if missing, _ := cs.table.Lacking(now); missing > 0 {
+	if missing, _ := cs.table.MissingInRegion(now); missing > 0 {
 		mean := cs.size / int64(len(cs.man.Chunks))
 		v.originQuota.Set(int64(plan.Quota(missing)) * max(mean, chunkSize))
 	}
 }
 
-// externalRules returns what this gateway may fetch from external sources now.
-func (v *version) externalRules(cs *chunkState, plan *spread.Plan, now time.Time) spread.Outside {
-	gatewayView := spread.Sight{
-		Idle:  func(vm fleet.VM) time.Duration { return cs.table.Idle(vm, now) },
-		Lost:  func(vm fleet.VM) bool { return cs.table.Unheard(vm, now) },
-		Fetch: v.originQuota.Average(),
+// externalPolicy returns what this gateway may fetch from external sources now.
+func (v *version) externalPolicy(cs *chunkState, plan *spread.Plan, now time.Time) spread.ExternalPolicy {
+	gatewayView := spread.GatewayView{
+		IdleTime:    func(vm fleet.VM) time.Duration { return cs.table.IdleTime(vm, now) },
+		Unreachable: func(vm fleet.VM) bool { return cs.table.IsUnreachable(vm, now) },
+		FetchTime:   v.originQuota.AverageFetchTime(),
 	}
 	sinceNewChunk := v.sinceNewChunk(now)
 	mayFetch := func(c int) (fetch, origin bool) {
@@ -113,10 +113,10 @@
 		fetch = owner == v.m.settings.VM || plan.MayTakeOver(c, gatewayView)
 		// A region that should get chunk c from another region falls back to the
 		// origin after a time without new chunks.
-		origin = plan.Draws(c) || sinceNewChunk > 2*spread.OriginStep
+		origin = plan.FetchesFromOrigin(c) || sinceNewChunk > 2*spread.MinTakeoverDelay
 		return fetch, origin
 	}
-	return spread.Outside{May: mayFetch, OriginReady: v.originQuota.Ready(now, cs.man.Chunks[0].Bytes)}
+	return spread.ExternalPolicy{MayFetch: mayFetch, OriginReady: v.originQuota.CanFetch(now, cs.man.Chunks[0].Bytes)}
 }
 
 // updateReason sets the reason why no new chunk has arrived, or clears it.
@@ -125,9 +125,9 @@
 		v.setReason("")
 		return
 	}
-	n, example := cs.table.Lacking(now)
+	n, example := cs.table.MissingInRegion(now)
 	switch {
-	case blocked && v.originQuota.Used(cs.man.Chunks[0].Bytes):
+	case blocked && v.originQuota.Exhausted(cs.man.Chunks[0].Bytes):
 		v.setReason("quota of the origin used")
 	case blocked:
 		v.setReason("waiting for origin")
@@ -138,11 +138,11 @@
 	}
 }
 
-func (v *version) startFetch(ctx context.Context, cs *chunkState, wg *conc.WaitGroup, inFlight *atomic.Int64, job spread.Choice) {
+func (v *version) startFetch(ctx context.Context, cs *chunkState, wg *conc.WaitGroup, inFlight *atomic.Int64, job spread.Fetch) {
 	inFlight.Add(1)
 	wg.Go(func() {
 		defer func() {
-			cs.table.Ended(job)
+			cs.table.EndFetch(job)
 			inFlight.Add(-1)
 			signal(v.wake)
 		}()
@@ -154,10 +154,10 @@
 	})
 }
 
-func (v *version) fetchFromOrigin(ctx context.Context, cs *chunkState, job spread.Choice) {
+func (v *version) fetchFromOrigin(ctx context.Context, cs *chunkState, job spread.Fetch) {
 	start := v.m.deps.Clock.Now()
 	size := cs.man.Chunks[job.Chunk].Bytes
-	v.originQuota.Spend(size)
+	v.originQuota.Reserve(size)
 	rc, err := v.m.deps.Origin.Chunk(ctx, v.id, job.Chunk)
 	var data []byte
 	if err == nil {
@@ -165,14 +165,14 @@
 	}
 	now := v.m.deps.Clock.Now()
 	if err != nil {
-		v.originQuota.Failed(size-int64(len(data)), now)
+		v.originQuota.FetchFailed(size-int64(len(data)), now)
 		return
 	}
-	v.originQuota.Done(0, now.Sub(start))
+	v.originQuota.FetchDone(0, now.Sub(start))
 	v.acceptChunk(cs, job, data)
 }
 
-func (v *version) fetchFromPeer(ctx context.Context, cs *chunkState, job spread.Choice) {
+func (v *version) fetchFromPeer(ctx context.Context, cs *chunkState, job spread.Fetch) {
 	member, ok := v.watchedPeers.Get(job.From)
 	if !ok {
 		return
@@ -197,36 +197,36 @@
 	}
 }
 
-func (v *version) recordFailure(cs *chunkState, job spread.Choice, err error) {
+func (v *version) recordFailure(cs *chunkState, job spread.Fetch, err error) {
 	now := v.m.deps.Clock.Now()
 	switch {
 	case errors.Is(err, port.ErrPeerBusy):
-		cs.table.Refused(job.From, job.Chunk, true, now)
+		cs.table.MarkRefused(job.From, job.Chunk, true, now)
 	case errors.Is(err, port.ErrChunkMissing):
-		cs.table.Refused(job.From, job.Chunk, false, now)
+		cs.table.MarkRefused(job.From, job.Chunk, false, now)
 	case errors.Is(err, errStalled):
-		cs.table.Avoid(job.From, now.Add(spread.AvoidStalled))
+		cs.table.Avoid(job.From, now.Add(spread.AvoidAfterStall))
 		signal(v.replan)
 	default:
-		cs.table.Avoid(job.From, now.Add(spread.AvoidFailed))
+		cs.table.Avoid(job.From, now.Add(spread.AvoidAfterFailure))
 	}
 }
 
 // acceptChunk verifies a chunk and stores it.
-func (v *version) acceptChunk(cs *chunkState, job spread.Choice, data []byte) {
+func (v *version) acceptChunk(cs *chunkState, job spread.Fetch, data []byte) {
 	if err := cs.man.VerifyChunk(job.Chunk, data); err != nil {
 		v.m.counters.addCorrupted()
 		if !job.Origin {
-			cs.table.Corrupted(job.From, v.m.deps.Clock.Now())
+			cs.table.MarkCorrupted(job.From, v.m.deps.Clock.Now())
 			signal(v.replan)
 		}
 		return
 	}
 	if !job.Origin {
-		cs.table.Verified(job.From)
+		cs.table.MarkVerified(job.From)
 	}
 	if v.store(cs, job.Chunk, data) {
-		cs.uploadCredit.Took(int64(len(data)))
+		cs.uploadCredit.AddReceived(int64(len(data)))
 	}
 }
 
@@ -246,7 +246,7 @@
 // so far also with an error, and fails if the sender sends more than the chunk's
 // size.
 func (v *version) receiveChunk(
-	ctx context.Context, cs *chunkState, job spread.Choice, rc io.ReadCloser, count func(int),
+	ctx context.Context, cs *chunkState, job spread.Fetch, rc io.ReadCloser, count func(int),
 ) ([]byte, error) {
 	defer func() { _ = rc.Close() }()
 	size := int(cs.man.Chunks[job.Chunk].Bytes)
@@ -261,7 +261,7 @@
 			return data, v.stallError(start, errors.Wrap(err, "receiving chunk"))
 		}
 		if n > 0 {
-			cs.table.Progress(job.Chunk, now)
+			cs.table.MarkProgress(job.Chunk, now)
 		}
 		if err := v.m.sleep(ctx, v.m.link.In.Reserve(now, n)); err != nil {
 			return data, err
--- a/internal/app/weights/peers.go
+++ b/internal/app/weights/peers.go
@@ -20,7 +20,7 @@
 	// immediateOriginAgents is the number of agents of a region that ask the origin
 	// for the manifest without a delay; the others ask peers first.
 	immediateOriginAgents = 2
-	// maxOriginDelaySteps bounds the delay, in steps of spread.OriginStep, after
+	// maxOriginDelaySteps bounds the delay, in steps of spread.MinTakeoverDelay, after
 	// which the other agents ask the origin as well.
 	maxOriginDelaySteps = 8
 	// manifestPeersPerRound is the number of peers that are asked in one round.
@@ -74,7 +74,7 @@
 		if man, ok := v.manifestFromPeers(others, round); ok {
 			return man, true
 		}
-		originDelay := time.Duration(min(max(0, rank-immediateOriginAgents+1), maxOriginDelaySteps)) * spread.OriginStep
+		originDelay := time.Duration(min(max(0, rank-immediateOriginAgents+1), maxOriginDelaySteps)) * spread.MinTakeoverDelay
 		if v.m.deps.Clock.Now().Sub(start) >= originDelay {
 			man, err := v.m.deps.Origin.Manifest(v.ctx, v.id)
 			if err == nil && man.Validate(v.id) == nil {
@@ -144,7 +144,7 @@
 // to new neighbours.
 func (v *version) updatePlan(ctx context.Context, cs *chunkState, wg *conc.WaitGroup, cancels map[fleet.VM]context.CancelFunc) {
 	now := v.m.deps.Clock.Now()
-	avoid := func(vm fleet.VM) bool { return cs.table.Avoided(vm, now) }
+	avoid := func(vm fleet.VM) bool { return cs.table.IsAvoided(vm, now) }
 	others := v.m.members(v.id)
 	p := spread.NewPlan(v.id, len(cs.man.Chunks), v.m.self(), others, v.m.settings.OriginRegion, avoid)
 	watchAddresses := map[fleet.VM]fleet.Address{}
@@ -194,7 +194,7 @@
 		if v.readUpdates(ctx, cs, n) {
 			pause = reconnectMin
 		}
-		cs.table.Lost(n.VM)
+		cs.table.MarkDisconnected(n.VM)
 		signal(v.wake)
 		_ = v.m.sleep(ctx, pause)
 		pause = min(2*pause, reconnectMax)
@@ -225,7 +225,7 @@
 	now := v.m.deps.Clock.Now()
 	for i := range min(len(cs.man.Chunks), 8*len(u.Bitmap)) {
 		if u.Bitmap[i/8]&(1<<(i%8)) != 0 {
-			cs.table.Holds(n.VM, i, false, now)
+			cs.table.AddHolder(n.VM, i, false, now)
 		}
 	}
 	plan := v.plan.Load()
@@ -234,9 +234,9 @@
 			continue
 		}
 		owner, _ := plan.Owner(i)
-		cs.table.Holds(n.VM, i, owner == n.VM, now)
+		cs.table.AddHolder(n.VM, i, owner == n.VM, now)
 	}
-	cs.table.Heard(n.VM, now)
+	cs.table.MarkAlive(n.VM, now)
 	if !u.Heartbeat {
 		signal(v.wake)
 	}
--- a/internal/app/weights/uploads.go
+++ b/internal/app/weights/uploads.go
@@ -138,7 +138,7 @@
 	}
 	t, err := m.acquireSlot(ctx, r.From)
 	if err != nil {
-		cs.uploadCredit.Return(r.Index, size)
+		cs.uploadCredit.Refund(r.Index, size)
 		return err
 	}
 	s := &upload{m: m, ticket: t, bytes: size}
--- a/internal/app/weights/version.go
+++ b/internal/app/weights/version.go
@@ -42,7 +42,7 @@
 	size         int64
 	table        *spread.Table
 	chunks       *shard.Map[int, []byte]
-	uploadCredit *spread.Credit
+	uploadCredit *spread.UploadCredit
 }
 
 // version is one wanted version, complete or not.
@@ -60,7 +60,7 @@
 	watchers       *shard.Map[uint64, *watcher]
 	watchedPeers   *shard.Map[fleet.VM, spread.Member]
 	nextWatcherID  atomic.Uint64
-	originQuota    spread.Allowance
+	originQuota    spread.OriginQuota
 	wake           chan struct{}
 	replan         chan struct{}
 
@@ -106,7 +106,7 @@
 	now := v.m.deps.Clock.Now()
 	cs := &chunkState{
 		man: man, size: man.Bytes(), table: spread.NewTable(len(man.Chunks)),
-		chunks: shard.New[int, []byte](0), uploadCredit: spread.NewCredit(man.Bytes(), now),
+		chunks: shard.New[int, []byte](0), uploadCredit: spread.NewUploadCredit(man.Bytes(), now),
 	}
 	v.chunkState.Store(cs)
 	signal(v.m.changed)
@@ -182,7 +182,7 @@
 // whether the chunk was missing.
 func (v *version) store(cs *chunkState, i int, data []byte) bool {
 	cs.chunks.Put(i, data)
-	if !cs.table.Have(i) {
+	if !cs.table.MarkHeld(i) {
 		return false
 	}
 	v.recordNewChunk(v.m.deps.Clock.Now())
@@ -203,7 +203,7 @@
 		return p
 	}
 	p.State = StateFetching
-	p.Chunks, p.ChunksHave, p.BytesTotal = len(cs.man.Chunks), cs.table.Held(), cs.size
+	p.Chunks, p.ChunksHave, p.BytesTotal = len(cs.man.Chunks), cs.table.HeldCount(), cs.size
 	if v.complete.Load() {
 		p.State, p.Reason = StateComplete, ""
 	}
--- /dev/null
+++ b/internal/core/loadschedule/loadschedule.go
@@ -0,0 +1,31 @@
+// Package loadschedule schedules when each engine of a service changes to new weights,
+// so that all engines change within a bound and only a few are out of service at
+// the same time.
+package loadschedule
+
+import "time"
+
+const (
+	// firstChangeShare is the share of the bound after which the first engine
+	// changes. Until then the weights are being transferred and hardly any engine
+	// has them.
+	firstChangeShare = 0.35
+	// lastChangeShare is the share of the bound after which the last engine is
+	// ordered to change. An engine starts no request on the old weights once it has
+	// the order, and gateways send no request to old weights in the last seventh of
+	// the bound.
+	lastChangeShare = 0.8
+)
+
+// ChangeTime returns the earliest time at which the engine with the given rank
+// among count engines may be ordered to change to weights that were declared at
+// declared and must be in use within bound. Callers need not wait for it if the
+// engine serves nothing.
+func ChangeTime(declared time.Time, bound time.Duration, rank, count int) time.Time {
+	if count <= 1 {
+		return declared
+	}
+	first := time.Duration(firstChangeShare * float64(bound))
+	last := time.Duration(lastChangeShare * float64(bound))
+	return declared.Add(first + (last-first)*time.Duration(rank)/time.Duration(count-1))
+}
