--- a/internal/app/chunks/chunks.go
+++ b/internal/app/chunks/chunks.go
@@ -49,7 +49,7 @@
 	// the engine's streams by as much.
 	maxWriteBytes = 8 << 10
 	// maxUploads bounds the chunks sent at a time. With fewer at a time, each chunk
-	// arrives earlier and is passed on earlier.
+	// arrives earlier and can be served to others earlier.
 	maxUploads = 3
 )
 
@@ -81,7 +81,7 @@
 	deps        Deps
 	link        ratelimit.Link
 	uploadSlots chan struct{}
-	wake        chan struct{}
+	wake        chan struct{} // receives after SetVersion
 
 	mu      sync.Mutex // guards the following
 	current *version
--- a/internal/app/chunks/chunks_test.go
+++ b/internal/app/chunks/chunks_test.go
@@ -241,7 +241,7 @@
 
 // TestOriginFetchesAreSpaced guards against members that all fetch from the origin
 // at the same time: their fetches share its link, so that hardly any chunk is
-// complete and can be passed on before the end.
+// complete and can be served to others before the end.
 func TestOriginFetchesAreSpaced(t *testing.T) {
 	tc := newTestCluster(1, 64)
 	tc.originRate = 64 * chunkBytes // a chunk takes 1/64 s
--- a/internal/app/loader/converge.go
+++ b/internal/app/loader/converge.go
@@ -177,14 +177,14 @@
 		l.deps.Log.Fault("staged chunks can't be listed", err)
 		return
 	}
-	kept := 0
+	intact := 0
 	for _, i := range staged {
 		b, err := l.deps.Engine.ReadChunk(ctx, g.Model, i)
 		if err == nil && l.chunks.AddChunk(id, i, b) {
-			kept++
+			intact++
 		}
 	}
-	l.deps.Log.State("staged chunks found", logging.F("number", g.Number), logging.F("staged", len(staged)), logging.F("intact", kept))
+	l.deps.Log.State("staged chunks found", logging.F("number", g.Number), logging.F("staged", len(staged)), logging.F("intact", intact))
 }
 
 var errReleased = errors.New("version was released")
--- a/internal/app/loader/loader.go
+++ b/internal/app/loader/loader.go
@@ -92,7 +92,7 @@
 	// learns all others from its first read.
 	membersBatchDelay = 5 * time.Second
 	// membersListTimeout bounds the wait at the start for the list of processes, which
-	// tells from whom the configuration can be read.
+	// tells from which gateways the configuration can be read.
 	membersListTimeout = time.Second
 	// feedWaitWeights bounds the time until the loader notices that the gateway from
 	// which it reads declarations is silent. Declared weights have to be in use within
--- a/internal/app/weights/manager.go
+++ b/internal/app/weights/manager.go
@@ -68,8 +68,8 @@
 	uploadSlots *spread.UploadSlots
 	versions    *shard.Map[fleet.Version, *version]
 	counters    counters
-	changed     chan struct{}
-	wake        chan struct{}
+	changed     chan struct{} // returned by Changed
+	wake        chan struct{} // receives after Want or an eviction
 
 	mu           sync.Mutex // guards wanted
 	wanted       []port.WantedVersion
--- a/internal/app/weights/version.go
+++ b/internal/app/weights/version.go
@@ -61,8 +61,8 @@
 	watchedPeers   *shard.Map[fleet.VM, spread.Member]
 	nextWatcherID  atomic.Uint64
 	originQuota    spread.OriginQuota
-	wake           chan struct{}
-	replan         chan struct{}
+	wake           chan struct{} // receives when dispatch may have a fetch to start
+	replan         chan struct{} // receives when the plan should be updated
 
 	mu          sync.Mutex // guards the following
 	reason      string
