--- a/internal/core/declare/assign.go
+++ b/internal/core/declare/assign.go
@@ -7,8 +7,9 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// Implicit labels that every machine carries. They win over declared labels of
-// the same key, so that a selector by domain cannot be misled.
+// Implicit labels: vm, domain and region of a machine, and name of a group or
+// model. They override declared labels with the same key, so that a machine
+// cannot match a selector for another domain.
 const (
 	LabelVM     = "vm"
 	LabelDomain = "domain"
@@ -16,7 +17,7 @@
 	LabelName   = "name"
 )
 
-// Assignment is what the declaration asks of one machine.
+// Assignment is the part of a declaration that applies to one machine.
 type Assignment struct {
 	Group    fleet.Group
 	Model    fleet.Model
@@ -26,13 +27,15 @@
 	Overlap  Overlap
 	Fencing  Fencing
 	Cordoned bool
-	// Conflicts names the further groups and services that select the machine.
-	// The first by name wins.
+	// Conflicts names the other groups and services that select the machine.
+	// Groups take precedence over services, and within each kind the first by
+	// name wins.
 	Conflicts []string
 }
 
-// Labels returns all labels of m: its own, those declared for its domain and
-// for its VM, and the implicit ones, later sources winning.
+// Labels returns all labels of m: its own, those declared for its domain, those
+// declared for its VM, and the implicit ones. Later sources override earlier
+// ones.
 func (d *Declaration) Labels(m Machine) Labels {
 	l := Labels{}
 	maps.Copy(l, m.Labels)
@@ -44,22 +47,22 @@
 	return l
 }
 
-// Assign returns what m is asked to run. A machine runs at most one group or
+// Assign returns the assignment of m. A machine runs at most one group or
 // service.
 func (d *Declaration) Assign(m Machine) Assignment {
 	l := d.Labels(m)
 	a := Assignment{Cordoned: d.Cordoned(m.Domain, m.VM)}
-	taken := false
+	assigned := false
 	for _, name := range slices.Sorted(maps.Keys(d.Groups)) {
 		g := d.Groups[name]
 		if !g.VMs.Matches(l) {
 			continue
 		}
-		if taken {
+		if assigned {
 			a.Conflicts = append(a.Conflicts, "group "+string(name))
 			continue
 		}
-		taken = true
+		assigned = true
 		a.Group, a.Limits, a.Overlap, a.Fencing = name, g.Limits, g.Overlap, g.Fencing
 		a.Model, a.Version, _ = d.GroupVersion(name)
 	}
@@ -68,18 +71,18 @@
 		if !s.VMs.Matches(l) {
 			continue
 		}
-		if taken {
+		if assigned {
 			a.Conflicts = append(a.Conflicts, "service "+string(name))
 			continue
 		}
-		taken = true
+		assigned = true
 		a.Service, a.Limits = name, s.Limits
 	}
 	return a
 }
 
-// GroupVersion returns the model and version that the rules give to g. It
-// returns false when no rule selects the group.
+// GroupVersion returns the model and version that the rules assign to g, or
+// false if there is none.
 func (d *Declaration) GroupVersion(g fleet.Group) (fleet.Model, fleet.Version, bool) {
 	l := d.groupLabels(g)
 	for _, r := range d.Rules {
--- a/internal/core/declare/declare.go
+++ b/internal/core/declare/declare.go
@@ -1,8 +1,8 @@
-// Package declare holds the declaration that operators write: customers,
-// failure domains, labelled groups of VMs, models, the rules that say which
-// model version serves which group, plain services, and what is cordoned.
+// Package declare defines the declaration that operators write: customers,
+// failure domains, labelled groups of VMs, models, rules that assign model
+// versions to groups, plain services, and cordons.
 //
-// A *Declaration is immutable once it is published to other goroutines.
+// A *Declaration is immutable once it is shared with other goroutines.
 package declare
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// Labels are key-value pairs set on VMs, failure domains, groups and models.
+// Labels are key-value pairs of a VM, failure domain, group or model.
 type Labels map[string]string
 
-// Declaration is one accepted revision of everything that operators state.
+// Declaration is one accepted revision of the operators' configuration.
 type Declaration struct {
-	// Revision rises by one with each accepted change.
+	// Revision increases by one with each accepted change.
 	Revision uint64
-	// WriteID identifies the write, so that an operator whose answer was lost
-	// recognises the operator's own change.
+	// WriteID identifies the write. If the reply to a write is lost, its
+	// operator can tell from the stored WriteID whether the write took effect.
 	WriteID string
 
 	Customers map[fleet.Customer]Customer
@@ -32,17 +32,17 @@
 	Cordons   Cordons
 }
 
-// Customer is a client account.
+// Customer is the declaration of a client account.
 type Customer struct {
-	// Share is the weight of the customer in fair queueing.
+	// Share is the customer's weight in fair queueing.
 	Share int
-	// MaxQueued bounds the requests of the customer that wait at one entry.
+	// MaxQueued bounds the customer's queued requests at one entry.
 	MaxQueued int
-	// MaxBytes bounds the bytes held for the customer at one entry.
+	// MaxBytes bounds the bytes that one entry buffers for the customer.
 	MaxBytes int64
 }
 
-// Domain is a failure domain.
+// Domain is the declaration of a failure domain.
 type Domain struct {
 	Region fleet.Region
 	Labels Labels
@@ -50,32 +50,32 @@
 	OutOfService bool
 }
 
-// VM adds labels to one VM, beside those in the settings of its agent.
+// VM adds labels to a VM besides those in the settings of its agent.
 type VM struct {
 	Labels Labels
 	// OutOfService takes the VM out of service.
 	OutOfService bool
 }
 
-// Limits is what a target bears.
+// Limits bounds the load of a target.
 type Limits struct {
-	// MaxRequests bounds the requests in the target at one time.
+	// MaxRequests bounds the concurrent requests in the target.
 	MaxRequests int
 	// MaxBytes bounds the request bytes that these requests hold.
 	MaxBytes int64
-	// ColdRequests is the limit of a target that has just started.
+	// ColdRequests is the request limit of a target that has just started.
 	ColdRequests int
-	// RampStep is the least time between two raises of a cold target's limit.
+	// RampStep is the minimum time between two increases of a cold target's
+	// limit.
 	RampStep time.Duration
-	// ColdFirstToken is the time to the first token above which a target
-	// counts as cold again. Zero turns the check off.
+	// ColdFirstToken is the time to the first token above which a target is
+	// treated as cold again. Zero disables the check.
 	ColdFirstToken time.Duration
 }
 
-// Overlap says what happens to the old version while a new one loads.
+// Overlap says what happens to the old version while a new one is loaded.
 type Overlap uint8
 
-// The overlap modes.
 const (
 	// KeepOld serves the old version until the new one is loaded.
 	KeepOld Overlap = iota
@@ -83,18 +83,21 @@
 	DrainFirst
 )
 
-// Fencing says whether the engine refuses orders with an old fencing number.
+// Fencing says whether the engine rejects orders with an outdated fencing
+// number.
 type Fencing uint8
 
-// The fencing modes.
 const (
-	// FencingIgnored means that the agent has to wait out an old lease.
+	// FencingIgnored means that the engine does not, so the agent must wait
+	// until an old lease has expired.
 	FencingIgnored Fencing = iota
-	// FencingChecked means that the engine refuses old numbers.
+	// FencingChecked means that the engine rejects orders with an outdated
+	// number.
 	FencingChecked
 )
 
-// Group is a labelled set of VMs that serve one model version.
+// Group is the declaration of a labelled set of VMs that serve one model
+// version.
 type Group struct {
 	VMs     Selector
 	Labels  Labels
@@ -103,13 +106,14 @@
 	Fencing Fencing
 }
 
-// Model has named versions, each the digest of a manifest.
+// Model is the declaration of a model. Each named version is the digest of a
+// manifest.
 type Model struct {
 	Labels   Labels
 	Versions map[string]fleet.Version
 }
 
-// Rule states which model version serves the groups that it selects.
+// Rule assigns a model version to the groups that it selects.
 type Rule struct {
 	Name    string
 	Groups  Selector
@@ -117,35 +121,37 @@
 	Version string
 }
 
-// Service is a plain service beside the model engines.
+// Service is the declaration of a plain service, one that is not a model
+// engine.
 type Service struct {
 	VMs    Selector
 	Limits Limits
 	Calls  map[string]Call
 }
 
-// Call is one kind of call of a plain service.
+// Call is one operation of a plain service.
 type Call struct {
-	// AtMostOnce marks a call that is not idempotent and may run at most once for an
-	// idempotency key.
+	// AtMostOnce marks a call that is not idempotent: it may run at most once
+	// per idempotency key.
 	AtMostOnce bool
 }
 
-// Cordons lists what operators took out of service by command, beside the Out
-// marks of domains and VMs.
+// Cordons lists the domains and VMs that operators cordoned by command, besides
+// those that are declared OutOfService.
 type Cordons struct {
 	Domains map[fleet.Domain]bool
 	VMs     map[fleet.VM]bool
 }
 
-// Machine is what a member says of itself.
+// Machine is what a member reports about itself.
 type Machine struct {
 	VM     fleet.VM
 	Domain fleet.Domain
 	Labels Labels
 }
 
-// Cordoned reports whether the domain or the VM is out of service.
+// Cordoned reports whether the domain or the VM is cordoned or declared out of
+// service.
 func (d *Declaration) Cordoned(dom fleet.Domain, vm fleet.VM) bool {
 	if d.Domains[dom].OutOfService || d.VMs[vm].OutOfService {
 		return true
--- a/internal/core/declare/declare_test.go
+++ b/internal/core/declare/declare_test.go
@@ -13,62 +13,64 @@
 
 var digest = fleet.Version(strings.Repeat("0a", 32))
 
-func in(key string, vs ...string) Selector { return Selector{{Key: key, Op: In, Values: vs}} }
+func labelIn(key string, vs ...string) Selector { return Selector{{Key: key, Op: In, Values: vs}} }
 
-func valid() *Declaration {
-	lim := Limits{MaxRequests: 8, MaxBytes: 1 << 20, ColdRequests: 1, RampStep: time.Second}
+func validDeclaration() *Declaration {
+	limits := Limits{MaxRequests: 8, MaxBytes: 1 << 20, ColdRequests: 1, RampStep: time.Second}
 	return &Declaration{
-		Groups:   map[fleet.Group]Group{"g": {VMs: in("pool", "model"), Labels: Labels{"tier": "main"}, Limits: lim}},
+		Groups:   map[fleet.Group]Group{"g": {VMs: labelIn("pool", "model"), Labels: Labels{"tier": "main"}, Limits: limits}},
 		Models:   map[fleet.Model]Model{"m": {Labels: Labels{"family": "f"}, Versions: map[string]fleet.Version{"v1": digest}}},
-		Rules:    []Rule{{Name: "r", Groups: in("tier", "main"), Models: in("family", "f"), Version: "v1"}},
-		Services: map[fleet.Service]Service{"s": {VMs: in("pool", "status"), Limits: lim}},
+		Rules:    []Rule{{Name: "r", Groups: labelIn("tier", "main"), Models: labelIn("family", "f"), Version: "v1"}},
+		Services: map[fleet.Service]Service{"s": {VMs: labelIn("pool", "status"), Limits: limits}},
 		VMs:      map[fleet.VM]VM{}, Domains: map[fleet.Domain]Domain{"a": {Region: "r1"}},
 	}
 }
 
-func labels(t *rapid.T) Labels {
+func drawLabels(t *rapid.T) Labels {
 	return rapid.MapOf(rapid.SampledFrom([]string{"x", "y", "z"}), rapid.SampledFrom([]string{"1", "2"})).Draw(t, "labels")
 }
 
-func requirement(t *rapid.T, op Op) Requirement {
+func drawRequirement(t *rapid.T, op Op) Requirement {
 	key := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "key")
 	return Requirement{key, op, rapid.SliceOfN(rapid.SampledFrom([]string{"1", "2", "3"}), 1, 2).Draw(t, "values")}
 }
 
-// TestSelectorLaws guards against an operator and its opposite that both match
-// a machine or both miss it, and against a requirement that widens a selector.
-func TestSelectorLaws(t *testing.T) {
+// TestSelectorProperties guards against an operator and its negation that both
+// match or both reject a label set, and against an added requirement that makes
+// a selector match more.
+func TestSelectorProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := labels(t)
-		r := requirement(t, In)
-		for op, not := range map[Op]Op{In: NotIn, Exists: NotExists} {
+		l := drawLabels(t)
+		r := drawRequirement(t, In)
+		for op, negated := range map[Op]Op{In: NotIn, Exists: NotExists} {
 			a, b := r, r
-			a.Op, b.Op = op, not
+			a.Op, b.Op = op, negated
 			if (Selector{a}).Matches(l) == (Selector{b}).Matches(l) {
-				t.Fatalf("%v and its opposite agree on %v", a, l)
+				t.Fatalf("%v and its negation agree on %v", a, l)
 			}
 		}
 		s := Selector{r}
-		more := append(slices.Clone(s), requirement(t, Op(rapid.IntRange(0, 3).Draw(t, "op"))))
-		if more.Matches(l) && !s.Matches(l) {
-			t.Fatalf("%v matches %v but %v does not", more, l, s)
+		narrower := append(slices.Clone(s), drawRequirement(t, Op(rapid.IntRange(0, 3).Draw(t, "op"))))
+		if narrower.Matches(l) && !s.Matches(l) {
+			t.Fatalf("%v matches %v but %v does not", narrower, l, s)
 		}
 	})
 }
 
-// TestAssignLaws guards against an assignment that differs between processes,
-// a machine with two jobs, and an implicit label that a machine can override.
-func TestAssignLaws(t *testing.T) {
+// TestAssignProperties guards against assignments that differ between
+// processes, a machine with two assignments, and a machine that overrides an
+// implicit label.
+func TestAssignProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := valid()
+		d := validDeclaration()
 		for _, n := range []fleet.Group{"a", "b", "c"} {
-			d.Groups[n] = Group{VMs: Selector{requirement(t, Op(rapid.IntRange(0, 3).Draw(t, "op")))}}
+			d.Groups[n] = Group{VMs: Selector{drawRequirement(t, Op(rapid.IntRange(0, 3).Draw(t, "op")))}}
 		}
-		m := Machine{VM: "vm1", Domain: "a", Labels: labels(t)}
+		m := Machine{VM: "vm1", Domain: "a", Labels: drawLabels(t)}
 		m.Labels[LabelDomain] = "forged"
 		a := d.Assign(m)
 		if !a.Equal(d.Assign(m)) {
-			t.Fatal("not deterministic")
+			t.Fatal("assignment is not deterministic")
 		}
 		matching := 0
 		for n, g := range d.Groups {
@@ -88,19 +90,19 @@
 	})
 }
 
-// TestValidateFindsAll guards against a declaration that the daemons cannot
-// act on and against faults reported one at a time.
-func TestValidateFindsAll(t *testing.T) {
-	if fs := Validate(valid()); len(fs) > 0 {
-		t.Fatalf("faults in a valid declaration: %v", fs)
+// TestValidateReportsAllFaults guards against accepting a declaration that the
+// daemons cannot apply, and against reporting only the first fault.
+func TestValidateReportsAllFaults(t *testing.T) {
+	if faults := Validate(validDeclaration()); len(faults) > 0 {
+		t.Fatalf("faults in a valid declaration: %v", faults)
 	}
-	d := valid()
+	d := validDeclaration()
 	d.Customers = map[fleet.Customer]Customer{"c": {Share: 0, MaxQueued: 1, MaxBytes: 1}}
 	d.Domains["b"] = Domain{}
 	d.Models["m2"] = Model{Labels: Labels{"family": "f"}, Versions: map[string]fleet.Version{"v1": "xyz"}}
 	d.Rules = append(d.Rules,
-		Rule{Name: "r2", Groups: in("tier", "main"), Models: in("family", "none"), Version: "v1"},
-		Rule{Name: "r3", Groups: in("tier", "low"), Models: in("family", "f"), Version: "v9"})
+		Rule{Name: "r2", Groups: labelIn("tier", "main"), Models: labelIn("family", "none"), Version: "v1"},
+		Rule{Name: "r3", Groups: labelIn("tier", "low"), Models: labelIn("family", "f"), Version: "v9"})
 	var got []string
 	for _, f := range Validate(d) {
 		got = append(got, f.Section+"/"+f.Key)
@@ -112,29 +114,29 @@
 	}
 }
 
-// TestDiffAndRefuse guards against a change that silently takes the last
-// machine or the version from a group.
-func TestDiffAndRefuse(t *testing.T) {
-	ms := []Machine{
+// TestDiffAndRejectionReasons guards against a change that silently removes the
+// last machine or the version of a group.
+func TestDiffAndRejectionReasons(t *testing.T) {
+	machines := []Machine{
 		{VM: "w2", Domain: "a", Labels: Labels{"pool": "model"}},
 		{VM: "w1", Domain: "a", Labels: Labels{"pool": "model"}},
 		{VM: "s1", Domain: "a", Labels: Labels{"pool": "status"}},
 	}
-	before, after := valid(), valid()
+	before, after := validDeclaration(), validDeclaration()
 	after.VMs["w1"] = VM{OutOfService: true}
-	diff := Diff(before, after, ms)
+	diff := Diff(before, after, machines)
 	if len(diff) != 1 || diff[0].Machine.VM != "w1" || !diff[0].New.Cordoned {
 		t.Errorf("diff = %+v", diff)
 	}
-	if r := RejectionReasons(before, after, ms); len(r) != 0 {
-		t.Errorf("refused: %v", r)
+	if r := RejectionReasons(before, after, machines); len(r) != 0 {
+		t.Errorf("unexpected rejection: %v", r)
 	}
 	after.VMs["w2"], after.VMs["s1"] = VM{OutOfService: true}, VM{OutOfService: true}
 	after.Rules = nil
-	if r := RejectionReasons(before, after, ms); len(r) != 3 {
-		t.Errorf("refused for %v, want 3 reasons", r)
+	if r := RejectionReasons(before, after, machines); len(r) != 3 {
+		t.Errorf("rejected for %v, want 3 reasons", r)
 	}
-	if len(Diff(nil, before, ms)) != 3 {
-		t.Error("first declaration changes no machine")
+	if len(Diff(nil, before, machines)) != 3 {
+		t.Error("the first declaration must change every machine")
 	}
 }
--- a/internal/core/declare/diff.go
+++ b/internal/core/declare/diff.go
@@ -8,18 +8,18 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// Change is a machine whose assignment differs between two declarations.
+// Change describes a machine whose assignment differs between two declarations.
 type Change struct {
 	Machine  Machine
 	Old, New Assignment
 }
 
 // Diff returns the machines whose assignment changes, ordered by name. A nil
-// declaration assigns nothing.
+// declaration assigns nothing to any machine.
 func Diff(before, after *Declaration, machines []Machine) []Change {
 	var out []Change
 	for _, m := range machines {
-		c := Change{Machine: m, Old: assignOrNone(before, m), New: assignOrNone(after, m)}
+		c := Change{Machine: m, Old: assignmentOf(before, m), New: assignmentOf(after, m)}
 		if !c.Old.Equal(c.New) {
 			out = append(out, c)
 		}
@@ -28,21 +28,22 @@
 	return out
 }
 
-func assignOrNone(d *Declaration, m Machine) Assignment {
+func assignmentOf(d *Declaration, m Machine) Assignment {
 	if d == nil {
 		return Assignment{}
 	}
 	return d.Assign(m)
 }
 
-// Equal reports whether a and b ask the same of a machine.
+// Equal reports whether a and b assign the same to a machine.
 func (a Assignment) Equal(b Assignment) bool {
 	return a.Group == b.Group && a.Model == b.Model && a.Version == b.Version && a.Service == b.Service &&
 		a.Limits == b.Limits && a.Overlap == b.Overlap && a.Fencing == b.Fencing && a.Cordoned == b.Cordoned &&
 		slices.Equal(a.Conflicts, b.Conflicts)
 }
 
-// String names the work and its version.
+// String describes the group or service, its version, and whether it is
+// cordoned.
 func (a Assignment) String() string {
 	s := "nothing"
 	switch {
@@ -59,33 +60,34 @@
 	return s
 }
 
-// RejectionReasons returns why the change from before to after must not be applied: a
-// group or service that has machines in service would have none, or a group
-// that has a version would have none. A group that had no machine before is no
-// reason, so that a group can be declared before its machines exist.
+// RejectionReasons returns why the change from before to after must be
+// rejected: a group or service with machines in service would have none left,
+// or a group with a version would have none. A group without machines before
+// the change is no reason, so that it can be declared before its machines
+// exist.
 func RejectionReasons(before, after *Declaration, machines []Machine) []string {
 	if before == nil {
 		return nil
 	}
 	var out []string
-	was, is := inService(before, machines), inService(after, machines)
-	for name := range sorted(after.Groups) {
-		if was["group "+string(name)] > 0 && is["group "+string(name)] == 0 {
+	inServiceBefore, inServiceAfter := countInService(before, machines), countInService(after, machines)
+	for name := range sortedByKey(after.Groups) {
+		if inServiceBefore["group "+string(name)] > 0 && inServiceAfter["group "+string(name)] == 0 {
 			out = append(out, fmt.Sprintf("group %s would have no machine in service", name))
 		}
-		if versionOf(before, name) != "" && versionOf(after, name) == "" {
+		if groupVersion(before, name) != "" && groupVersion(after, name) == "" {
 			out = append(out, fmt.Sprintf("group %s would have no version", name))
 		}
 	}
-	for name := range sorted(after.Services) {
-		if was["service "+string(name)] > 0 && is["service "+string(name)] == 0 {
+	for name := range sortedByKey(after.Services) {
+		if inServiceBefore["service "+string(name)] > 0 && inServiceAfter["service "+string(name)] == 0 {
 			out = append(out, fmt.Sprintf("service %s would have no machine in service", name))
 		}
 	}
 	return out
 }
 
-func versionOf(d *Declaration, g fleet.Group) fleet.Version {
+func groupVersion(d *Declaration, g fleet.Group) fleet.Version {
 	if _, ok := d.Groups[g]; !ok {
 		return ""
 	}
@@ -93,9 +95,9 @@
 	return v
 }
 
-// inService counts the machines that are not cordoned for each group and
-// service.
-func inService(d *Declaration, machines []Machine) map[string]int {
+// countInService counts, for each group and service, the machines that are not
+// cordoned.
+func countInService(d *Declaration, machines []Machine) map[string]int {
 	n := map[string]int{}
 	for _, m := range machines {
 		a := d.Assign(m)
--- a/internal/core/declare/selector.go
+++ b/internal/core/declare/selector.go
@@ -5,7 +5,6 @@
 // Op is the operator of a Requirement.
 type Op uint8
 
-// The operators of requirements.
 const (
 	// In means that the label has one of the values.
 	In Op = iota
@@ -17,15 +16,15 @@
 	NotExists
 )
 
-// Requirement constrains one label.
+// Requirement is a condition on one label.
 type Requirement struct {
 	Key    string
 	Op     Op
 	Values []string
 }
 
-// Selector matches labels that meet all of its requirements. An empty selector
-// matches everything, so parsers refuse it where that would be a mistake.
+// Selector selects label sets that meet all of its requirements. An empty
+// selector matches everything, so parsing and validation reject it.
 type Selector []Requirement
 
 // Matches reports whether l meets every requirement.
--- a/internal/core/declare/validate.go
+++ b/internal/core/declare/validate.go
@@ -10,18 +10,18 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// Bounds of declared values. They catch slips such as a size in the wrong
-// unit; they are far above what a deployment of the design size needs.
+// Upper bounds of declared values. They catch mistakes such as a size in the
+// wrong unit and are far above what a deployment of the design size needs.
 const (
-	maxShare       = 1000
-	maxCount       = 100_000
-	maxDeclBytes   = 1 << 36
-	maxDeclaredFor = time.Hour
-	versionDigits  = 64
+	maxShare     = 1000
+	maxCount     = 100_000
+	maxBytes     = 1 << 36
+	maxDuration  = time.Hour
+	digestDigits = 64
 )
 
-// Fault is one mistake in a declaration. File is set by the adapter that knows
-// where a section came from.
+// Fault is one error in a declaration. File is set by the adapter that knows
+// from which file the section came.
 type Fault struct {
 	File    string `json:"file"`
 	Section string `json:"section"`
@@ -29,7 +29,7 @@
 	Message string `json:"message"`
 }
 
-// String returns the fault on one line.
+// String returns the fault as one line of text.
 func (f Fault) String() string {
 	parts := []string{}
 	if f.File != "" {
@@ -44,61 +44,61 @@
 	return strings.Join(append(parts, f.Message), ": ")
 }
 
-// checker collects faults.
+// checker collects the faults of a declaration.
 type checker struct{ faults []Fault }
 
-func (c *checker) add(section, key, format string, args ...any) {
+func (c *checker) addFault(section, key, format string, args ...any) {
 	c.faults = append(c.faults, Fault{Section: section, Key: key, Message: fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) between(section, key string, v, low, high int64) {
+func (c *checker) checkRange(section, key string, v, low, high int64) {
 	if v < low || v > high {
-		c.add(section, key, "must be from %d to %d, is %d", low, high, v)
+		c.addFault(section, key, "must be from %d to %d, is %d", low, high, v)
 	}
 }
 
-func (c *checker) duration(section, key string, v, low time.Duration) {
-	if v < low || v > maxDeclaredFor {
-		c.add(section, key, "must be from %v to %v, is %v", low, maxDeclaredFor, v)
+func (c *checker) checkDuration(section, key string, v, low time.Duration) {
+	if v < low || v > maxDuration {
+		c.addFault(section, key, "must be from %v to %v, is %v", low, maxDuration, v)
 	}
 }
 
 // Validate returns all faults of d, ordered by section.
 func Validate(d *Declaration) []Fault {
 	c := &checker{}
-	for name, x := range sorted(d.Customers) {
+	for name, x := range sortedByKey(d.Customers) {
 		s := "customer " + string(name)
-		c.between(s, "share", int64(x.Share), 1, maxShare)
-		c.between(s, "max_queued", int64(x.MaxQueued), 1, maxCount)
-		c.between(s, "max_bytes", x.MaxBytes, 1, maxDeclBytes)
+		c.checkRange(s, "share", int64(x.Share), 1, maxShare)
+		c.checkRange(s, "max_queued", int64(x.MaxQueued), 1, maxCount)
+		c.checkRange(s, "max_bytes", x.MaxBytes, 1, maxBytes)
 	}
-	for name, x := range sorted(d.Domains) {
+	for name, x := range sortedByKey(d.Domains) {
 		if x.Region == "" {
-			c.add("domain "+string(name), "region", "must be set")
+			c.addFault("domain "+string(name), "region", "must be set")
 		}
 	}
-	for name, x := range sorted(d.Models) {
-		c.model("model "+string(name), x)
+	for name, x := range sortedByKey(d.Models) {
+		c.checkVersions("model "+string(name), x)
 	}
-	for name, x := range sorted(d.Groups) {
+	for name, x := range sortedByKey(d.Groups) {
 		s := "group " + string(name)
-		c.selector(s, "vms", x.VMs)
-		c.limits(s, x.Limits)
-		c.groupRules(d, name)
+		c.checkSelector(s, "vms", x.VMs)
+		c.checkLimits(s, x.Limits)
+		c.checkGroupRules(d, name)
 	}
-	for name, x := range sorted(d.Services) {
+	for name, x := range sortedByKey(d.Services) {
 		s := "service " + string(name)
-		c.selector(s, "vms", x.VMs)
-		c.limits(s, x.Limits)
+		c.checkSelector(s, "vms", x.VMs)
+		c.checkLimits(s, x.Limits)
 	}
 	for _, r := range d.Rules {
-		c.rule(d, r)
+		c.checkRule(d, r)
 	}
 	return c.faults
 }
 
-// sorted ranges over a map in the order of its keys.
-func sorted[K ~string, V any](m map[K]V) func(yield func(K, V) bool) {
+// sortedByKey iterates over m in the order of its keys.
+func sortedByKey[K ~string, V any](m map[K]V) func(yield func(K, V) bool) {
 	return func(yield func(K, V) bool) {
 		for _, k := range slices.Sorted(maps.Keys(m)) {
 			if !yield(k, m[k]) {
@@ -108,41 +108,41 @@
 	}
 }
 
-func (c *checker) model(section string, m Model) {
-	for name, v := range sorted(m.Versions) {
+func (c *checker) checkVersions(section string, m Model) {
+	for name, v := range sortedByKey(m.Versions) {
 		if !isDigest(v) {
-			c.add(section, "version."+name, "must be the digest of a manifest, %d hexadecimal digits", versionDigits)
+			c.addFault(section, "version."+name, "must be the digest of a manifest, %d hexadecimal digits", digestDigits)
 		}
 	}
 }
 
 func isDigest(v fleet.Version) bool {
-	if len(v) != versionDigits {
+	if len(v) != digestDigits {
 		return false
 	}
 	return strings.Trim(string(v), "0123456789abcdef") == ""
 }
 
-func (c *checker) selector(section, key string, s Selector) {
+func (c *checker) checkSelector(section, key string, s Selector) {
 	if len(s) == 0 {
-		c.add(section, key, "must be a selector; an empty one would match everything")
+		c.addFault(section, key, "must be a selector; an empty one would match everything")
 	}
 }
 
-func (c *checker) limits(s string, l Limits) {
-	c.between(s, "max_requests", int64(l.MaxRequests), 1, maxCount)
-	c.between(s, "max_bytes", l.MaxBytes, 1, maxDeclBytes)
-	c.between(s, "cold_requests", int64(l.ColdRequests), 1, maxCount)
+func (c *checker) checkLimits(s string, l Limits) {
+	c.checkRange(s, "max_requests", int64(l.MaxRequests), 1, maxCount)
+	c.checkRange(s, "max_bytes", l.MaxBytes, 1, maxBytes)
+	c.checkRange(s, "cold_requests", int64(l.ColdRequests), 1, maxCount)
 	if l.ColdRequests > l.MaxRequests {
-		c.add(s, "cold_requests", "must not exceed max_requests, %d", l.MaxRequests)
+		c.addFault(s, "cold_requests", "must not exceed max_requests, %d", l.MaxRequests)
 	}
-	c.duration(s, "ramp_step", l.RampStep, time.Millisecond)
-	c.duration(s, "cold_first_token", l.ColdFirstToken, 0)
+	c.checkDuration(s, "ramp_step", l.RampStep, time.Millisecond)
+	c.checkDuration(s, "cold_first_token", l.ColdFirstToken, 0)
 }
 
-// groupRules reports a group that more than one rule selects, since the order
-// of rules depends on the order of files.
-func (c *checker) groupRules(d *Declaration, g fleet.Group) {
+// checkGroupRules reports a group that several rules select. Which of them
+// applied would depend on the order of the files.
+func (c *checker) checkGroupRules(d *Declaration, g fleet.Group) {
 	l := d.groupLabels(g)
 	var names []string
 	for _, r := range d.Rules {
@@ -151,34 +151,34 @@
 		}
 	}
 	if len(names) > 1 {
-		c.add("group "+string(g), "", "selected by several rules: %s", strings.Join(names, ", "))
+		c.addFault("group "+string(g), "", "selected by several rules: %s", strings.Join(names, ", "))
 	}
 }
 
-func (c *checker) rule(d *Declaration, r Rule) {
+func (c *checker) checkRule(d *Declaration, r Rule) {
 	s := "serve " + r.Name
-	c.selector(s, "groups", r.Groups)
-	c.selector(s, "models", r.Models)
+	c.checkSelector(s, "groups", r.Groups)
+	c.checkSelector(s, "models", r.Models)
 	if r.Version == "" {
-		c.add(s, "version", "must be set")
+		c.addFault(s, "version", "must be set")
 		return
 	}
-	var matched, having []string
-	for name, m := range sorted(d.Models) {
+	var matched, withVersion []string
+	for name, m := range sortedByKey(d.Models) {
 		if !r.Models.Matches(modelLabels(name, m)) {
 			continue
 		}
 		matched = append(matched, string(name))
 		if _, ok := m.Versions[r.Version]; ok {
-			having = append(having, string(name))
+			withVersion = append(withVersion, string(name))
 		}
 	}
 	switch {
 	case len(matched) == 0:
-		c.add(s, "models", "selects no model")
-	case len(having) == 0:
-		c.add(s, "version", "no selected model has the version %q", r.Version)
-	case len(having) > 1:
-		c.add(s, "models", "several selected models have the version %q: %s", r.Version, strings.Join(having, ", "))
+		c.addFault(s, "models", "selects no model")
+	case len(withVersion) == 0:
+		c.addFault(s, "version", "no selected model has the version %q", r.Version)
+	case len(withVersion) > 1:
+		c.addFault(s, "models", "several selected models have the version %q: %s", r.Version, strings.Join(withVersion, ", "))
 	}
 }
--- a/internal/core/manifest/manifest.go
+++ b/internal/core/manifest/manifest.go
@@ -1,6 +1,6 @@
-// Package manifest defines a model version as a list of chunk digests. The
-// version's name is the digest of that list, so a complete set of verified
-// chunks is exactly that version and nothing else.
+// Package manifest describes a model version as a list of chunk digests. The
+// name of the version is the digest of that list, so a complete set of verified
+// chunks cannot belong to any other version.
 package manifest
 
 import (
@@ -12,24 +12,24 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// Digest is the SHA-256 of a chunk.
+// Digest is the SHA-256 digest of a chunk.
 type Digest [sha256.Size]byte
 
-// MaxChunkBytes bounds the size of one chunk. An agent verifies a chunk before
-// it passes it on, so a chunk is also the unit of pipelining.
+// MaxChunkBytes bounds the size of a chunk. An agent verifies a chunk before it
+// forwards it, so the chunk is also the unit of pipelining.
 const MaxChunkBytes = 8 << 20
 
-// MaxChunks bounds the number of chunks of one version.
+// MaxChunks bounds the number of chunks of a version.
 const MaxChunks = 1 << 16
 
-// Errors of verification.
+// Errors that Validate and VerifyChunk return.
 var (
 	ErrCorrupted       = errors.New("chunk does not match its digest")
 	ErrVersionMismatch = errors.New("manifest does not match its version")
-	ErrInvalidSize     = errors.New("manifest has an impossible size")
+	ErrInvalidSize     = errors.New("manifest has an invalid size")
 )
 
-// Chunk is one part of the weights.
+// Chunk describes one part of the weights.
 type Chunk struct {
 	Digest Digest
 	Bytes  int64
@@ -41,7 +41,7 @@
 	Chunks []Chunk
 }
 
-// Version returns the digest over the model name and all chunks.
+// Version returns the digest of the model name and all chunks.
 func (m Manifest) Version() fleet.Version {
 	h := sha256.New()
 	fmt.Fprintf(h, "masticwing-manifest-1\n%s\n%d\n", m.Model, len(m.Chunks))
@@ -51,7 +51,7 @@
 	return fleet.Version(fmt.Sprintf("%x", h.Sum(nil)))
 }
 
-// Bytes returns the size of the version.
+// Bytes returns the total size of the chunks.
 func (m Manifest) Bytes() int64 {
 	var n int64
 	for _, c := range m.Chunks {
@@ -60,7 +60,7 @@
 	return n
 }
 
-// Validate returns an error unless m is well formed and is the version v.
+// Validate returns an error unless m is well-formed and its version is v.
 func (m Manifest) Validate(v fleet.Version) error {
 	if len(m.Chunks) == 0 || len(m.Chunks) > MaxChunks {
 		return errors.Wrapf(ErrInvalidSize, "%d chunks", len(m.Chunks))
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// VerifyChunk returns ErrCorrupted unless data is chunk i.
+// VerifyChunk returns an error unless data is the content of chunk i.
 func (m Manifest) VerifyChunk(i int, data []byte) error {
 	if i < 0 || i >= len(m.Chunks) {
 		return errors.Wrapf(ErrInvalidSize, "no chunk %d", i)
@@ -87,7 +87,8 @@
 	return nil
 }
 
-// Split cuts weights into chunks of the given size and returns their manifest.
+// Split divides weights into chunks of chunkBytes and returns the manifest. The
+// last chunk may be smaller.
 func Split(model fleet.Model, weights []byte, chunkBytes int) Manifest {
 	m := Manifest{Model: model}
 	for len(weights) > 0 {
--- a/internal/core/ratelimit/bucket_test.go
+++ b/internal/core/ratelimit/bucket_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestReserveKeepsRate guards against a bucket that lets more than its rate
-// through when reservations and live charges are mixed.
-func TestReserveKeepsRate(t *testing.T) {
+// TestRateIsKept guards against a bucket that exceeds its rate when
+// reservations and live traffic are mixed.
+func TestRateIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Int64Range(1000, 1<<24).Draw(t, "rate")
 		start := time.Unix(100, 0)
@@ -23,7 +23,7 @@
 				continue
 			}
 			now = now.Add(b.Reserve(now, n))
-			allowed := float64(rate)*(now.Sub(start).Seconds()+burstTime.Seconds()) + 1
+			allowed := float64(rate)*(now.Sub(start).Seconds()+burstDuration.Seconds()) + 1
 			if float64(total) > allowed {
 				t.Fatalf("%d bytes after %v at %d B/s", total, now.Sub(start), rate)
 			}
