--- a/internal/app/weights/manager.go
+++ b/internal/app/weights/manager.go
@@ -45,7 +45,7 @@
 
 func (s Settings) withDefaults() Settings {
 	if s.Limits == (spread.Limits{}) {
-		s.Limits = spread.Limits{Total: 6, PerPeer: 2, Outside: 2}
+		s.Limits = spread.Limits{Total: 6, PerPeer: 2, External: 2}
 	}
 	return s
 }
@@ -65,7 +65,7 @@
 	settings    Settings
 	deps        Deps
 	link        ratelimit.Link
-	uploadSlots *spread.Slots
+	uploadSlots *spread.UploadSlots
 	versions    *shard.Map[fleet.Version, *version]
 	counters    counters
 	changed     chan struct{}
@@ -87,7 +87,7 @@
 		settings:    s.withDefaults(),
 		deps:        d,
 		link:        ratelimit.NewLink(s.InRate, s.OutRate, d.Clock.Now()),
-		uploadSlots: spread.NewSlots(spread.MaxUploads),
+		uploadSlots: spread.NewUploadSlots(spread.MaxUploads),
 		versions:    shard.New[fleet.Version, *version](0),
 		changed:     make(chan struct{}, 1),
 		wake:        make(chan struct{}, 1),
