--- a/internal/app/weights/version.go
+++ b/internal/app/weights/version.go
@@ -38,11 +38,11 @@
 // chunkState is the part of a version that exists once its manifest is known. Its
 // fields have their own locks or do not change.
 type chunkState struct {
-	man    manifest.Manifest
-	size   int64
-	table  *spread.Table
-	chunks *shard.Map[int, []byte]
-	credit *spread.Credit
+	man          manifest.Manifest
+	size         int64
+	table        *spread.Table
+	chunks       *shard.Map[int, []byte]
+	uploadCredit *spread.UploadCredit
 }
 
 // version is one wanted version, complete or not.
@@ -53,16 +53,16 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	chunkState      atomic.Pointer[chunkState]
-	complete        atomic.Bool
-	waitsForMemory  atomic.Bool
-	plan            atomic.Pointer[spread.Plan]
-	watchers        *shard.Map[uint64, *watcher]
-	watchedPeers    *shard.Map[fleet.VM, spread.Member]
-	nextWatcherID   atomic.Uint64
-	originAllowance spread.Allowance
-	wake            chan struct{}
-	replan          chan struct{}
+	chunkState     atomic.Pointer[chunkState]
+	complete       atomic.Bool
+	waitsForMemory atomic.Bool
+	plan           atomic.Pointer[spread.Plan]
+	watchers       *shard.Map[uint64, *watcher]
+	watchedPeers   *shard.Map[fleet.VM, spread.Member]
+	nextWatcherID  atomic.Uint64
+	originQuota    spread.OriginQuota
+	wake           chan struct{} // receives when dispatch may have a fetch to start
+	replan         chan struct{} // receives when the plan should be updated
 
 	mu          sync.Mutex // guards the following
 	reason      string
@@ -106,7 +106,7 @@
 	now := v.m.deps.Clock.Now()
 	cs := &chunkState{
 		man: man, size: man.Bytes(), table: spread.NewTable(len(man.Chunks)),
-		chunks: shard.New[int, []byte](0), credit: spread.NewCredit(man.Bytes(), now),
+		chunks: shard.New[int, []byte](0), uploadCredit: spread.NewUploadCredit(man.Bytes(), now),
 	}
 	v.chunkState.Store(cs)
 	signal(v.m.changed)
@@ -182,7 +182,7 @@
 // whether the chunk was missing.
 func (v *version) store(cs *chunkState, i int, data []byte) bool {
 	cs.chunks.Put(i, data)
-	if !cs.table.Have(i) {
+	if !cs.table.MarkHeld(i) {
 		return false
 	}
 	v.recordNewChunk(v.m.deps.Clock.Now())
@@ -203,7 +203,7 @@
 		return p
 	}
 	p.State = StateFetching
-	p.Chunks, p.ChunksHave, p.BytesTotal = len(cs.man.Chunks), cs.table.Held(), cs.size
+	p.Chunks, p.ChunksHave, p.BytesTotal = len(cs.man.Chunks), cs.table.HeldCount(), cs.size
 	if v.complete.Load() {
 		p.State, p.Reason = StateComplete, ""
 	}
