--- a/internal/app/chunks/chunks.go
+++ b/internal/app/chunks/chunks.go
@@ -49,11 +49,11 @@
 	// the engine's streams by as much.
 	maxWriteBytes = 8 << 10
 	// maxUploads bounds the chunks sent at a time. With fewer at a time, each chunk
-	// arrives earlier and is passed on earlier.
+	// arrives earlier and can be served to others earlier.
 	maxUploads = 3
 )
 
-// Settings of a Fetcher.
+// Settings holds the configuration of a Fetcher.
 type Settings struct {
 	Self chain.Member
 	// InRate and OutRate limit the use of the link in bytes per second; 0 means no
@@ -81,7 +81,7 @@
 	deps        Deps
 	link        ratelimit.Link
 	uploadSlots chan struct{}
-	wake        chan struct{}
+	wake        chan struct{} // receives after SetVersion
 
 	mu      sync.Mutex // guards the following
 	current *version
@@ -206,7 +206,8 @@
 	}
 }
 
-// fetchVersion starts chunk fetches until the version is complete or ctx ends.
+// fetchVersion starts chunk fetches until the version is complete or ctx ends, and then
+// waits for those in flight.
 func (f *Fetcher) fetchVersion(ctx context.Context, v *version) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
