--- a/internal/core/routing/choose.go
+++ b/internal/core/routing/choose.go
@@ -145,7 +145,7 @@
 // eligible reports whether the target may serve the request, whatever its load.
 func (t *target) eligible(q Query, now time.Time) bool {
 	switch {
-	case t.Pool != q.Pool, !t.Usable, !t.isFresh(now), q.Tried[t.VM]:
+	case t.Pool != q.Pool, !t.Usable, !t.fresh(now), q.Tried[t.VM]:
 		return false
 	case t.Version != q.Version && !q.OlderVersions[t.Version]:
 		return false
@@ -169,7 +169,7 @@
 func affinityTarget(cs []candidate, prefix uint64) (candidate, bool) {
 	best, least := cs[0], cs[0].load
 	for _, c := range cs[1:] {
-		if rendezvousScore(prefix, string(c.VM)) > rendezvousScore(prefix, string(best.VM)) {
+		if score(prefix, string(c.VM)) > score(prefix, string(best.VM)) {
 			best = c
 		}
 		least = min(least, c.load)
--- a/internal/core/routing/hash.go
+++ b/internal/core/routing/hash.go
@@ -45,7 +45,7 @@
 	}
 	s := make([]scored, len(ids))
 	for i, id := range ids {
-		s[i] = scored{id, rendezvousScore(key, id)}
+		s[i] = scored{id, score(key, id)}
 	}
 	slices.SortFunc(s, func(a, b scored) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.id, b.id))
@@ -57,8 +57,8 @@
 	return out
 }
 
-// rendezvousScore returns the weight of an id for a key in rendezvous hashing.
-func rendezvousScore(key uint64, id string) uint64 { return mix(key ^ Hash(id)) }
+// score returns the weight of an id for a key in rendezvous hashing.
+func score(key uint64, id string) uint64 { return mix(key ^ Hash(id)) }
 
 // LedgerPartitionKey returns the rendezvous key that determines the agent of a
 // partition of a service's ledger.
--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -63,7 +63,7 @@
 	return max(t.InFlight+t.ownInFlight-t.ownAtReport, t.ownInFlight)
 }
 
-func (t *target) isFresh(now time.Time) bool {
+func (t *target) fresh(now time.Time) bool {
 	return t.hasStatus && now.Sub(t.reportedAt) <= StatusMaxAge
 }
 
@@ -152,7 +152,7 @@
 // the VM takes requests according to it.
 func (t *Table) CheckUsable(vm fleet.VM, now time.Time) (usable, fresh bool) {
 	v, _ := t.targets.Get(vm)
-	fresh = v.isFresh(now)
+	fresh = v.fresh(now)
 	return fresh && v.Usable, fresh
 }
 
@@ -174,7 +174,7 @@
 func (t *Table) Capacity(p Pool, now time.Time) Capacity {
 	var c Capacity
 	t.targets.Range(func(_ fleet.VM, v target) bool {
-		if v.Pool == p && v.isFresh(now) && v.Usable {
+		if v.Pool == p && v.fresh(now) && v.Usable {
 			c.Targets++
 			c.Limit += v.Limit
 			c.OwnInFlight += v.ownInFlight
@@ -189,7 +189,7 @@
 func (t *Table) Snapshot(now time.Time) []TargetStatus {
 	var out []TargetStatus
 	t.targets.Range(func(_ fleet.VM, v target) bool {
-		if v.isFresh(now) {
+		if v.fresh(now) {
 			r := v.TargetStatus
 			r.InFlight = v.estimatedInFlight()
 			out = append(out, r)
--- a/internal/core/schedule/byte_limiter.go
+++ b/internal/core/schedule/byte_limiter.go
@@ -11,24 +11,24 @@
 // ByteLimiter limits the bytes of memory held for callers, in the process and per
 // customer.
 type ByteLimiter struct {
-	limit     int64
+	max       int64
 	total     atomic.Int64
 	customers *shard.Map[fleet.Customer, int64]
 }
 
 // NewByteLimiter returns a limiter with a limit for the whole process.
 func NewByteLimiter(limit int64) *ByteLimiter {
-	return &ByteLimiter{limit: limit, customers: shard.New[fleet.Customer, int64](0)}
+	return &ByteLimiter{max: limit, customers: shard.New[fleet.Customer, int64](0)}
 }
 
 // Reserve reserves n bytes. If this would exceed the limit of the process or of the
 // customer, it returns an error and reserves nothing. A customerLimit of zero means
 // no limit for the customer.
 func (b *ByteLimiter) Reserve(c fleet.Customer, n, customerLimit int64) error {
-	if b.total.Add(n) > b.limit {
+	if b.total.Add(n) > b.max {
 		b.total.Add(-n)
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded,
-			"entry has reached its memory limit of %d bytes", b.limit).WithRetryAfter(retryAfter)
+			"entry has reached its memory limit of %d bytes", b.max).WithRetryAfter(retryAfter)
 	}
 	exceeded := false
 	b.customers.Update(c, func(v int64, _ bool) (int64, bool) {
--- a/internal/core/schedule/pool.go
+++ b/internal/core/schedule/pool.go
@@ -81,12 +81,12 @@
 // of it: all in higher classes and, depending on its customer's share, some in its
 // own class.
 func (p *pool) expectedWait(r Request) time.Duration {
-	ahead := 1
+	requestsAhead := 1
 	for c := range r.Class {
-		ahead += p.classes[c].size
+		requestsAhead += p.classes[c].size
 	}
-	ahead += p.classes[r.Class].requestsAhead(r)
-	return p.meanHoldTime * time.Duration(ahead) / time.Duration(p.capacity)
+	requestsAhead += p.classes[r.Class].requestsAhead(r)
+	return p.meanHoldTime * time.Duration(requestsAhead) / time.Duration(p.capacity)
 }
 
 func (p *pool) push(t *Ticket) { p.classes[t.req.Class].push(t) }
--- a/internal/core/schedule/schedule.go
+++ b/internal/core/schedule/schedule.go
@@ -37,17 +37,17 @@
 	req       Request
 	grant     chan error
 	startTag  float64 // of start-time fair queueing
-	state     ticketState
+	state     state
 	grantedAt time.Time
 	// countedAsQueued is set while the request counts against its customer's bound
 	// of queued requests.
 	countedAsQueued bool
 }
 
-type ticketState uint8
+type state uint8
 
 const (
-	stateWaiting ticketState = iota
+	stateWaiting state = iota
 	stateRunning
 	stateEnded
 )
--- a/internal/core/schedule/schedule_test.go
+++ b/internal/core/schedule/schedule_test.go
@@ -219,11 +219,11 @@
 	}
 	p.push(&Ticket{})
 	now := time.Unix(0, 0)
-	for remaining, late := range map[time.Duration]bool{
+	for remaining, isLate := range map[time.Duration]bool{
 		105 * time.Millisecond: true, 115 * time.Millisecond: true, 140 * time.Millisecond: false,
 	} {
-		if got := p.isLate(&Ticket{req: Request{Deadline: now.Add(remaining)}}, now); got != late {
-			t.Errorf("late with %v left: %v, want %v (mean hold time %v, deviation %v)", remaining, got, late, p.meanHoldTime, p.holdTimeDeviation)
+		if got := p.isLate(&Ticket{req: Request{Deadline: now.Add(remaining)}}, now); got != isLate {
+			t.Errorf("late with %v left: %v, want %v (mean hold time %v, deviation %v)", remaining, got, isLate, p.meanHoldTime, p.holdTimeDeviation)
 		}
 	}
 }
