--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -13,9 +13,9 @@
 
 	"github.com/masticwing/masticwing/internal/adapter/loadcast"
 	"github.com/masticwing/masticwing/internal/adapter/logging"
-	"github.com/masticwing/masticwing/internal/app/enroll"
 	"github.com/masticwing/masticwing/internal/app/feed"
 	"github.com/masticwing/masticwing/internal/app/follow"
+	"github.com/masticwing/masticwing/internal/app/registration"
 	core "github.com/masticwing/masticwing/internal/core/feed"
 	"github.com/masticwing/masticwing/internal/core/inflight"
 	"github.com/masticwing/masticwing/internal/core/placement"
@@ -104,7 +104,7 @@
 	wg.Go(func() { g.confirmLoop(ctx) })
 	wg.Go(func() { g.receiveLoadReports(ctx) })
 	wg.Go(func() { g.gaugeLoop(ctx) })
-	e := enroll.Enrolment{Store: g.deps.Store, Prefix: ps.Members, Self: g.settings.storedMember(), Clock: g.deps.Clock, Log: g.deps.Log}
+	e := registration.Registrar{Store: g.deps.Store, Prefix: ps.Members, Self: g.settings.storedMember(), Clock: g.deps.Clock, Log: g.deps.Log}
 	wg.Go(func() { e.Run(ctx) })
 }
 
--- a/internal/app/gateway/harness_test.go
+++ b/internal/app/gateway/harness_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/masticwing/masticwing/internal/adapter/logging"
 	"github.com/masticwing/masticwing/internal/adapter/sysclock"
-	"github.com/masticwing/masticwing/internal/app/enroll"
 	"github.com/masticwing/masticwing/internal/app/follow"
+	"github.com/masticwing/masticwing/internal/app/registration"
 	"github.com/masticwing/masticwing/internal/core/fleet"
 	"github.com/masticwing/masticwing/internal/core/routes"
 	"github.com/masticwing/masticwing/internal/core/verdict"
@@ -161,7 +161,7 @@
 	t.Helper()
 	gw := &testGateway{forwarder: &forwarder{replies: replies}, clock: &clock{sinceBoot: time.Hour}, facts: facts{}, log: &bytes.Buffer{}}
 	s := Settings{
-		Settings: enroll.Settings{Domain: "a", Regions: map[fleet.Domain]fleet.Region{"a": "ra", "b": "rb"}}, KeyBound: 5 * time.Second,
+		Settings: registration.Settings{Domain: "a", Regions: map[fleet.Domain]fleet.Region{"a": "ra", "b": "rb"}}, KeyBound: 5 * time.Second,
 		WeightsBound: 8 * time.Second, RetryRatio: 0.2, RetrySlack: 100, RetryWindow: 10 * time.Second,
 	}
 	gw.Gateway = New(s, Deps{
--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/masticwing/masticwing/internal/adapter/logging"
-	"github.com/masticwing/masticwing/internal/app/enroll"
 	"github.com/masticwing/masticwing/internal/app/follow"
+	"github.com/masticwing/masticwing/internal/app/registration"
 	"github.com/masticwing/masticwing/internal/core/feed"
 	"github.com/masticwing/masticwing/internal/core/fleet"
 	"github.com/masticwing/masticwing/internal/core/placement"
@@ -42,7 +42,7 @@
 	mu sync.Mutex // guards the fields below
 	// operatorRevisions maps each operator key to its revision in the store.
 	operatorRevisions map[string]int64
-	members           enroll.Members
+	members           registration.Members
 	// instanceByKey maps the store key of each target to its instance.
 	instanceByKey map[string]fleet.Instance
 }
@@ -64,7 +64,7 @@
 func newView(s Settings, d Deps, t *placement.Table) *view {
 	v := &view{
 		self: s.storedMember(), facts: d.Facts, targets: t, regions: s.Regions, clock: d.Clock, log: d.Log,
-		operatorRevisions: map[string]int64{}, members: enroll.Members{}, instanceByKey: map[string]fleet.Instance{},
+		operatorRevisions: map[string]int64{}, members: registration.Members{}, instanceByKey: map[string]fleet.Instance{},
 	}
 	v.otherGateways.Store(&[]netip.AddrPort{})
 	v.readers.Store(&[]feed.Member{})
--- a/internal/app/loader/loader.go
+++ b/internal/app/loader/loader.go
@@ -16,9 +16,9 @@
 	"github.com/masticwing/masticwing/internal/adapter/logging"
 	"github.com/masticwing/masticwing/internal/adapter/rpc"
 	"github.com/masticwing/masticwing/internal/app/chunks"
-	"github.com/masticwing/masticwing/internal/app/enroll"
 	"github.com/masticwing/masticwing/internal/app/feed"
 	"github.com/masticwing/masticwing/internal/app/follow"
+	"github.com/masticwing/masticwing/internal/app/registration"
 	"github.com/masticwing/masticwing/internal/core/chain"
 	"github.com/masticwing/masticwing/internal/core/fleet"
 	"github.com/masticwing/masticwing/internal/core/placement"
@@ -146,7 +146,7 @@
 	wg.Go(func() { l.reportLoad(ctx, sender) })
 	wg.Go(func() { l.fetchDeclared(ctx) })
 	wg.Go(func() { l.converge(ctx) })
-	e := enroll.Enrolment{Store: l.deps.Store, Prefix: ps.Members, Self: l.settings.storedMember(), Clock: l.deps.Clock, Log: l.deps.Log}
+	e := registration.Registrar{Store: l.deps.Store, Prefix: ps.Members, Self: l.settings.storedMember(), Clock: l.deps.Clock, Log: l.deps.Log}
 	wg.Go(func() { e.Run(ctx) })
 	return nil
 }
--- a/internal/app/loader/settings.go
+++ b/internal/app/loader/settings.go
@@ -5,7 +5,7 @@
 
 	"github.com/masticwing/masticwing/internal/adapter/settings"
 	"github.com/masticwing/masticwing/internal/app/daemon"
-	"github.com/masticwing/masticwing/internal/app/enroll"
+	"github.com/masticwing/masticwing/internal/app/registration"
 	"github.com/masticwing/masticwing/internal/core/fleet"
 	"github.com/masticwing/masticwing/internal/port"
 )
@@ -13,7 +13,7 @@
 // Settings is the configuration of masticwing-loader.
 type Settings struct {
 	daemon.Common
-	enroll.Settings
+	registration.Settings
 
 	Engine  fleet.Address
 	Service fleet.Service
--- a/internal/app/loader/view.go
+++ b/internal/app/loader/view.go
@@ -12,8 +12,8 @@
 	"github.com/pkg/errors"
 
 	"github.com/masticwing/masticwing/internal/adapter/logging"
-	"github.com/masticwing/masticwing/internal/app/enroll"
 	"github.com/masticwing/masticwing/internal/app/follow"
+	"github.com/masticwing/masticwing/internal/app/registration"
 	"github.com/masticwing/masticwing/internal/core/chain"
 	"github.com/masticwing/masticwing/internal/core/feed"
 	"github.com/masticwing/masticwing/internal/core/fleet"
@@ -32,7 +32,7 @@
 	mu                  sync.Mutex // guards the following
 	routeTable          *routes.Table
 	declarations        []declaredWeights
-	members             enroll.Members
+	members             registration.Members
 	gatewayAddresses    []netip.AddrPort
 	feedReaders         []feed.Member
 	declarationsChanged chan struct{}
@@ -54,7 +54,7 @@
 func newView(s Settings, f port.ItemDecoder, c port.Clock, l *logging.Logger) *view {
 	return &view{
 		settings: s, decoder: f, clock: c, log: l,
-		members: enroll.Members{}, declarationsChanged: make(chan struct{}, 1), membersListed: make(chan struct{}),
+		members: registration.Members{}, declarationsChanged: make(chan struct{}, 1), membersListed: make(chan struct{}),
 	}
 }
 
--- a/internal/app/enroll/members.go
+++ b/internal/app/registration/members.go
@@ -1,4 +1,4 @@
-package enroll
+package registration
 
 import (
 	"net/netip"
@@ -10,12 +10,13 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Members are the registered processes by key. It has no lock of its own: its
-// owner's guards it.
+// Members maps the store key of each registration to the registered process.
+// It is not safe for concurrent use; the lock of its owner guards it.
 type Members map[string]port.StoredMember
 
-// Apply takes in news of the entries.
-func (m Members) Apply(e follow.Event, facts port.ItemDecoder, log *logging.Logger) {
+// Apply updates the map with changes of registrations. A registration that
+// cannot be decoded is logged and skipped.
+func (m Members) Apply(e follow.Event, decoder port.ItemDecoder, log *logging.Logger) {
 	if e.Reset {
 		clear(m)
 	}
@@ -24,18 +25,19 @@
 			delete(m, c.Key)
 			continue
 		}
-		fact, err := facts.Decode(c.StoreItem)
+		item, err := decoder.Decode(c.StoreItem)
 		if err != nil {
 			log.Fault("entry of a process can't be read", err, logging.F("key", c.Key))
 			continue
 		}
-		if f, ok := fact.(port.MemberItem); ok {
-			m[c.Key] = f.Member
+		if member, ok := item.(port.MemberItem); ok {
+			m[c.Key] = member.Member
 		}
 	}
 }
 
-// Readers returns the gateways that a process asks for changes of the store.
+// Readers returns the gateways that self asks for changes of the store, in the
+// order in which it tries them.
 func (m Members) Readers(self port.StoredMember) []feed.Member {
 	all := make([]feed.Member, 0, len(m))
 	for _, x := range m {
@@ -44,12 +46,12 @@
 	return feed.Readers(feedMember(self), all)
 }
 
-func feedMember(x port.StoredMember) feed.Member {
-	return feed.Member{ID: x.ID, Domain: x.Domain, Address: x.Address, Gateway: x.Kind == fleet.KindEntry.String()}
+func feedMember(m port.StoredMember) feed.Member {
+	return feed.Member{ID: m.ID, Domain: m.Domain, Address: m.Address, Gateway: m.Kind == fleet.KindEntry.String()}
 }
 
-// Gateways returns the number of gateways, and the addresses of those that are
-// not self.
+// Gateways returns the number of registered gateways, and the addresses of all
+// but the one with the ID self.
 func (m Members) Gateways(self string) (count int, others []netip.AddrPort) {
 	others = []netip.AddrPort{}
 	for _, x := range m {
--- /dev/null
+++ b/internal/app/registration/registrar.go
@@ -0,0 +1,95 @@
+// Package registration registers this process in the platform's store, so that
+// the other processes of the deployment discover it, and keeps the list of the
+// registered processes.
+package registration
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"github.com/masticwing/masticwing/internal/adapter/logging"
+	"github.com/masticwing/masticwing/internal/port"
+)
+
+const (
+	// leaseTTL is the time after which the registration of a lost process
+	// expires.
+	leaseTTL = 8 * time.Second
+	// keepAliveInterval leaves time for two more attempts before the lease
+	// expires.
+	keepAliveInterval = 2500 * time.Millisecond
+	// retryDelay is the delay before a failed store call is repeated.
+	retryDelay = 500 * time.Millisecond
+)
+
+// Registrar maintains the registration of one process under a lease.
+type Registrar struct {
+	Store  port.Store
+	Prefix string
+	Self   port.StoredMember
+	Clock  port.Clock
+	Log    *logging.Logger
+}
+
+// Run keeps the process registered until ctx ends, and then removes the
+// registration. It registers again whenever the lease expires.
+func (r *Registrar) Run(ctx context.Context) {
+	for ctx.Err() == nil {
+		lease, err := r.register(ctx)
+		if err != nil {
+			r.Log.Fault("could not register in the store", err)
+			r.sleep(ctx, retryDelay)
+			continue
+		}
+		r.Log.State("registered in the store", logging.F("address", r.Self.Address))
+		r.keepAlive(ctx, lease)
+		if ctx.Err() != nil {
+			// If the call fails, the registration expires with the lease.
+			_ = r.Store.Revoke(context.WithoutCancel(ctx), lease)
+		}
+	}
+}
+
+func (r *Registrar) register(ctx context.Context) (port.LeaseID, error) {
+	lease, err := r.Store.Grant(ctx, leaseTTL)
+	if err != nil {
+		return port.NoLease, errors.Wrap(err, "granting a lease")
+	}
+	value, err := json.Marshal(r.Self)
+	if err != nil {
+		return port.NoLease, errors.Wrap(err, "encoding the registration")
+	}
+	w := port.StoreWrite{Key: r.Prefix + r.Self.ID, Value: value, Lease: lease}
+	return lease, errors.Wrap(r.Store.Commit(ctx, nil, []port.StoreWrite{w}), "writing the registration")
+}
+
+// keepAlive extends the lease until the store reports it as expired or ctx
+// ends.
+func (r *Registrar) keepAlive(ctx context.Context, lease port.LeaseID) {
+	delay := keepAliveInterval
+	for {
+		r.sleep(ctx, delay)
+		if ctx.Err() != nil {
+			return
+		}
+		err := r.Store.KeepAlive(ctx, lease)
+		if errors.Is(err, port.ErrNotFound) {
+			r.Log.Fault("lease of the entry has ended", err)
+			return
+		}
+		delay = keepAliveInterval
+		if err != nil {
+			delay = retryDelay
+		}
+	}
+}
+
+func (r *Registrar) sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-r.Clock.After(d):
+	}
+}
--- a/internal/app/enroll/settings.go
+++ b/internal/app/registration/settings.go
@@ -1,22 +1,22 @@
-package enroll
+package registration
 
 import (
 	"github.com/masticwing/masticwing/internal/adapter/settings"
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// Settings are those that every process has that registers in the platform's
-// store.
+// Settings are the settings shared by all processes that register in the
+// platform's store.
 type Settings struct {
 	Domain fleet.Domain
 	// Regions maps each failure domain to its region.
 	Regions map[fleet.Domain]fleet.Region
-	// Internal is the address for other processes of the product.
+	// Internal is the address that serves other masticwing processes.
 	Internal fleet.Address
 	Platform fleet.Address
 }
 
-// Register registers the keys.
+// Register adds the keys of these settings to s.
 func (c *Settings) Register(s *settings.Set) {
 	s.Name("node", "domain", func(v string) { c.Domain = fleet.Domain(v) }, settings.Required, "Failure domain of this VM.")
 	labels := map[string]string{}
--- a/test/docs/log_test.go
+++ b/test/docs/log_test.go
@@ -13,7 +13,7 @@
 // loggedIn lists the packages whose lines and metrics the operators' page
 // describes in full.
 var loggedIn = []string{
-	"internal/app/gateway", "internal/app/loader", "internal/app/chunks", "internal/app/follow", "internal/app/enroll",
+	"internal/app/gateway", "internal/app/loader", "internal/app/chunks", "internal/app/follow", "internal/app/registration",
 	"internal/app/daemon", "cmd/masticwing-gateway", "cmd/masticwing-loader", "platform",
 }
 
