--- a/internal/app/agent/connect.go
+++ b/internal/app/agent/connect.go
@@ -61,7 +61,7 @@
 	})
 	l := ledger.New(kv, sysclock.Clock{}, sysclock.Rand{}, ledger.Options{
 		WritesPerSecond: float64(c.LedgerWritesPerSecond), Window: c.LedgerWindow,
-		AnswerBytes: c.LedgerAnswers, Metrics: env.Metrics,
+		MaxAnswerBytes: c.LedgerAnswers, Metrics: env.Metrics,
 	})
 	run := func(ctx context.Context) {
 		var wg conc.WaitGroup
--- a/internal/app/ledger/history_test.go
+++ b/internal/app/ledger/history_test.go
@@ -29,37 +29,37 @@
 	"github.com/masticwing/masticwing/internal/standin/platform"
 )
 
-var seedFlag = flag.Uint64("seed", 0, "seed of the history test; 0 draws one")
+var seedFlag = flag.Uint64("seed", 0, "seed of TestHistory; 0 chooses a random one")
 
-// told is the output of one operation on a key.
-type told struct {
-	// attempt names the operation in the service's log.
+// result is the output of one operation on a key.
+type result struct {
+	// attempt identifies the operation in harness.runs.
 	attempt string
-	// ran says whether the service ran the call for this attempt.
+	// ran reports whether the service ran the call for this attempt.
 	ran     bool
 	verdict verdict.Verdict
-	// count is the number of runs at the service, for the last operation of a
-	// key, and -1 for all others.
+	// count is the number of runs of the key at the service. It is set for the
+	// last operation on a key and -1 for all others.
 	count int
 }
 
-// onceModel allows one run per key, and the verdict "ran" only after it. An
-// attempt that is told "not run" must not have run.
-var onceModel = porcupine.Model{
-	Partition: func(h []porcupine.Operation) [][]porcupine.Operation {
+// atMostOnceModel allows one run per key, and the verdict "ran" only after that
+// run. An attempt with the verdict "not run" must not have run.
+var atMostOnceModel = porcupine.Model{
+	Partition: func(ops []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[any][]porcupine.Operation{}
-		for _, op := range h {
+		for _, op := range ops {
 			byKey[op.Input] = append(byKey[op.Input], op)
 		}
 		var out [][]porcupine.Operation
-		for _, ops := range byKey {
-			out = append(out, ops)
+		for _, keyOps := range byKey {
+			out = append(out, keyOps)
 		}
 		return out
 	},
 	Init: func() any { return false },
 	Step: func(state, _, output any) (bool, any) {
-		ran, out := state.(bool), output.(told)
+		ran, out := state.(bool), output.(result)
 		switch {
 		case out.count >= 0:
 			return out.count <= 1 && (out.count == 1) == ran, ran
@@ -73,26 +73,25 @@
 	},
 }
 
-// flakyKV pauses before and after some writes, as a paused process does, loses
-// some, and lets some take effect after their caller was told that the outcome
-// is unknown.
+// flakyKV delays the caller before or after some writes, like a paused process,
+// drops some, and applies some only after it has returned ErrUnknownOutcome.
 type flakyKV struct {
 	port.KV
-	late *conc.WaitGroup
+	delayedWrites *conc.WaitGroup
 
 	mu  sync.Mutex
 	rnd *rand.Rand
 }
 
-func (f *flakyKV) draw(n int) int {
+func (f *flakyKV) intN(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rnd.IntN(n)
 }
 
 func (f *flakyKV) pause() {
-	if f.draw(20) == 0 {
-		time.Sleep(time.Duration(f.draw(300)) * time.Millisecond)
+	if f.intN(20) == 0 {
+		time.Sleep(time.Duration(f.intN(300)) * time.Millisecond)
 	}
 }
 
@@ -100,12 +99,12 @@
 func (f *flakyKV) CompareAndSwap(ctx context.Context, k string, rev int64, v []byte, l port.LeaseID) (int64, error) {
 	f.pause()
 	defer f.pause()
-	switch f.draw(30) {
+	switch f.intN(30) {
 	case 0:
 		return 0, port.ErrUnknownOutcome
 	case 1:
-		f.late.Go(func() {
-			time.Sleep(time.Duration(f.draw(400)) * time.Millisecond)
+		f.delayedWrites.Go(func() {
+			time.Sleep(time.Duration(f.intN(400)) * time.Millisecond)
 			_, _ = f.KV.CompareAndSwap(context.Background(), k, rev, v, l)
 		})
 		return 0, port.ErrUnknownOutcome
@@ -114,198 +113,201 @@
 	}
 }
 
-// world is several ledgers over one platform, the service that they guard, and
-// the history.
-type world struct {
+// harness runs several ledgers on one platform together with the service that
+// they protect, and records the operations.
+type harness struct {
 	seed    uint64
 	addr    fleet.Address
 	url     string
-	slots   [3]atomic.Pointer[Ledger]
-	runs    *shard.Map[string, []string] // attempts that ran, by key
+	current [3]atomic.Pointer[Ledger]    // ledgers that receive new calls
+	runs    *shard.Map[string, []string] // attempts that ran at the service, by key
 	started time.Time
 
 	mu      sync.Mutex
 	ops     []porcupine.Operation
-	ledgers []*Ledger
-	wg      conc.WaitGroup // the ledgers' Run and late writes
-	end     context.CancelFunc
+	ledgers []*Ledger      // all ledgers, including the replaced ones
+	wg      conc.WaitGroup // Run of the ledgers, and delayed writes
+	cancel  context.CancelFunc
 	ctx     context.Context
 }
 
-func newWorld(t testing.TB, seed uint64) *world {
+func newHarness(t testing.TB, seed uint64) *harness {
 	srv := httptest.NewServer(platform.New().Handler())
 	t.Cleanup(srv.Close)
-	w := &world{
+	h := &harness{
 		seed: seed, url: srv.URL, addr: fleet.Address(strings.TrimPrefix(srv.URL, "http://")),
 		runs: shard.New[string, []string](0), started: time.Now(),
 	}
-	w.ctx, w.end = context.WithCancel(context.Background())
-	for i := range w.slots {
-		w.restart(i)
+	h.ctx, h.cancel = context.WithCancel(context.Background())
+	for i := range h.current {
+		h.replaceLedger(i)
 	}
-	return w
+	return h
 }
 
-// restart puts a new ledger into a slot. The old one is not told, so that it
-// is at work together with its successor, as a paused process may be.
-func (w *world) restart(slot int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// replaceLedger replaces one of the current ledgers by a new one. The old ledger
+// keeps running alongside, like a process that was paused and then resumed.
+func (h *harness) replaceLedger(i int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	kv := &flakyKV{
-		KV: kvhttp.New(w.addr), late: &w.wg,
-		rnd: rand.New(rand.NewPCG(w.seed, uint64(1000+len(w.ledgers)))),
+		KV: kvhttp.New(h.addr), delayedWrites: &h.wg,
+		rnd: rand.New(rand.NewPCG(h.seed, uint64(1000+len(h.ledgers)))),
 	}
 	l := New(kv, sysclock.Clock{}, sysclock.Rand{}, Options{WritesPerSecond: 100, MaxWait: time.Second})
-	w.ledgers = append(w.ledgers, l)
-	w.wg.Go(func() { _ = l.Run(w.ctx) })
-	w.slots[slot].Store(l)
+	h.ledgers = append(h.ledgers, l)
+	h.wg.Go(func() { _ = l.Run(h.ctx) })
+	h.current[i].Store(l)
 }
 
-func (w *world) faults(t testing.TB, f platform.Faults) {
+func (h *harness) setFaults(t testing.TB, f platform.Faults) {
 	t.Helper()
 	b, err := json.Marshal(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp, err := http.Post(w.url+"/faults", "application/json", bytes.NewReader(b))
+	resp, err := http.Post(h.url+"/faults", "application/json", bytes.NewReader(b))
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = resp.Body.Close()
 }
 
-// disturb switches faults and restarts ledgers until stop is closed.
-func (w *world) disturb(t *testing.T, rnd *rand.Rand, stop <-chan struct{}) {
-	all := []platform.Faults{
+// injectFaults changes the platform's faults and replaces ledgers until stop is
+// closed.
+func (h *harness) injectFaults(t *testing.T, rnd *rand.Rand, stop <-chan struct{}) {
+	faults := []platform.Faults{
 		{}, {}, {LoseWriteAnswers: 0.5}, {LoseWriteAnswers: 1}, {Down: true}, {DelayMillis: 60},
 		{DelayMillis: 30, LoseWriteAnswers: 0.3}, {StaleReads: true}, {StaleReads: true, LoseWriteAnswers: 0.3},
 	}
 	for {
-		w.faults(t, all[rnd.IntN(len(all))])
+		h.setFaults(t, faults[rnd.IntN(len(faults))])
 		if rnd.IntN(3) == 0 {
-			w.restart(rnd.IntN(len(w.slots)))
+			h.replaceLedger(rnd.IntN(len(h.current)))
 		}
 		select {
 		case <-stop:
-			w.faults(t, platform.Faults{})
+			h.setFaults(t, platform.Faults{})
 			return
 		case <-time.After(time.Duration(50+rnd.IntN(150)) * time.Millisecond):
 		}
 	}
 }
 
-// call is one attempt of a caller through an agent.
-func (w *world) call(rnd *rand.Rand, client int, key string) verdict.Verdict {
-	out := told{attempt: fmt.Sprintf("%d-%d", client, rnd.Uint64()), count: -1}
-	at := time.Since(w.started)
-	out.verdict = w.attempt(rnd, out.attempt, key)
-	w.record(client, key, at, out)
+// call makes one attempt of a client and records its result.
+func (h *harness) call(rnd *rand.Rand, client int, key string) verdict.Verdict {
+	out := result{attempt: fmt.Sprintf("%d-%d", client, rnd.Uint64()), count: -1}
+	start := time.Since(h.started)
+	out.verdict = h.attempt(rnd, out.attempt, key)
+	h.record(client, key, start, out)
 	return out.verdict
 }
 
-func (w *world) attempt(rnd *rand.Rand, id, key string) verdict.Verdict {
+// attempt makes one attempt through a random ledger and returns the verdict that
+// the client gets.
+func (h *harness) attempt(rnd *rand.Rand, id, key string) verdict.Verdict {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(20+rnd.IntN(800))*time.Millisecond)
 	defer cancel()
-	l := w.slots[rnd.IntN(len(w.slots))].Load()
-	tk, _, err := l.Begin(ctx, port.LedgerKey{Service: "nursery", Customer: "c", Key: key}, port.ContentDigest{})
+	l := h.current[rnd.IntN(len(h.current))].Load()
+	claim, _, err := l.Begin(ctx, port.LedgerKey{Service: "nursery", Customer: "c", Key: key}, port.ContentDigest{})
 	switch {
 	case err != nil:
 		return verdict.FromError(err).Verdict
-	case tk == nil:
+	case claim == nil:
 		return verdict.Ran
 	case rnd.IntN(8) == 0:
-		tk.NotRun()
+		claim.NotRun()
 		return verdict.NotRun
 	}
 	time.Sleep(time.Duration(rnd.IntN(20)) * time.Millisecond)
-	w.runs.Update(key, func(ids []string, _ bool) ([]string, bool) { return append(ids, id), true })
+	h.runs.Update(key, func(ids []string, _ bool) ([]string, bool) { return append(ids, id), true })
 	switch rnd.IntN(4) {
 	case 0:
-		tk.Unknown()
+		claim.Unknown()
 		return verdict.MayHaveRun
 	case 1:
-		tk.Done(nil)
+		claim.Done(nil)
 	default:
-		tk.Done(&port.StoredAnswer{Body: []byte(id)})
+		claim.Done(&port.StoredAnswer{Body: []byte(id)})
 	}
 	return verdict.Ran
 }
 
-func (w *world) record(client int, key string, at time.Duration, out told) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ops = append(w.ops, porcupine.Operation{
-		ClientId: client, Input: key, Call: int64(at), Output: out, Return: int64(time.Since(w.started)),
+func (h *harness) record(client int, key string, start time.Duration, out result) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.ops = append(h.ops, porcupine.Operation{
+		ClientId: client, Input: key, Call: int64(start), Output: out, Return: int64(time.Since(h.started)),
 	})
 }
 
-// history returns the operations with what the service's log says of each, and
-// a last read of the log for each key.
-func (w *world) history() []porcupine.Operation {
-	last := map[string]bool{}
-	for i, op := range w.ops {
-		key, out := op.Input.(string), op.Output.(told)
-		last[key] = true
-		ids, _ := w.runs.Get(key)
+// history returns the operations, completed with whether the service ran the
+// call, and a final operation per key with the number of its runs.
+func (h *harness) history() []porcupine.Operation {
+	keys := map[string]bool{}
+	for i, op := range h.ops {
+		key, out := op.Input.(string), op.Output.(result)
+		keys[key] = true
+		ids, _ := h.runs.Get(key)
 		out.ran = slices.Contains(ids, out.attempt)
-		w.ops[i].Output = out
+		h.ops[i].Output = out
 	}
-	for key := range last {
-		ids, _ := w.runs.Get(key)
-		w.record(0, key, time.Since(w.started), told{count: len(ids)})
+	for key := range keys {
+		ids, _ := h.runs.Get(key)
+		h.record(0, key, time.Since(h.started), result{count: len(ids)})
 	}
-	return w.ops
+	return h.ops
 }
 
 const (
-	clients = 12
-	runTime = 4 * time.Second
+	clients      = 12
+	testDuration = 4 * time.Second
 )
 
-// TestHistory guards against a call that runs twice for one key, and against
-// a verdict that is not true, with several ledgers over one platform: outages,
-// slow and lost answers, stale reads, pauses, callers that give up, and ledgers
-// that are replaced while they are at work.
+// TestHistory guards against a call that runs twice for one key and against a
+// wrong verdict. Several ledgers share a platform with outages, slow and lost
+// replies and stale reads, while writers pause, callers give up, and ledgers are
+// replaced while they still run.
 func TestHistory(t *testing.T) {
 	seed := *seedFlag
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
 	t.Logf("seed %d; set it with -seed", seed)
-	w := newWorld(t, seed)
-	var keys [4]atomic.Value // keys that clients use at present
+	h := newHarness(t, seed)
+	var keys [4]atomic.Value // keys that clients currently use
 	for i := range keys {
 		keys[i].Store(uuid.Must(uuid.NewV7()).String())
 	}
 	stop := make(chan struct{})
 	var wg conc.WaitGroup
-	wg.Go(func() { w.disturb(t, rand.New(rand.NewPCG(seed, 1)), stop) })
-	var told [3]atomic.Int64
+	wg.Go(func() { h.injectFaults(t, rand.New(rand.NewPCG(seed, 1)), stop) })
+	var verdicts [3]atomic.Int64
 	for c := range clients {
 		rnd := rand.New(rand.NewPCG(seed, uint64(100+c)))
 		wg.Go(func() {
-			for time.Since(w.started) < runTime {
-				slot := rnd.IntN(len(keys))
-				key := keys[slot].Load().(string)
-				told[w.call(rnd, c, key)].Add(1)
+			for time.Since(h.started) < testDuration {
+				keyIndex := rnd.IntN(len(keys))
+				key := keys[keyIndex].Load().(string)
+				verdicts[h.call(rnd, c, key)].Add(1)
 				if rnd.IntN(12) == 0 {
-					keys[slot].CompareAndSwap(key, uuid.Must(uuid.NewV7()).String())
+					keys[keyIndex].CompareAndSwap(key, uuid.Must(uuid.NewV7()).String())
 				}
 			}
 		})
 	}
-	time.Sleep(runTime)
+	time.Sleep(testDuration)
 	close(stop)
 	wg.Wait()
-	w.end()
-	w.wg.Wait()
-	h := w.history()
-	t.Logf("%d operations on %d keys, %d ledgers; told not-run %d, may-have-run %d, ran %d", len(h), w.runs.Len(),
-		len(w.ledgers), told[verdict.NotRun].Load(), told[verdict.MayHaveRun].Load(), told[verdict.Ran].Load())
-	if w.runs.Len() < 10 {
-		t.Errorf("only %d keys ran, which checks little", w.runs.Len())
+	h.cancel()
+	h.wg.Wait()
+	ops := h.history()
+	t.Logf("%d operations on %d keys, %d ledgers; verdicts: not-run %d, may-have-run %d, ran %d", len(ops), h.runs.Len(),
+		len(h.ledgers), verdicts[verdict.NotRun].Load(), verdicts[verdict.MayHaveRun].Load(), verdicts[verdict.Ran].Load())
+	if h.runs.Len() < 10 {
+		t.Errorf("only %d keys ran, which is too few for the check", h.runs.Len())
 	}
-	if res := porcupine.CheckOperationsTimeout(onceModel, h, time.Minute); res != porcupine.Ok {
+	if res := porcupine.CheckOperationsTimeout(atMostOnceModel, ops, time.Minute); res != porcupine.Ok {
 		t.Errorf("history is not linearizable (%v), seed %d", res, seed)
 	}
 }
--- a/internal/app/ledger/lease.go
+++ b/internal/app/ledger/lease.go
@@ -11,38 +11,39 @@
 )
 
 // leases holds one lease per bucket, shared by the documents of the bucket.
-// A lease granted while a key of the bucket is acceptable outlives all keys of
-// the bucket, so it is never extended.
+// A lease that is granted while a key of the bucket is accepted lasts until all
+// keys of the bucket have expired, so no lease is renewed.
 type leases struct {
 	l        *Ledger
-	byBucket *shard.Map[core.Bucket, *grant]
+	byBucket *shard.Map[core.Bucket, *bucketLease]
 }
 
-// grant is one lease, asked for by the first document that needs it. The
-// fields are set before ready is closed.
-type grant struct {
+// bucketLease is a lease that is requested by the first document that needs it.
+// id and err are set before ready is closed.
+type bucketLease struct {
 	ready chan struct{}
 	id    port.LeaseID
 	err   error
 }
 
 func newLeases(l *Ledger) *leases {
-	return &leases{l: l, byBucket: shard.New[core.Bucket, *grant](0)}
+	return &leases{l: l, byBucket: shard.New[core.Bucket, *bucketLease](0)}
 }
 
-// get returns the lease of a bucket and asks the platform for it if needed.
+// get returns the lease of a bucket. It requests one from the platform if there
+// is none.
 func (s *leases) get(b core.Bucket) (port.LeaseID, error) {
-	var g *grant
+	var g *bucketLease
 	first := false
-	s.byBucket.Update(b, func(old *grant, ok bool) (*grant, bool) {
+	s.byBucket.Update(b, func(old *bucketLease, ok bool) (*bucketLease, bool) {
 		if first = !ok; first {
-			old = &grant{ready: make(chan struct{})}
+			old = &bucketLease{ready: make(chan struct{})}
 		}
 		g = old
 		return g, true
 	})
 	if first {
-		s.ask(b, g)
+		s.request(b, g)
 	}
 	select {
 	case <-g.ready:
@@ -52,36 +53,39 @@
 	}
 }
 
-// ask grants the lease. After a failure the next get asks again.
-func (s *leases) ask(b core.Bucket, g *grant) {
+// request requests the lease from the platform. After a failure, the next get
+// requests it again.
+func (s *leases) request(b core.Bucket, g *bucketLease) {
 	defer close(g.ready)
-	if !s.l.sleep(s.l.pacer.Reserve(s.l.clock.Now())) {
-		g.err = errors.New("ledger has ended")
+	if !s.l.sleep(s.l.writeLimiter.Reserve(s.l.clock.Now())) {
+		g.err = errors.New("ledger was stopped")
 		return
 	}
 	g.id, g.err = s.l.kv.Grant(s.l.ctx, s.l.opts.Window+core.RetentionMargin)
 	if g.err != nil {
-		s.drop(b, g)
+		s.remove(b, g)
 	}
 }
 
-// forget makes the next get ask for a new lease.
+// forget makes the next get request a new lease.
 func (s *leases) forget(b core.Bucket) { s.byBucket.Delete(b) }
 
-func (s *leases) drop(b core.Bucket, g *grant) {
-	s.byBucket.Update(b, func(cur *grant, ok bool) (*grant, bool) { return cur, ok && cur != g })
+// remove removes g unless another lease has replaced it.
+func (s *leases) remove(b core.Bucket, g *bucketLease) {
+	s.byBucket.Update(b, func(cur *bucketLease, ok bool) (*bucketLease, bool) { return cur, ok && cur != g })
 }
 
-// sweep forgets the leases of buckets whose keys are all too old.
-func (s *leases) sweep(now time.Time) {
-	var old []core.Bucket
-	s.byBucket.Range(func(b core.Bucket, _ *grant) bool {
+// removeExpired removes the leases of buckets whose keys are all older than the
+// window.
+func (s *leases) removeExpired(now time.Time) {
+	var expired []core.Bucket
+	s.byBucket.Range(func(b core.Bucket, _ *bucketLease) bool {
 		if b.Expired(now, s.l.opts.Window) {
-			old = append(old, b)
+			expired = append(expired, b)
 		}
 		return true
 	})
-	for _, b := range old {
+	for _, b := range expired {
 		s.byBucket.Delete(b)
 	}
 }
--- a/internal/app/ledger/ledger.go
+++ b/internal/app/ledger/ledger.go
@@ -1,6 +1,7 @@
-// Package ledger runs the ledger of calls that may run at most once: it reads
-// and writes the documents in the platform's key-value service as
-// core/ledger decides, and holds the callers that wait.
+// Package ledger ensures that calls that are not idempotent run at most once.
+// It reads and writes the ledger's documents in the platform's key-value
+// service as core/ledger decides, and blocks callers until the decision on
+// their call.
 package ledger
 
 import (
@@ -20,20 +21,21 @@
 
 // Options are the settings of a ledger. Zero values mean the defaults.
 type Options struct {
-	// WritesPerSecond bounds the writes to the platform. The default is 5.
+	// WritesPerSecond limits the writes to the platform. The default is 5.
 	WritesPerSecond float64
-	// Window is how long a key is accepted. The default is 60 min.
+	// Window is the age up to which an idempotency key is accepted. The default
+	// is 60 min.
 	Window time.Duration
-	// AnswerBytes bounds the memory for answers. The default is 4 MiB.
-	AnswerBytes int64
-	// MaxWait bounds the wait of a call for its record, if the call's own
-	// deadline is later. The default is 5 s.
+	// MaxAnswerBytes limits the memory of the answers that are stored for
+	// retries. The default is 4 MiB.
+	MaxAnswerBytes int64
+	// MaxWait limits how long a call waits until its attempt is recorded. An
+	// earlier deadline of the call takes precedence. The default is 5 s.
 	MaxWait time.Duration
 	// Metrics may be nil.
 	Metrics port.Metrics
 }
 
-// withDefaults fills in the defaults.
 func (o Options) withDefaults() Options {
 	if o.WritesPerSecond <= 0 {
 		o.WritesPerSecond = 5
@@ -41,8 +43,8 @@
 	if o.Window <= 0 {
 		o.Window = time.Hour
 	}
-	if o.AnswerBytes <= 0 {
-		o.AnswerBytes = 4 << 20
+	if o.MaxAnswerBytes <= 0 {
+		o.MaxAnswerBytes = 4 << 20
 	}
 	if o.MaxWait <= 0 {
 		o.MaxWait = 5 * time.Second
@@ -53,18 +55,20 @@
 	return o
 }
 
-// Ledger implements port.Ledger. Create one with New and call Run.
+// Ledger implements port.Ledger. It is created with New and needs Run to write
+// final records and to remove expired state.
 type Ledger struct {
 	kv    port.KV
 	clock port.Clock
 	rand  port.Rand
 	opts  Options
 
-	table   *core.Table
-	answers *core.ResponseCache[kept]
-	pacer   *core.WriteLimiter
-	leases  *leases
-	// waiters receive the outcome of their attempt. The channels hold one.
+	table        *core.Table
+	answers      *core.ResponseCache[cachedAnswer]
+	writeLimiter *core.WriteLimiter
+	leases       *leases
+	// waiters holds a channel with room for one value per waiting attempt, which
+	// receives the decision on it.
 	waiters *shard.Map[core.Attempt, chan core.Decision]
 
 	ctx    context.Context
@@ -73,32 +77,32 @@
 
 	workers *inflight.Counter
 
-	mu    sync.Mutex // orders the start of workers before the wait for them
-	ended bool
-	wg    conc.WaitGroup
+	mu      sync.Mutex // guards stopped, so that no worker starts once wg.Wait has begun
+	stopped bool
+	wg      conc.WaitGroup
 }
 
 var _ port.Ledger = (*Ledger)(nil)
 
-// New returns a ledger over kv.
+// New returns a ledger whose documents are stored in kv.
 func New(kv port.KV, clock port.Clock, rand port.Rand, o Options) *Ledger {
 	o = o.withDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &Ledger{
 		kv: kv, clock: clock, rand: rand, opts: o,
-		table:   core.NewTable(o.Window),
-		answers: core.NewResponseCache[kept](o.AnswerBytes),
-		pacer:   core.NewWriteLimiter(o.WritesPerSecond),
-		waiters: shard.New[core.Attempt, chan core.Decision](0),
-		workers: inflight.New(),
-		ctx:     ctx, cancel: cancel,
+		table:        core.NewTable(o.Window),
+		answers:      core.NewResponseCache[cachedAnswer](o.MaxAnswerBytes),
+		writeLimiter: core.NewWriteLimiter(o.WritesPerSecond),
+		waiters:      shard.New[core.Attempt, chan core.Decision](0),
+		workers:      inflight.New(),
+		ctx:          ctx, cancel: cancel,
 	}
 	l.leases = newLeases(l)
 	return l
 }
 
 // SetRate changes the number of writes per second.
-func (l *Ledger) SetRate(writesPerSecond float64) { l.pacer.SetRate(writesPerSecond) }
+func (l *Ledger) SetRate(writesPerSecond float64) { l.writeLimiter.SetRate(writesPerSecond) }
 
 // Begin implements port.Ledger.
 func (l *Ledger) Begin(ctx context.Context, k port.LedgerKey, content port.ContentDigest) (port.LedgerClaim, *port.StoredAnswer, error) {
@@ -116,28 +120,28 @@
 	a := core.NewAttempt(l.rand.Uint64(), l.rand.Uint64())
 	dec := l.await(ctx, key, a, now)
 	if dec != core.Run {
-		// The answer may have come while the call waited.
+		// The answer may have been stored while the call waited.
 		if a, ok := l.answers.Get(key); ok {
 			return a.replay(content)
 		}
 		return nil, nil, dec.Err()
 	}
 	l.opts.Metrics.Count("ledger_calls", 1)
-	return &ticket{l: l, key: key, attempt: a, content: content}, nil, nil
+	return &claim{l: l, key: key, attempt: a, content: content}, nil, nil
 }
 
-// await returns the decision of a call. A call whose caller has gone, or whose
-// time is over, does not run, whatever is decided afterwards.
+// await waits for the decision on a call. If the caller disconnects or the
+// deadline passes first, the call does not run, whatever is decided later.
 func (l *Ledger) await(ctx context.Context, key core.Key, a core.Attempt, now time.Time) core.Decision {
 	ch := make(chan core.Decision, 1)
 	l.waiters.Put(a, ch)
 	defer l.waiters.Delete(a)
-	dec, start := l.table.Submit(key, a, now)
+	dec, needsWorker := l.table.Submit(key, a, now)
 	if dec != core.Queued {
 		return dec
 	}
-	if start {
-		l.work(key.Document())
+	if needsWorker {
+		l.startWorker(key.Document())
 	}
 	select {
 	case dec = <-ch:
@@ -157,33 +161,35 @@
 	return dec
 }
 
-// deliver passes outcomes to their waiters.
+// deliver sends decisions to the calls that wait for them.
 func (l *Ledger) deliver(out []core.Outcome) {
 	for _, o := range out {
 		if ch, ok := l.waiters.Get(o.Attempt); ok {
 			select {
 			case ch <- o.Decision:
-			default: // an attempt has one outcome, so this is not reached
+			default: // not reached, because an attempt has only one outcome
 			}
 		}
 	}
 }
 
-// kept is a remembered answer and the content of its call.
-type kept struct {
+// cachedAnswer is an answer stored for retries, with the content digest of its
+// call.
+type cachedAnswer struct {
 	answer  *port.StoredAnswer
 	content port.ContentDigest
 }
 
-// replay returns a copy of the answer that is marked as remembered. It refuses a
-// call of another content: its caller would take the answer for its own.
-func (k kept) replay(content port.ContentDigest) (port.LedgerClaim, *port.StoredAnswer, error) {
-	if k.content != content {
+// replay returns a copy of the answer that is marked as replayed. It rejects a
+// call with different content, whose caller would otherwise get the answer to
+// another call.
+func (c cachedAnswer) replay(content port.ContentDigest) (port.LedgerClaim, *port.StoredAnswer, error) {
+	if c.content != content {
 		return nil, nil, core.ErrKeyReused()
 	}
-	c := *k.answer
-	c.Head.Replayed = true
-	return nil, &c, nil
+	replayed := *c.answer
+	replayed.Head.Replayed = true
+	return nil, &replayed, nil
 }
 
 type noMetrics struct{}
--- a/internal/app/ledger/ledger_test.go
+++ b/internal/app/ledger/ledger_test.go
@@ -17,11 +17,11 @@
 	"github.com/masticwing/masticwing/internal/standin/platform"
 )
 
-// start returns a running ledger over the world's platform and a function that
-// stops it.
-func start(t testing.TB, w *world, o Options) (*Ledger, func()) {
+// startLedger returns a running ledger on the harness's platform and a function
+// that stops it.
+func startLedger(t testing.TB, h *harness, o Options) (*Ledger, func()) {
 	t.Helper()
-	l := New(kvhttp.New(w.addr), sysclock.Clock{}, sysclock.Rand{}, o)
+	l := New(kvhttp.New(h.addr), sysclock.Clock{}, sysclock.Rand{}, o)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	wg.Go(func() {
@@ -41,17 +41,19 @@
 	return port.LedgerKey{Service: "nursery", Customer: "c", Key: uuid.Must(uuid.NewV7()).String()}
 }
 
+// begin returns the claim of a call and fails the test if there is none.
 func begin(t *testing.T, l *Ledger, k port.LedgerKey) port.LedgerClaim {
 	t.Helper()
-	tk, _, err := l.Begin(t.Context(), k, port.ContentDigest{})
-	if err != nil || tk == nil {
-		t.Fatalf("Begin = %v, %v; want a ticket", tk, err)
+	claim, _, err := l.Begin(t.Context(), k, port.ContentDigest{})
+	if err != nil || claim == nil {
+		t.Fatalf("Begin = %v, %v; want a claim", claim, err)
 	}
-	return tk
+	return claim
 }
 
-// want checks the verdict and code that a repeat of k is told.
-func want(t *testing.T, l *Ledger, k port.LedgerKey, v verdict.Verdict, c verdict.Code) {
+// wantRejected checks that a call with the key k is rejected with the given
+// verdict and code.
+func wantRejected(t *testing.T, l *Ledger, k port.LedgerKey, v verdict.Verdict, c verdict.Code) {
 	t.Helper()
 	_, _, err := l.Begin(t.Context(), k, port.ContentDigest{})
 	if err == nil {
@@ -62,123 +64,127 @@
 	}
 }
 
-func plainWorld(t testing.TB) *world {
-	w := newWorld(t, 1)
+// startHarness returns a harness that stops when the test ends.
+func startHarness(t testing.TB) *harness {
+	h := newHarness(t, 1)
 	t.Cleanup(func() {
-		w.end()
-		w.wg.Wait()
+		h.cancel()
+		h.wg.Wait()
 	})
-	return w
+	return h
 }
 
-// TestOutage guards against a call that waits out its deadline, or is told
-// anything but "not run", while the platform is down, and against a ledger that
-// does not come back.
-func TestOutage(t *testing.T) {
-	w := plainWorld(t)
-	l, _ := start(t, w, Options{})
+// TestPlatformOutage guards against a call that waits until its deadline, or gets
+// another verdict than "not run", while the platform is down, and against a
+// ledger that does not recover after the outage.
+func TestPlatformOutage(t *testing.T) {
+	h := startHarness(t)
+	l, _ := startLedger(t, h, Options{})
 	begin(t, l, newKey()).Done(nil)
-	w.faults(t, platform.Faults{Down: true})
-	k, at := newKey(), time.Now()
-	want(t, l, k, verdict.NotRun, verdict.CodeLedgerUnavailable)
-	if took := time.Since(at); took > time.Second {
-		t.Errorf("the refusal took %v", took)
+	h.setFaults(t, platform.Faults{Down: true})
+	k, start := newKey(), time.Now()
+	wantRejected(t, l, k, verdict.NotRun, verdict.CodeLedgerUnavailable)
+	if took := time.Since(start); took > time.Second {
+		t.Errorf("the rejection took %v", took)
 	}
-	w.faults(t, platform.Faults{Hang: true})
+	h.setFaults(t, platform.Faults{Hang: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	if _, _, err := l.Begin(ctx, k, port.ContentDigest{}); verdict.FromError(err).Verdict != verdict.NotRun {
-		t.Errorf("a platform that hangs: %v", err)
+		t.Errorf("while the platform hangs: %v, want the verdict not-run", err)
 	}
-	w.faults(t, platform.Faults{})
-	// A call that joins a read which still hangs is refused with it.
-	tk, _, err := l.Begin(t.Context(), k, port.ContentDigest{})
+	h.setFaults(t, platform.Faults{})
+	// A call that waits for a read which still hangs is rejected when that read
+	// fails.
+	claim, _, err := l.Begin(t.Context(), k, port.ContentDigest{})
 	for end := time.Now().Add(4 * time.Second); err != nil && time.Now().Before(end); {
 		if verdict.FromError(err).Verdict != verdict.NotRun {
 			t.Fatalf("after the outage: %v", err)
 		}
-		tk, _, err = l.Begin(t.Context(), k, port.ContentDigest{})
+		claim, _, err = l.Begin(t.Context(), k, port.ContentDigest{})
 	}
 	if err != nil {
-		t.Fatalf("the ledger did not come back: %v", err)
+		t.Fatalf("the ledger did not recover: %v", err)
 	}
-	tk.Done(nil)
-	want(t, l, k, verdict.Ran, verdict.CodeDuplicate)
+	claim.Done(nil)
+	wantRejected(t, l, k, verdict.Ran, verdict.CodeDuplicate)
 }
 
-// TestLostAnswer guards against a call that is refused although its record was
-// written and can be read.
-func TestLostAnswer(t *testing.T) {
-	w := plainWorld(t)
-	l, _ := start(t, w, Options{})
-	w.faults(t, platform.Faults{LoseWriteAnswers: 1})
+// TestLostWriteReply guards against a call that is rejected although its record
+// was written and can be read, because the reply to the write was lost.
+func TestLostWriteReply(t *testing.T) {
+	h := startHarness(t)
+	l, _ := startLedger(t, h, Options{})
+	h.setFaults(t, platform.Faults{LoseWriteAnswers: 1})
 	k := newKey()
 	begin(t, l, k).Unknown()
-	want(t, l, k, verdict.MayHaveRun, verdict.CodeDuplicate)
+	wantRejected(t, l, k, verdict.MayHaveRun, verdict.CodeDuplicate)
 }
 
-// TestStopWritesEnds guards against a planned stop after which a repeat is told
-// "may have run" about a call whose end is known.
-func TestStopWritesEnds(t *testing.T) {
-	w := plainWorld(t)
-	l, stop := start(t, w, Options{})
+// TestStopWritesFinalRecords guards against a graceful shutdown after which a
+// retry gets the verdict "may have run" although the outcome of the call was
+// known.
+func TestStopWritesFinalRecords(t *testing.T) {
+	h := startHarness(t)
+	l, stop := startLedger(t, h, Options{})
 	done, notRun := newKey(), newKey()
 	begin(t, l, done).Done(nil)
 	begin(t, l, notRun).NotRun()
 	stop()
-	want(t, l, newKey(), verdict.NotRun, verdict.CodeShuttingDown)
-	next, _ := start(t, w, Options{})
-	want(t, next, done, verdict.Ran, verdict.CodeDuplicate)
+	wantRejected(t, l, newKey(), verdict.NotRun, verdict.CodeShuttingDown)
+	next, _ := startLedger(t, h, Options{})
+	wantRejected(t, next, done, verdict.Ran, verdict.CodeDuplicate)
 	begin(t, next, notRun).Done(nil)
 }
 
-// signalClock fires no timer shorter than a second, so that a wait that relies
-// on one does not end.
-type signalClock struct{ sysclock.Clock }
+// noShortTimersClock fires no timer shorter than a second, so that polling with
+// such timers does not end.
+type noShortTimersClock struct{ sysclock.Clock }
 
-func (c signalClock) After(d time.Duration) <-chan time.Time {
+func (c noShortTimersClock) After(d time.Duration) <-chan time.Time {
 	if d < time.Second {
 		return nil
 	}
 	return c.Clock.After(d)
 }
 
-// TestStopNeedsNoTimer guards against a planned stop that polls for the end of
-// the last writes instead of being woken by it.
-func TestStopNeedsNoTimer(t *testing.T) {
-	w := plainWorld(t)
-	l := New(kvhttp.New(w.addr), signalClock{}, sysclock.Rand{}, Options{WritesPerSecond: 100})
+// TestStopDoesNotPoll guards against a graceful shutdown that polls for the end
+// of the last writes instead of waiting for a signal.
+func TestStopDoesNotPoll(t *testing.T) {
+	h := startHarness(t)
+	l := New(kvhttp.New(h.addr), noShortTimersClock{}, sysclock.Rand{}, Options{WritesPerSecond: 100})
 	for range 3 {
 		begin(t, l, newKey()).Done(nil)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	began := time.Now()
+	start := time.Now()
 	if err := l.Run(ctx); err != nil {
 		t.Fatal(err)
 	}
-	if d := time.Since(began); d > stopTimeout/2 {
-		t.Errorf("the stop took %v", d)
+	if d := time.Since(start); d > stopTimeout/2 {
+		t.Errorf("the shutdown took %v", d)
 	}
 }
 
-// TestReplay guards against a repeat that gets another call's answer, and
-// against answers that are kept above their size.
+// TestReplay guards against a retry that gets another call's answer, and against
+// a stored answer that exceeds the size limit.
 func TestReplay(t *testing.T) {
-	w := plainWorld(t)
-	l, _ := start(t, w, Options{})
+	h := startHarness(t)
+	l, _ := startLedger(t, h, Options{})
 	small, large := newKey(), newKey()
 	begin(t, l, small).Done(&port.StoredAnswer{Head: port.AnswerHead{Status: 201}, Body: []byte("ordered")})
 	begin(t, l, large).Done(&port.StoredAnswer{Body: bytes.Repeat([]byte{'x'}, core.MaxResponseBytes+1)})
-	tk, a, err := l.Begin(t.Context(), small, port.ContentDigest{})
-	if tk != nil || err != nil || string(a.Body) != "ordered" || a.Head.Status != 201 || !a.Head.Replayed {
-		t.Errorf("repeat = %v, %+v, %v", tk, a, err)
+	claim, a, err := l.Begin(t.Context(), small, port.ContentDigest{})
+	if claim != nil || err != nil || string(a.Body) != "ordered" || a.Head.Status != 201 || !a.Head.Replayed {
+		t.Errorf("retry = %v, %+v, %v", claim, a, err)
 	}
-	want(t, l, large, verdict.Ran, verdict.CodeDuplicate)
-	// A key that was used for another content must not get that call's answer.
-	tk, a, err = l.Begin(t.Context(), small, port.ContentDigest{1})
-	if e := verdict.FromError(err); tk != nil || a != nil || err == nil || e.Code != verdict.CodeKeyReused || e.Verdict != verdict.NotRun {
-		t.Errorf("a reused key = %v, %+v, %v", tk, a, err)
+	wantRejected(t, l, large, verdict.Ran, verdict.CodeDuplicate)
+	// A call with a key that was used with different content must not get the
+	// answer to the earlier call.
+	claim, a, err = l.Begin(t.Context(), small, port.ContentDigest{1})
+	if e := verdict.FromError(err); claim != nil || a != nil || err == nil || e.Code != verdict.CodeKeyReused || e.Verdict != verdict.NotRun {
+		t.Errorf("call with a reused key = %v, %+v, %v", claim, a, err)
 	}
 	other := small
 	other.Customer = "rival"
--- a/internal/app/ledger/run.go
+++ b/internal/app/ledger/run.go
@@ -8,91 +8,96 @@
 )
 
 const (
-	// flushInterval is how often marks that no call carried along are written.
+	// flushInterval is the interval at which final records are written that were
+	// not included in the write of a call.
 	flushInterval = time.Second
-	// sweepInterval is how often old documents and answers are forgotten.
+	// sweepInterval is the interval at which expired documents, leases and answers
+	// are removed.
 	sweepInterval = 30 * time.Second
-	// stopTimeout bounds the last writes of marks at a planned stop. The
-	// partitions of two minutes take 6.4 s at the default rate of writes.
+	// stopTimeout limits the time for the last final records during a graceful
+	// shutdown. Writing the partitions of two minutes takes 6.4 s at the default
+	// write rate.
 	stopTimeout = 10 * time.Second
 )
 
-// Run writes marks and forgets what is old until ctx ends. Then it refuses new
-// calls, writes the marks that are left, and returns. Calls that run at that
-// time should have finished before ctx ends.
+// Run writes final records and removes expired state until ctx ends. Then it
+// refuses new calls, writes the remaining final records, and returns. Running
+// calls should finish before ctx ends.
 func (l *Ledger) Run(ctx context.Context) error {
-	swept := l.clock.Now()
+	lastSweep := l.clock.Now()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-l.clock.After(flushInterval):
 			now := l.clock.Now()
-			l.flush(l.pacer.SpareWrites(now))
-			if now.Sub(swept) >= sweepInterval {
-				swept = now
+			l.startFlush(l.writeLimiter.SpareWrites(now))
+			if now.Sub(lastSweep) >= sweepInterval {
+				lastSweep = now
 				l.table.Sweep(now)
-				l.leases.sweep(now)
+				l.leases.removeExpired(now)
 				l.answers.Expire(now, l.opts.Window)
 				l.opts.Metrics.Gauge("ledger_answer_bytes", float64(l.answers.Bytes()))
 			}
 		}
 	}
 	l.closed.Store(true)
-	return l.stop()
+	return l.flushAndStop()
 }
 
-// flush starts the writes of up to n documents with marks.
-func (l *Ledger) flush(n int) {
+// startFlush starts workers for up to n documents that have unwritten final
+// records.
+func (l *Ledger) startFlush(n int) {
 	for _, d := range l.table.ClaimDirty(n) {
-		l.work(d)
+		l.startWorker(d)
 	}
 }
 
-// stop writes the marks that are left within stopTimeout and ends the workers.
-func (l *Ledger) stop() error {
-	end := l.clock.After(stopTimeout)
-	for l.flushed(end) && l.table.DirtyDocuments() > 0 && l.pauseBefore(end) {
+// flushAndStop writes the remaining final records within stopTimeout and stops
+// the workers.
+func (l *Ledger) flushAndStop() error {
+	timeout := l.clock.After(stopTimeout)
+	for l.flushAll(timeout) && l.table.DirtyDocuments() > 0 && l.waitBeforeRetry(timeout) {
 	}
 	l.Kill()
-	if left := l.table.DirtyDocuments(); left > 0 {
-		return errors.Errorf("%d documents with ends of calls that were not written", left)
+	if unwritten := l.table.DirtyDocuments(); unwritten > 0 {
+		return errors.Errorf("%d documents have final records that were not written", unwritten)
 	}
 	return nil
 }
 
-// pauseBefore waits before marks are written again that the platform did not
-// take. It is a timer because nothing signals that the platform takes writes
-// again. It returns false if end comes first.
-func (l *Ledger) pauseBefore(end <-chan time.Time) bool {
+// waitBeforeRetry waits before the next attempt to write final records that the
+// platform rejected. It uses a timer because nothing signals when the platform
+// accepts writes again. It returns false if the timeout comes first.
+func (l *Ledger) waitBeforeRetry(timeout <-chan time.Time) bool {
 	select {
 	case <-l.clock.After(minBackoff):
 		return true
-	case <-end:
+	case <-timeout:
 		return false
 	}
 }
 
-// flushed starts the writes of all marks and waits until no worker is left. It
-// returns false if end comes first.
-func (l *Ledger) flushed(end <-chan time.Time) bool {
-	l.flush(l.table.DirtyDocuments())
+// flushAll starts the writes of all final records and waits until no worker is
+// running. It returns false if the timeout comes first.
+func (l *Ledger) flushAll(timeout <-chan time.Time) bool {
+	l.startFlush(l.table.DirtyDocuments())
 	for !l.workers.Idle() {
 		select {
 		case <-l.workers.IdleSignal():
-		case <-end:
+		case <-timeout:
 			return false
 		}
 	}
 	return true
 }
 
-// Kill ends all work at once, as the end of the process would, and waits for
-// the workers. Calls that wait are not run.
+// Kill stops all work immediately, like a crash of the process, and waits until
+// the workers have returned. Waiting calls do not run.
 func (l *Ledger) Kill() {
 	l.closed.Store(true)
 	l.cancel()
 	l.mu.Lock()
-	l.ended = true
+	l.stopped = true
 	l.mu.Unlock()
 	l.wg.Wait()
 }
--- a/internal/app/ledger/worker.go
+++ b/internal/app/ledger/worker.go
@@ -11,40 +11,43 @@
 )
 
 const (
-	// minBackoff and maxBackoff bound the pause after a failed read.
+	// minBackoff and maxBackoff limit the delay before a failed read or rejected
+	// write is retried.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// work starts the worker of a document. The table gives out one at a time.
-func (l *Ledger) work(name core.Document) {
+// startWorker starts the worker of a document. The table requests at most one
+// at a time for a document.
+func (l *Ledger) startWorker(doc core.Document) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended {
+	if l.stopped {
 		return
 	}
 	l.workers.Start()
 	l.wg.Go(func() {
 		defer l.workers.Done()
-		w := worker{l: l, name: name, backoff: minBackoff}
+		w := worker{l: l, doc: doc, backoff: minBackoff}
 		for w.step() {
 		}
 	})
 }
 
-// worker reads and writes one document until nothing is left to do.
+// worker reads and writes one document until the table has no further step for
+// it.
 type worker struct {
 	l       *Ledger
-	name    core.Document
+	doc     core.Document
 	backoff time.Duration
 }
 
-// step does the next thing and reports whether to go on.
+// step performs the next step and reports whether the worker should continue.
 func (w *worker) step() bool {
 	if w.l.ctx.Err() != nil {
 		return false
 	}
-	switch w.l.table.NextStep(w.name) {
+	switch w.l.table.NextStep(w.doc) {
 	case core.StepRead:
 		return w.read()
 	case core.StepWrite:
@@ -55,35 +58,37 @@
 }
 
 func (w *worker) read() bool {
-	rec, rev, err := w.l.fetch(w.name)
+	rec, rev, err := w.l.readDocument(w.doc)
 	if err != nil {
 		w.l.opts.Metrics.Count("ledger_read_failures", 1)
-		return w.unreachable()
+		return w.handleReadFailure()
 	}
 	w.backoff = minBackoff
-	out, unchanged := w.l.table.ReadSucceeded(w.name, rec, rev, w.l.clock.Now())
+	out, unchanged := w.l.table.ReadSucceeded(w.doc, rec, rev, w.l.clock.Now())
 	if unchanged {
-		w.l.leases.forget(w.name.Bucket)
+		w.l.leases.forget(w.doc.Bucket)
 	}
 	w.l.deliver(out)
 	return true
 }
 
-// unreachable tells the calls that wait, and that no write carried yet, that
-// the platform is out of reach.
-func (w *worker) unreachable() bool {
-	out, retry := w.l.table.ReadFailed(w.name)
+// handleReadFailure rejects the waiting calls, except those whose attempt may
+// already be in the document, because the platform cannot be reached.
+func (w *worker) handleReadFailure() bool {
+	out, retry := w.l.table.ReadFailed(w.doc)
 	w.l.deliver(out)
-	return retry && w.pause()
+	return retry && w.waitBackoff()
 }
 
-// pause waits before the next try. It returns false if the ledger has ended.
-func (w *worker) pause() bool {
+// waitBackoff waits before the next attempt to reach the platform. It returns
+// false if the ledger was stopped.
+func (w *worker) waitBackoff() bool {
 	d := w.backoff
 	w.backoff = min(2*w.backoff, maxBackoff)
 	return w.l.sleep(d)
 }
 
+// sleep returns false if the ledger was stopped.
 func (l *Ledger) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return l.ctx.Err() == nil
@@ -96,67 +101,69 @@
 	}
 }
 
-// fetch reads a document. An absent one has revision 0.
-func (l *Ledger) fetch(name core.Document) (core.Records, int64, error) {
-	e, err := l.kv.Get(l.ctx, name.String())
+// readDocument reads a document. An absent document has revision 0.
+func (l *Ledger) readDocument(doc core.Document) (core.Records, int64, error) {
+	e, err := l.kv.Get(l.ctx, doc.String())
 	if errors.Is(err, port.ErrNotFound) {
 		return nil, 0, nil
 	}
 	if err != nil {
-		return nil, 0, errors.Wrapf(err, "reading %s", name)
+		return nil, 0, errors.Wrapf(err, "reading %s", doc)
 	}
 	rec, err := ledgerdoc.Decode(e.Value)
-	return rec, e.Rev, errors.Wrapf(err, "decoding %s", name)
+	return rec, e.Rev, errors.Wrapf(err, "decoding %s", doc)
 }
 
-// write waits for its turn and then writes all calls that wait by then. The
-// lease comes first, since the platform may take long to grant it.
+// write waits for the rate limit and then writes the attempts of all calls that
+// are waiting at that time. It gets the lease first, since the platform may take
+// long to grant it.
 func (w *worker) write() bool {
-	lease, err := w.l.leases.get(w.name.Bucket)
+	lease, err := w.l.leases.get(w.doc.Bucket)
 	if err != nil {
-		return w.unreachable()
+		return w.handleReadFailure()
 	}
-	if !w.l.sleep(w.l.pacer.Reserve(w.l.clock.Now())) {
+	if !w.l.sleep(w.l.writeLimiter.Reserve(w.l.clock.Now())) {
 		return false
 	}
-	rec, rev, out, ok := w.l.table.PrepareWrite(w.name, w.l.clock.Now())
+	rec, rev, out, ok := w.l.table.PrepareWrite(w.doc, w.l.clock.Now())
 	w.l.deliver(out)
 	if !ok {
 		return true
 	}
 	value, err := ledgerdoc.Encode(rec)
 	if err != nil {
-		return w.refused()
+		return w.handleWriteRejection()
 	}
 	w.l.opts.Metrics.Count("ledger_writes", 1)
-	got, err := w.l.kv.CompareAndSwap(w.l.ctx, w.name.String(), rev, value, lease)
-	return w.result(got, err)
+	newRev, err := w.l.kv.CompareAndSwap(w.l.ctx, w.doc.String(), rev, value, lease)
+	return w.handleWriteResult(newRev, err)
 }
 
-// result takes in the outcome of a write.
-func (w *worker) result(rev int64, err error) bool {
+// handleWriteResult passes the result of a write to the table.
+func (w *worker) handleWriteResult(rev int64, err error) bool {
 	switch {
 	case err == nil:
-		w.l.deliver(w.l.table.WriteSucceeded(w.name, rev, w.l.clock.Now()))
+		w.l.deliver(w.l.table.WriteSucceeded(w.doc, rev, w.l.clock.Now()))
 		return true
 	case errors.Is(err, port.ErrUnavailable):
-		return w.refused()
+		return w.handleWriteRejection()
 	case errors.Is(err, port.ErrConflict):
 		w.l.opts.Metrics.Count("ledger_conflicts", 1)
-		w.l.table.WriteUnconfirmed(w.name, true)
+		w.l.table.WriteUnconfirmed(w.doc, true)
 		return true
 	default:
 		w.l.opts.Metrics.Count("ledger_unknown_writes", 1)
-		w.l.table.WriteUnconfirmed(w.name, false)
+		w.l.table.WriteUnconfirmed(w.doc, false)
 		return true
 	}
 }
 
-// refused tells the calls of the write that the platform takes no writes. The
-// worker goes on for calls that came meanwhile.
-func (w *worker) refused() bool {
+// handleWriteRejection rejects the calls of a write that did not take effect,
+// mostly because the platform accepts no writes at present. The worker continues
+// for calls that were queued in the meantime.
+func (w *worker) handleWriteRejection() bool {
 	w.l.opts.Metrics.Count("ledger_refused_writes", 1)
-	out, retry := w.l.table.WriteRejected(w.name)
+	out, retry := w.l.table.WriteRejected(w.doc)
 	w.l.deliver(out)
-	return retry && w.pause()
+	return retry && w.waitBackoff()
 }
