--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -51,7 +51,7 @@
 	identityKnown     bool
 	identityChangedAt time.Time
 	// confirmedAt is the start of the latest query that the engine answered with
-	// an identity.
+	// the current identity.
 	confirmedAt time.Time
 	// checksIdentity means that the engine refuses requests for another identity.
 	checksIdentity bool
--- a/internal/core/routing/choose.go
+++ b/internal/core/routing/choose.go
@@ -42,7 +42,7 @@
 // The entry may use its share of the limit, rounded down, whatever load is reported,
 // so that entries that keep to their shares fill the target without refusals. The
 // fraction that rounding cut off entitles it to one more slot if one appears free.
-// Beyond its share it always leaves one slot free, so that it returns borrowed slots
+// Beyond its share it leaves one slot free, so that it returns borrowed slots
 // to entries that are below their shares.
 func (q *Query) hasSpareCapacity(v *target) bool {
 	share := 0.0
