--- a/internal/core/ledger/document.go
+++ b/internal/core/ledger/document.go
@@ -17,8 +17,8 @@
 }
 
 // attemptState is what this process knows about one of its own attempts.
-// Attempts that still wait or have ended, and those of other processes, have
-// none.
+// Undecided and finished attempts have no entry, nor have those of other
+// processes.
 type attemptState uint8
 
 const (
@@ -134,13 +134,13 @@
 // readSucceeded merges the records read and decides the calls that need no
 // write. It reports whether the last write met a conflict although the document
 // is unchanged, as happens when the lease of the write has expired.
-func (d *docState) readSucceeded(rec Records, rev int64, now time.Time, window time.Duration) (out []Outcome, unchanged bool) {
+func (d *docState) readSucceeded(fetched Records, rev int64, now time.Time, window time.Duration) (out []Outcome, unchanged bool) {
 	unchanged = d.conflictRev == rev
 	d.conflictRev = -1
 	// A read may lag behind a write of this process that took effect. Ignore a
 	// revision older than the cached one.
 	if rev == 0 || rev >= d.rev {
-		d.records, d.rev = Merge(d.records, rec), rev
+		d.records, d.rev = Merge(d.records, fetched), rev
 	}
 	d.cached = true
 	if len(d.attemptState) > 0 {
--- a/internal/core/ledger/table.go
+++ b/internal/core/ledger/table.go
@@ -39,9 +39,9 @@
 }
 
 // Submit adds a call. If the decision is Queued, the final one is returned
-// later as an Outcome. If start is true, the caller must start a worker for the
-// document.
-func (t *Table) Submit(k Key, a Attempt, now time.Time) (dec Decision, start bool) {
+// later as an Outcome. If startWorker is true, the caller must start a worker
+// for the document.
+func (t *Table) Submit(k Key, a Attempt, now time.Time) (dec Decision, startWorker bool) {
 	name := k.Document()
 	t.docs.Update(name, func(d *docState, ok bool) (*docState, bool) {
 		if !ok {
@@ -49,11 +49,11 @@
 		}
 		d.lastUsed = now
 		dec = d.submit(pendingCall{key: k, attempt: a})
-		start = dec == Queued && !d.hasWorker
-		d.hasWorker = d.hasWorker || start
+		startWorker = dec == Queued && !d.hasWorker
+		d.hasWorker = d.hasWorker || startWorker
 		return d, true
 	})
-	return dec, start
+	return dec, startWorker
 }
 
 // update calls f under the lock of the document's shard if the table has the
@@ -79,8 +79,8 @@
 // ReadSucceeded passes the result of a read; an absent document has revision 0.
 // If unchanged is true, the last write met a conflict although the document is
 // the same, so the lease of that write has expired.
-func (t *Table) ReadSucceeded(name Document, rec Records, rev int64, now time.Time) (out []Outcome, unchanged bool) {
-	t.update(name, func(d *docState) { out, unchanged = d.readSucceeded(rec, rev, now, t.window) })
+func (t *Table) ReadSucceeded(name Document, records Records, rev int64, now time.Time) (out []Outcome, unchanged bool) {
+	t.update(name, func(d *docState) { out, unchanged = d.readSucceeded(records, rev, now, t.window) })
 	return out, unchanged
 }
 
@@ -97,12 +97,12 @@
 // PrepareWrite builds the next write from all calls that are waiting now. It
 // returns false if there is nothing to write. The caller must not modify the
 // records.
-func (t *Table) PrepareWrite(name Document, now time.Time) (rec Records, rev int64, out []Outcome, ok bool) {
+func (t *Table) PrepareWrite(name Document, now time.Time) (records Records, rev int64, out []Outcome, ok bool) {
 	t.update(name, func(d *docState) {
 		out, ok = d.prepareWrite(now, t.window)
-		rec, rev = d.nextRecords, d.rev
+		records, rev = d.nextRecords, d.rev
 	})
-	return rec, rev, out, ok
+	return records, rev, out, ok
 }
 
 // WriteSucceeded reports that the last prepared write took effect at revision
@@ -166,14 +166,14 @@
 // Sweep removes documents whose keys have all expired, and documents without
 // open work that have not been used for idleRetention and can be read again.
 func (t *Table) Sweep(now time.Time) {
-	var expired []Document
+	var removable []Document
 	t.docs.Range(func(name Document, d *docState) bool {
 		if d.evictable(now, t.window) {
-			expired = append(expired, name)
+			removable = append(removable, name)
 		}
 		return true
 	})
-	for _, name := range expired {
+	for _, name := range removable {
 		t.docs.Update(name, func(d *docState, ok bool) (*docState, bool) {
 			return d, ok && !d.evictable(now, t.window)
 		})
