--- a/internal/core/ledger/model_test.go
+++ b/internal/core/ledger/model_test.go
@@ -183,14 +183,14 @@
 	}
 	w := *p.inFlight
 	p.inFlight = nil
-	switch rapid.SampledFrom([]string{"answered", "answered", "lost", "dropped", "late", "refused"}).Draw(t, "write") {
-	case "answered":
+	switch rapid.SampledFrom([]string{"confirmed", "confirmed", "reply lost", "dropped", "late", "rejected"}).Draw(t, "write") {
+	case "confirmed":
 		if rev, ok := m.applyWrite(w); ok {
 			m.applyOutcomes(p, p.table.WriteSucceeded(m.document(), rev, m.now))
 			return
 		}
 		p.table.WriteUnconfirmed(m.document(), true)
-	case "lost":
+	case "reply lost":
 		m.applyWrite(w)
 		p.table.WriteUnconfirmed(m.document(), false)
 	case "dropped":
@@ -198,7 +198,7 @@
 	case "late":
 		m.delayed = append(m.delayed, w)
 		p.table.WriteUnconfirmed(m.document(), false)
-	case "refused":
+	case "rejected":
 		out, retry := p.table.WriteRejected(m.document())
 		m.applyOutcomes(p, out)
 		p.worker = retry
