--- a/cmd/masticwing-gateway/main.go
+++ b/cmd/masticwing-gateway/main.go
@@ -32,8 +32,8 @@
 			set.Register(s)
 			return &set.Common
 		},
-		Fresh:  role,
-		Memory: func() int64 { return set.Memory },
+		New:  role,
+		MemoryLimit: func() int64 { return set.Memory },
 		Run:    func(ctx context.Context, env daemon.Env) error { return run(ctx, *set, env) },
 	}
 }
@@ -71,7 +71,7 @@
 	wg.Go(func() { g.Run(work) })
 	wg.Go(func() { _ = front.Serve(callers) })
 	wg.Go(func() { _ = checks.Serve(ready) })
-	env.Admin.Ready()
+	env.Admin.SetReady()
 	<-ctx.Done()
 	g.Stop()
 	// A handler returns before the end of its answer is written.
--- a/cmd/masticwing-loader/main.go
+++ b/cmd/masticwing-loader/main.go
@@ -26,8 +26,8 @@
 			set.Register(s)
 			return &set.Common
 		},
-		Fresh:  role,
-		Memory: func() int64 { return set.Memory },
+		New:  role,
+		MemoryLimit: func() int64 { return set.Memory },
 		Run:    func(ctx context.Context, env daemon.Env) error { return run(ctx, *set, env) },
 	}
 }
@@ -40,6 +40,6 @@
 		Origin: func(a fleet.Address) port.NumberedOrigin { return platform.NewOrigin(a) },
 		Peers:  peers, Clock: sysclock.Clock{}, Rand: sysclock.Rand{}, Metrics: env.Metrics, Log: env.Log,
 	})
-	env.Admin.Ready()
+	env.Admin.SetReady()
 	return l.Run(ctx)
 }
--- a/internal/app/agent/connect.go
+++ b/internal/app/agent/connect.go
@@ -73,7 +73,7 @@
 	}
 	return stores{
 		Weights: w, Ledger: l, Directory: dir, Peer: w, Member: dir.Handler(),
-		NotReady: dir.NotReady, Traffic: dir.Traffic, Run: run,
+		NotReady: dir.NotReadyReason, Traffic: dir.Traffic, Run: run,
 	}
 }
 
--- a/internal/app/agent/run.go
+++ b/internal/app/agent/run.go
@@ -102,7 +102,7 @@
 
 // drain ends the work in progress within the drain timeout.
 func drain(ctx context.Context, a *Agent, srv *rpc.Server, c Settings, env daemon.Env) {
-	env.Admin.NotReady("leaving")
+	env.Admin.SetNotReady("leaving")
 	env.Log.State("leaving")
 	bound, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.DrainTimeout)
 	defer cancel()
@@ -117,13 +117,13 @@
 	_ = a.follow(ctx, heartbeatEvery, func(st port.AgentStatus) error {
 		switch {
 		case st.Leaving:
-			admin.NotReady("leaving")
+			admin.SetNotReady("leaving")
 		case st.Revision == 0:
-			admin.NotReady(cmp.Or(why(), "no declaration known"))
+			admin.SetNotReady(cmp.Or(why(), "no declaration known"))
 		case !st.Ready:
-			admin.NotReady("target serves nothing")
+			admin.SetNotReady("target serves nothing")
 		default:
-			admin.Ready()
+			admin.SetReady()
 		}
 		return nil
 	})
--- a/internal/app/daemon/admin.go
+++ b/internal/app/daemon/admin.go
@@ -12,23 +12,23 @@
 	metrics http.Handler
 
 	mu     sync.Mutex
-	reason string
+	notReadyReason string
 	status func() any
 }
 
 func newAdmin(metrics http.Handler) *Admin {
-	return &Admin{metrics: metrics, reason: "starting"}
+	return &Admin{metrics: metrics, notReadyReason: "starting"}
 }
 
-// NotReady sets the reason why the daemon serves nothing.
-func (a *Admin) NotReady(reason string) {
+// SetNotReady sets the reason why the daemon serves nothing.
+func (a *Admin) SetNotReady(reason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.reason = reason
+	a.notReadyReason = reason
 }
 
-// Ready marks the daemon as serving.
-func (a *Admin) Ready() { a.NotReady("") }
+// SetReady marks the daemon as serving.
+func (a *Admin) SetReady() { a.SetNotReady("") }
 
 // SetStatus sets the function that returns the value of /status.
 func (a *Admin) SetStatus(f func() any) {
@@ -50,7 +50,7 @@
 
 func (a *Admin) readyz(w http.ResponseWriter, _ *http.Request) {
 	a.mu.Lock()
-	reason := a.reason
+	reason := a.notReadyReason
 	a.mu.Unlock()
 	if reason != "" {
 		http.Error(w, reason, http.StatusServiceUnavailable)
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -60,11 +60,11 @@
 	Usage string
 	// Settings registers the settings and returns the common part.
 	Settings func(*settings.Set) *Common
-	// Fresh returns the role once more, to check changed settings. It may be nil.
-	Fresh func() Role
-	// Memory returns the most that the process may use, after Settings. It may
+	// New returns the role once more, to check changed settings. It may be nil.
+	New func() Role
+	// MemoryLimit returns the most that the process may use, after Settings. It may
 	// be nil.
-	Memory func() int64
+	MemoryLimit func() int64
 	// Run runs until ctx ends, which happens on SIGTERM or SIGINT, and then
 	// finishes the work in progress.
 	Run func(ctx context.Context, env Env) error
@@ -84,12 +84,12 @@
 }
 
 // configVariable names the settings file if no flag does.
-const configVariable = "MASTICWING_CONFIG"
+const configEnvVar = "MASTICWING_CONFIG"
 
 func command(r Role, out, errOut io.Writer, code *int) *cli.Command {
 	config := &cli.StringFlag{Name: "config", Aliases: []string{"c"}, Required: true, Usage: "INI settings `FILE`",
-		Sources: cli.EnvVars(configVariable)}
-	usage := func(_ context.Context, _ *cli.Command, err error, _ bool) error {
+		Sources: cli.EnvVars(configEnvVar)}
+	onUsageError := func(_ context.Context, _ *cli.Command, err error, _ bool) error {
 		*code = ExitSettings
 		return err
 	}
@@ -102,7 +102,7 @@
 		Description: "Example:\n  " + r.Name + " run --config " + r.Name + ".ini\n\n" +
 			"Exit codes: 0 done, 1 failed, 2 bad settings or usage.",
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
-		OnUsageError:   usage,
+		OnUsageError:   onUsageError,
 		Action: func(_ context.Context, c *cli.Command) error {
 			*code = ExitSettings
 			_ = cli.ShowAppHelp(c)
@@ -110,11 +110,11 @@
 		},
 		Commands: []*cli.Command{
 			{
-				Name: "run", Usage: "run until SIGTERM", Flags: []cli.Flag{config}, OnUsageError: usage,
+				Name: "run", Usage: "run until SIGTERM", Flags: []cli.Flag{config}, OnUsageError: onUsageError,
 				Action: func(_ context.Context, c *cli.Command) error { return run(r, c.String("config"), out, errOut, code) },
 			},
 			{
-				Name: "check-config", Usage: "check the settings and exit", Flags: []cli.Flag{config}, OnUsageError: usage,
+				Name: "check-config", Usage: "check the settings and exit", Flags: []cli.Flag{config}, OnUsageError: onUsageError,
 				Action: func(_ context.Context, c *cli.Command) error {
 					if _, ok := load(r, c.String("config"), errOut, code); ok {
 						fmt.Fprintln(out, "settings are valid")
@@ -154,9 +154,9 @@
 	if !ok {
 		return nil
 	}
-	limitMemory()
-	if r.Memory != nil {
-		debug.SetMemoryLimit(int64(memoryShare * float64(r.Memory())))
+	setGCPercent()
+	if r.MemoryLimit != nil {
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(r.MemoryLimit())))
 	}
 	metrics, err := otelmetrics.New()
 	if err != nil {
@@ -165,25 +165,25 @@
 	logger, flush := logging.NewBounded(out, r.Name, common.ID)
 	defer flush()
 	env := Env{Log: logger, Metrics: metrics, Admin: newAdmin(metrics.Handler())}
-	check := func() []error {
-		if r.Fresh == nil {
+	validate := func() []error {
+		if r.New == nil {
 			return nil
 		}
 		fresh := settings.New(r.Name)
-		r.Fresh().Settings(fresh)
+		r.New().Settings(fresh)
 		var out []error
 		for _, f := range fresh.Load(path) {
 			out = append(out, f)
 		}
 		return out
 	}
-	hups, stopHups := context.WithCancel(context.Background())
+	reloadCtx, stopReload := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	defer stopHups()
-	handled := make(chan struct{})
-	wg.Go(func() { watchReload(hups, path, check, env.Log, handled) })
-	<-handled
+	defer stopReload()
+	sighupInstalled := make(chan struct{})
+	wg.Go(func() { watchReload(reloadCtx, path, validate, env.Log, sighupInstalled) })
+	<-sighupInstalled
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	return serve(ctx, common, env, r)
@@ -191,7 +191,7 @@
 
 // limitMemory makes the collector run more often, because a daemon shares its
 // VM with a target that needs the memory.
-func limitMemory() {
+func setGCPercent() {
 	const gcPercent = 50
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
@@ -200,17 +200,17 @@
 
 // memoryShare is the part of the process's memory from which the collector runs
 // as often as needed. The rest is for the kernel's buffers.
-const memoryShare = 0.7
+const memoryLimitFraction = 0.7
 
 // returnEvery is the time between two returns of unused memory. The first
 // seconds of a process in a large fleet, and later bursts, leave a heap that the
 // runtime gives back only over minutes. A collection of a daemon's heap takes
 // some milliseconds.
-const returnEvery = 15 * time.Second
+const releaseInterval = 15 * time.Second
 
 // returnMemory gives unused memory back to the VM until ctx ends.
-func returnMemory(ctx context.Context) {
-	t := time.NewTicker(returnEvery)
+func releaseMemory(ctx context.Context) {
+	t := time.NewTicker(releaseInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -227,15 +227,15 @@
 	if err != nil {
 		return errors.Wrap(err, "listening on the admin address")
 	}
-	srv := &http.Server{Handler: env.Admin.handler(), ReadHeaderTimeout: adminTimeout}
+	srv := &http.Server{Handler: env.Admin.handler(), ReadHeaderTimeout: adminHeaderTimeout}
 	var wg conc.WaitGroup
 	wg.Go(func() { _ = srv.Serve(lis) })
-	idle, stopIdle := context.WithCancel(context.WithoutCancel(ctx))
-	wg.Go(func() { returnMemory(idle) })
+	releaseCtx, stopRelease := context.WithCancel(context.WithoutCancel(ctx))
+	wg.Go(func() { releaseMemory(releaseCtx) })
 	env.Log.State("started", logging.F("version", Version), logging.F("admin", common.Admin))
 	err = r.Run(ctx, env)
 	_ = srv.Close()
-	stopIdle()
+	stopRelease()
 	wg.Wait()
 	if err != nil {
 		env.Log.Fault("stopped", err)
@@ -246,4 +246,4 @@
 }
 
 // adminTimeout bounds the time to read a request's header.
-const adminTimeout = 5 * time.Second
+const adminHeaderTimeout = 5 * time.Second
--- a/internal/app/daemon/reload.go
+++ b/internal/app/daemon/reload.go
@@ -14,31 +14,31 @@
 // watchReload handles SIGHUP until ctx ends. A daemon reads its settings at its
 // start; a change is checked and logged, and takes effect with the next start.
 // ready is closed once the signal is handled.
-func watchReload(ctx context.Context, path string, check func() []error, log *logging.Logger, ready chan<- struct{}) {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	defer signal.Stop(hup)
-	old, err := readLines(path)
+func watchReload(ctx context.Context, path string, validate func() []error, log *logging.Logger, installed chan<- struct{}) {
+	sighup := make(chan os.Signal, 1)
+	signal.Notify(sighup, syscall.SIGHUP)
+	defer signal.Stop(sighup)
+	previous, err := readLines(path)
 	if err != nil {
 		log.Fault("settings can't be read", err)
 	}
-	close(ready)
+	close(installed)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hup:
+		case <-sighup:
 		}
-		now, err := readLines(path)
+		current, err := readLines(path)
 		if err != nil {
 			log.Fault("settings can't be read", err)
 			continue
 		}
-		for _, fault := range check() {
+		for _, fault := range validate() {
 			log.Fault("changed settings are not valid", fault)
 		}
-		log.State("reload", logging.F("changed", strings.Join(added(old, now), "; ")))
-		old = now
+		log.State("reload", logging.F("changed", strings.Join(addedLines(previous, current), "; ")))
+		previous = current
 	}
 }
 
@@ -48,7 +48,7 @@
 }
 
 // added returns the lines of b that a does not have.
-func added(a, b []string) []string {
+func addedLines(a, b []string) []string {
 	var out []string
 	for _, l := range b {
 		if !slices.Contains(a, l) {
--- a/internal/app/daemon/reload_test.go
+++ b/internal/app/daemon/reload_test.go
@@ -17,44 +17,44 @@
 	"github.com/masticwing/masticwing/internal/adapter/logging"
 )
 
-type output struct {
+type syncBuffer struct {
 	mu sync.Mutex
-	b  bytes.Buffer
+	buf  bytes.Buffer
 }
 
-func (o *output) Write(p []byte) (int, error) {
+func (o *syncBuffer) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.b.Write(p)
+	return o.buf.Write(p)
 }
 
-func (o *output) String() string {
+func (o *syncBuffer) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.b.String()
+	return o.buf.String()
 }
 
 // TestHangup guards against a daemon that ends on SIGHUP, as the runtime does
 // without a handler, and against changed settings that nobody is told of.
-func TestHangup(t *testing.T) {
+func TestReloadOnSIGHUP(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.ini")
-	write := func(s string) {
+	writeSettings := func(s string) {
 		if err := os.WriteFile(path, []byte(s), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	write("[node]\nid = a\n")
-	out := &output{}
+	writeSettings("[node]\nid = a\n")
+	out := &syncBuffer{}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	ready := make(chan struct{})
+	installed := make(chan struct{})
 	wg.Go(func() {
-		watchReload(ctx, path, func() []error { return []error{errors.New("bad value")} }, logging.New(out, "x", "1"), ready)
+		watchReload(ctx, path, func() []error { return []error{errors.New("bad value")} }, logging.New(out, "x", "1"), installed)
 	})
-	<-ready
-	write("[node]\nid = b\n")
+	<-installed
+	writeSettings("[node]\nid = b\n")
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/app/directory/connect.go
+++ b/internal/app/directory/connect.go
@@ -27,8 +27,8 @@
 	Source   netip.Addr
 	Platform fleet.Address
 	Seeds    []fleet.Address
-	// ExchangeBytes bounds the exchanges of the member table.
-	ExchangeBytes int
+	// ExchangeBytesPerSecond bounds the exchanges of the member table.
+	ExchangeBytesPerSecond int
 }
 
 // Register adds the settings to a set.
@@ -40,7 +40,7 @@
 	s.IP("node", "source", &c.Source, "", "IP address that connections to other processes leave from; empty for any.")
 	s.Address("platform", "address", &c.Platform, settings.Required, "Address of the platform's key-value service.")
 	s.Addresses("peers", "seeds", &c.Seeds, "", "RPC addresses of some entries to join through.")
-	s.Int("peers", "exchange_bytes", &c.ExchangeBytes, DefaultExchangeBytes, 200, 1_000_000,
+	s.Int("peers", "exchange_bytes", &c.ExchangeBytesPerSecond, DefaultExchangeBytesPerSecond, 200, 1_000_000,
 		"Bytes per second for records of members in exchanges, both ways together.")
 }
 
@@ -57,7 +57,7 @@
 		ID: common.ID, Kind: kind, Domain: c.Domain, Region: c.Region,
 		Address: address, AdminAddress: common.Admin, Labels: labels,
 	}
-	return New(Config{Self: self, Seeds: c.Seeds, ExchangeBytes: c.ExchangeBytes}, Deps{
+	return New(Config{Self: self, Seeds: c.Seeds, ExchangeBytesPerSecond: c.ExchangeBytesPerSecond}, Deps{
 		KV: platform, VMs: platform, Members: client, Clock: sysclock.Clock{}, Rand: sysclock.Rand{},
 		Decode: inifile.Decode, Metrics: env.Metrics, Log: env.Log,
 		Traffic: func() []port.Traffic { return append(client.Meter.Read(), platform.Traffic()) },
--- a/internal/app/directory/converge_test.go
+++ b/internal/app/directory/converge_test.go
@@ -111,7 +111,7 @@
 	select {
 	case <-late.Ready():
 	case <-time.After(4 * time.Second):
-		t.Fatalf("not ready with a seed: %s", late.NotReady())
+		t.Fatalf("not ready with a seed: %s", late.NotReadyReason())
 	}
 	if !at(w.doc.Revision)(late) {
 		t.Errorf("ready with revision %d", late.rev.Revision())
@@ -121,7 +121,7 @@
 		t.Error("ready without a declaration")
 	case <-time.After(500 * time.Millisecond):
 	}
-	if alone.NotReady() == "" {
+	if alone.NotReadyReason() == "" {
 		t.Error("no reason is given")
 	}
 	w.faults(platform.Faults{})
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -35,30 +35,30 @@
 	Seeds []fleet.Address
 	// Key is the platform's key of the declaration.
 	Key string
-	// ExchangeEvery is the time between exchanges with neighbours.
-	ExchangeEvery time.Duration
-	// WatchWait is the longest time that one watch waits. A watch whose
+	// ExchangeInterval is the time between exchanges with neighbours.
+	ExchangeInterval time.Duration
+	// WatchTimeout is the longest time that one watch waits. A watch whose
 	// connection went silent is noticed after it.
-	WatchWait time.Duration
-	// VMListEvery is the time between reads of the list of VMs.
-	VMListEvery time.Duration
-	// StartWait is the time after which a process starts without the platform.
-	StartWait time.Duration
-	// StatusEvery is the least time between two versions of the own record
+	WatchTimeout time.Duration
+	// VMListInterval is the time between reads of the list of VMs.
+	VMListInterval time.Duration
+	// StartTimeout is the time after which a process starts without the platform.
+	StartTimeout time.Duration
+	// StatusInterval is the least time between two versions of the own record
 	// that differ in load and progress only.
-	StatusEvery time.Duration
-	// ProbeEvery is the time between attempts to reach a dead member or a seed
+	StatusInterval time.Duration
+	// ProbeInterval is the time between attempts to reach a dead member or a seed
 	// that is not a member.
-	ProbeEvery time.Duration
-	// ExchangeBytes is the bound of the bytes per second that records and
+	ProbeInterval time.Duration
+	// ExchangeBytesPerSecond is the bound of the bytes per second that records and
 	// digests take in exchanges, both ways together.
-	ExchangeBytes int
+	ExchangeBytesPerSecond int
 }
 
-// DefaultExchangeBytes is the default of Config.ExchangeBytes. It leaves room in
+// DefaultExchangeBytesPerSecond is the default of Config.ExchangeBytes. It leaves room in
 // 3 KB/s for the heads of exchanges and their frames, status streams, the
 // document, and at readers the platform.
-const DefaultExchangeBytes = 800
+const DefaultExchangeBytesPerSecond = 800
 
 func (c Config) withDefaults(now time.Time) Config {
 	def := func(p *time.Duration, d time.Duration) {
@@ -66,14 +66,14 @@
 			*p = d
 		}
 	}
-	def(&c.ExchangeEvery, time.Second)
-	def(&c.WatchWait, 2*time.Second)
-	def(&c.VMListEvery, 10*time.Second)
-	def(&c.StartWait, 2*time.Second)
-	def(&c.StatusEvery, 5*time.Second)
-	def(&c.ProbeEvery, 3*time.Second)
-	if c.ExchangeBytes <= 0 {
-		c.ExchangeBytes = DefaultExchangeBytes
+	def(&c.ExchangeInterval, time.Second)
+	def(&c.WatchTimeout, 2*time.Second)
+	def(&c.VMListInterval, 10*time.Second)
+	def(&c.StartTimeout, 2*time.Second)
+	def(&c.StatusInterval, 5*time.Second)
+	def(&c.ProbeInterval, 3*time.Second)
+	if c.ExchangeBytesPerSecond <= 0 {
+		c.ExchangeBytesPerSecond = DefaultExchangeBytesPerSecond
 	}
 	if c.Key == "" {
 		c.Key = "config/current"
@@ -161,7 +161,7 @@
 		start:    startup{ready: make(chan struct{})},
 	}
 	d.gossip = membership.Gossip[port.MemberRecord]{
-		Table: d.table, Budget: membership.NewBudget(cfg.ExchangeBytes, now), RecordSize: recordSize, RandIntN: deps.Rand.IntN,
+		Table: d.table, Budget: membership.NewBudget(cfg.ExchangeBytesPerSecond, now), RecordSize: recordSize, RandIntN: deps.Rand.IntN,
 	}
 	d.own.rec = cloneRecord(cfg.Self)
 	d.start.reason.Store(&reasonStarting)
--- a/internal/app/directory/exchange.go
+++ b/internal/app/directory/exchange.go
@@ -47,7 +47,7 @@
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	var probed time.Time
-	for d.sleep(ctx, d.jitter(d.cfg.ExchangeEvery)) {
+	for d.sleep(ctx, d.jitter(d.cfg.ExchangeInterval)) {
 		now := d.deps.Clock.Now()
 		if d.table.Tick(now) {
 			d.deps.Metrics.Count("directory_suspicions_total", 1)
@@ -56,7 +56,7 @@
 		}
 		d.flushSelf(now)
 		targets := d.round(now)
-		if now.Sub(probed) >= d.cfg.ProbeEvery {
+		if now.Sub(probed) >= d.cfg.ProbeInterval {
 			probed = now
 			targets = append(targets, d.probe(now)...)
 		}
--- a/internal/app/directory/reader.go
+++ b/internal/app/directory/reader.go
@@ -77,7 +77,7 @@
 		}
 		return ignoreNotFound(err)
 	}
-	e, err := w.d.deps.KV.Watch(ctx, w.d.cfg.Key, w.rev, w.d.cfg.WatchWait)
+	e, err := w.d.deps.KV.Watch(ctx, w.d.cfg.Key, w.rev, w.d.cfg.WatchTimeout)
 	switch {
 	case err == nil:
 		w.take(e)
@@ -122,7 +122,7 @@
 func (d *Directory) vmListLoop(ctx context.Context) {
 	misses := map[string]int{}
 	length := 0
-	for d.sleep(ctx, d.jitter(max(d.cfg.VMListEvery, time.Duration(length)*vmListPerVM))) {
+	for d.sleep(ctx, d.jitter(max(d.cfg.VMListInterval, time.Duration(length)*vmListPerVM))) {
 		if d.deps.VMs == nil || !d.table.IsReader() {
 			continue
 		}
--- a/internal/app/directory/record.go
+++ b/internal/app/directory/record.go
@@ -186,7 +186,7 @@
 const statusPerMember = 100 * time.Millisecond
 
 func (d *Directory) statusGap() time.Duration {
-	return max(d.cfg.StatusEvery, time.Duration(d.table.Len())*statusPerMember)
+	return max(d.cfg.StatusInterval, time.Duration(d.table.Len())*statusPerMember)
 }
 
 // flushSelf publishes changes that waited for statusGap.
--- a/internal/app/directory/startup.go
+++ b/internal/app/directory/startup.go
@@ -35,8 +35,8 @@
 // Ready returns a channel that is closed once the process may serve.
 func (d *Directory) Ready() <-chan struct{} { return d.start.ready }
 
-// NotReady returns why the process serves nothing yet, or "".
-func (d *Directory) NotReady() string { return *d.start.reason.Load() }
+// NotReadyReason returns why the process serves nothing yet, or "".
+func (d *Directory) NotReadyReason() string { return *d.start.reason.Load() }
 
 // startLoop asks the platform and the seeds in parallel and decides when the
 // highest revision seen is good enough to serve.
@@ -49,7 +49,7 @@
 	for _, t := range d.seeds() {
 		wg.Go(func() { d.askSeed(ctx, t.addr, heard) })
 	}
-	timeout := d.deps.Clock.After(d.cfg.StartWait)
+	timeout := d.deps.Clock.After(d.cfg.StartTimeout)
 	for !d.decideReady(d.deps.Clock.Now().Sub(began)) {
 		select {
 		case <-ctx.Done():
@@ -69,7 +69,7 @@
 func (d *Directory) decideReady(since time.Duration) bool {
 	s := &d.start
 	held := d.rev.Revision() > 0
-	late := since >= d.cfg.StartWait
+	late := since >= d.cfg.StartTimeout
 	seeds := s.seedAnswers.Load() > 0 || int(s.seedsAsked.Load()) == len(d.seeds())
 	switch {
 	case held && (late || s.platform.Load() && seeds):
@@ -96,7 +96,7 @@
 			signal(heard)
 			return
 		}
-		if !d.sleep(ctx, d.jitter(platformRetry)) || d.NotReady() == reasonReady {
+		if !d.sleep(ctx, d.jitter(platformRetry)) || d.NotReadyReason() == reasonReady {
 			return
 		}
 	}
--- a/internal/app/entry/run.go
+++ b/internal/app/entry/run.go
@@ -76,8 +76,8 @@
 // other processes about it.
 type Directory interface {
 	port.Directory
-	// NotReady returns why this process serves nothing yet, or "".
-	NotReady() string
+	// NotReadyReason returns why this process serves nothing yet, or "".
+	NotReadyReason() string
 	// Handler answers other processes.
 	Handler() port.MemberHandler
 	// Traffic returns the bytes sent and received by kind.
@@ -186,9 +186,9 @@
 	look := time.NewTicker(readinessEvery)
 	defer look.Stop()
 	for {
-		p.env.Admin.NotReady(cmp.Or(p.dir.NotReady(), "no configuration is known yet"))
+		p.env.Admin.SetNotReady(cmp.Or(p.dir.NotReadyReason(), "no configuration is known yet"))
 		if d, _ := p.dir.Declaration(); d != nil && ctx.Err() == nil {
-			p.env.Admin.Ready()
+			p.env.Admin.SetReady()
 			p.env.Log.State("ready", logging.F("revision", d.Revision))
 			break
 		}
@@ -200,12 +200,12 @@
 		}
 	}
 	<-ctx.Done()
-	p.env.Admin.NotReady("shutting down")
+	p.env.Admin.SetNotReady("shutting down")
 }
 
 // shutDown refuses new requests and finishes those in progress.
 func (p *process) shutDown() {
-	p.env.Admin.NotReady("shutting down")
+	p.env.Admin.SetNotReady("shutting down")
 	p.dir.UpdateSelf(func(m *port.MemberRecord) { m.State = port.MemberLeaving })
 	p.env.Log.State("draining", logging.F("timeout", p.cfg.Drain.String()))
 	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.Drain)
--- a/internal/app/entry/run_test.go
+++ b/internal/app/entry/run_test.go
@@ -27,7 +27,7 @@
 
 func (fakeDirectory) Run(ctx context.Context) { <-ctx.Done() }
 
-func (fakeDirectory) NotReady() string { return "" }
+func (fakeDirectory) NotReadyReason() string { return "" }
 
 func (fakeDirectory) Traffic() []port.Traffic { return nil }
 
