--- a/internal/core/membership/budget.go
+++ b/internal/core/membership/budget.go
@@ -6,32 +6,34 @@
 )
 
 const (
-	// burstSeconds times the rate is what may be saved up.
+	// The limits in seconds are multiplied by the rate. burstSeconds is the capacity
+	// of the bucket after startupPeriod.
 	burstSeconds = 64
-	// startupBurstSeconds times the rate may be used in the first startFor, so that a
-	// process that starts learns the table at once: 2,790 records of 170 bytes
-	// are 474 KB. A VM is replaced each few days, so this adds 2 B/s.
+	// startupBurstSeconds is the capacity of the bucket during startupPeriod. It
+	// lets a process that starts receive the whole table at once: 2,790 records of
+	// 170 bytes are 474 KB. A VM is replaced every few days, so this adds 2 B/s on
+	// average.
 	startupBurstSeconds = 720
 	startupPeriod       = time.Minute
-	// urgentReserveSeconds times the rate is kept for urgent records.
+	// urgentReserveSeconds is the overdraft that is reserved for urgent records.
 	urgentReserveSeconds = 16
-	// maxDebtSeconds times the rate is the debt that other records can make.
+	// maxDebtSeconds is the highest debt that records which are not urgent can
+	// cause.
 	maxDebtSeconds = 8
 )
 
 // Budget is a token bucket for the bytes of records and digests that a process
-// sends and receives. What it receives it cannot refuse, so the bucket may be
-// overdrawn; nothing is sent then but urgent records and small answers.
+// sends and receives. A process cannot refuse what it receives, so the bucket may
+// be overdrawn; the process then sends only urgent records and small replies.
 type Budget struct {
 	mu         sync.Mutex
 	rate       float64
 	tokens     float64
 	refilledAt time.Time
-	// startedAt is when the process started.
-	startedAt time.Time
+	startedAt  time.Time
 }
 
-// NewBudget returns a full bucket of a rate in bytes per second.
+// NewBudget returns a full bucket that is refilled at rate, in bytes per second.
 func NewBudget(rate int, now time.Time) *Budget {
 	return &Budget{rate: float64(rate), tokens: float64(rate) * startupBurstSeconds, refilledAt: now, startedAt: now}
 }
@@ -45,8 +47,8 @@
 	b.refilledAt = now
 }
 
-// Available returns the bytes that may be sent now, and those that urgent records
-// may take.
+// Available returns the number of bytes that may be sent now, and the number for
+// urgent records, which includes the reserve.
 func (b *Budget) Available(now time.Time) (room, urgent int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -54,23 +56,24 @@
 	return max(0, int(b.tokens)), max(0, int(b.tokens+b.rate*urgentReserveSeconds))
 }
 
-// HalfFull reports whether at least half of the bucket is left.
+// HalfFull reports whether the bucket holds at least half of its capacity after
+// the startup period.
 func (b *Budget) HalfFull(now time.Time) bool {
 	room, _ := b.Available(now)
 	return float64(room) >= b.rate*burstSeconds/2
 }
 
-// Charge counts bytes that were sent or received. The debt is bounded, so that a
-// flood of records does not silence a process for long and leaves room for
-// urgent ones.
-func (b *Budget) Charge(n int, now time.Time) { b.charge(n, maxDebtSeconds, now) }
+// Charge deducts n bytes that were sent or received. The resulting debt is limited,
+// so that a burst of received records does not stop a process from sending for
+// long and leaves bytes for urgent records.
+func (b *Budget) Charge(bytes int, now time.Time) { b.charge(bytes, maxDebtSeconds, now) }
 
-// ChargeUrgent counts bytes of urgent records that were sent.
-func (b *Budget) ChargeUrgent(n int, now time.Time) { b.charge(n, urgentReserveSeconds, now) }
+// ChargeUrgent deducts n bytes of urgent records that were sent.
+func (b *Budget) ChargeUrgent(bytes int, now time.Time) { b.charge(bytes, urgentReserveSeconds, now) }
 
-func (b *Budget) charge(n int, maxDebt float64, now time.Time) {
+func (b *Budget) charge(bytes int, maxDebt float64, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refillLocked(now)
-	b.tokens = max(min(b.tokens, -b.rate*maxDebt), b.tokens-float64(n))
+	b.tokens = max(min(b.tokens, -b.rate*maxDebt), b.tokens-float64(bytes))
 }
--- a/internal/core/membership/digest.go
+++ b/internal/core/membership/digest.go
@@ -3,27 +3,28 @@
 import "sync/atomic"
 
 const (
-	// Groups and Leaves divide a table. A member belongs to the group of its
-	// failure domain and, by its id, to a leaf of it. At 2,790 members in 14
-	// failure domains a leaf holds about ten.
+	// Groups is the number of groups of a table, Leaves the number of leaves of a
+	// group. A hash of the failure domain determines the group of a member, and a
+	// hash of its id the leaf. With 2,790 members in 14 failure domains, a leaf
+	// contains about ten.
 	Groups = 16
 	Leaves = 32
 )
 
-// leafIndex returns the leaf of a record, counted over all groups.
+// leafIndex returns the index of a record's leaf among the leaves of all groups.
 func leafIndex[P any](r *Record[P]) int {
 	return int(stableHash(string(r.Domain))%Groups)*Leaves + int(stableHash(r.ID)%Leaves)
 }
 
-// digestTree holds the sum of the hashes of the records of each leaf. A record is
-// added and removed under the lock of its shard; the sums are atomic, so that
-// a digest needs no lock.
+// digestTree holds the sum of the record hashes of each leaf. A record is added and
+// removed under the lock of its shard. The sums are atomic, so that computing a
+// digest needs no lock.
 type digestTree struct {
 	leafSums [Groups * Leaves]atomic.Uint64
 }
 
-// recordHash is the contribution of a record to a digest. Dead members do not
-// count, since each process forgets them at its own time.
+// recordHash is the contribution of a record to a digest. It is zero for dead
+// members, since each process forgets them at another time.
 func recordHash[P any](r *Record[P]) uint64 {
 	if r.State == Dead {
 		return 0
@@ -34,7 +35,8 @@
 	return mix(h ^ uint64(r.State))
 }
 
-// truncateSum makes 32 bits of a sum; zero only for an empty part.
+// truncateSum reduces a sum to a digest of 32 bits, which is zero only if the sum
+// is.
 func truncateSum(sum uint64) uint32 {
 	if sum == 0 {
 		return 0
@@ -42,8 +44,8 @@
 	return max(1, uint32(mix(sum)))
 }
 
-// Digest identifies the contents of the table. Tables with the same records
-// have the same digest, whatever the order in which they received them.
+// Digest returns the digest of the whole table. Tables with the same records have
+// the same digest, regardless of the order in which they received the records.
 func (t *Table[P]) Digest() uint64 {
 	var sum uint64
 	for i := range t.digestTree.leafSums {
@@ -52,7 +54,7 @@
 	return sum
 }
 
-// GroupDigests returns the digest of each group, zero for an empty one.
+// GroupDigests returns the digest of each group, zero for an empty group.
 func (t *Table[P]) GroupDigests() []uint32 {
 	out := make([]uint32, Groups)
 	for g := range out {
@@ -65,7 +67,7 @@
 	return out
 }
 
-// LeafDigests returns the digest of each leaf of a group.
+// LeafDigests returns the digest of each leaf of a group, zero for an empty leaf.
 func (t *Table[P]) LeafDigests(group int) []uint32 {
 	out := make([]uint32, Leaves)
 	for i := range out {
@@ -74,8 +76,8 @@
 	return out
 }
 
-// update is shard.Map.Update that keeps the digests. All changes of the table
-// go through it.
+// update wraps shard.Map.Update and keeps the digests up to date. Every change of
+// the table must use it.
 func (t *Table[P]) update(id string, f func(e tableEntry[P], ok bool) (tableEntry[P], bool)) {
 	t.m.Update(id, func(e tableEntry[P], ok bool) (tableEntry[P], bool) {
 		old, had := e.record, ok
--- a/internal/core/membership/gossip.go
+++ b/internal/core/membership/gossip.go
@@ -7,54 +7,59 @@
 )
 
 const (
-	// maxMessageBytes bounds the records of one message.
+	// maxMessageBytes limits the records of one message.
 	maxMessageBytes = 4 << 10
-	// maxUpdateBytes bounds the changes that are not urgent in one message. Digests
-	// find the rest, which nearly all members have when a fleet starts at once.
+	// maxUpdateBytes limits the changes in one message that are not urgent. The
+	// remaining differences are found by digests. When a whole fleet starts at
+	// once, there are many changes, but nearly all members have them already.
 	maxUpdateBytes = 1 << 10
-	// minReplyBytes is what an answer may hold even when the budget is used up, so
-	// that a process that starts finds its first neighbours.
+	// minReplyBytes is the size of the records that a reply may contain even if the
+	// budget is used up, so that a process that starts finds its first neighbours.
 	minReplyBytes = 400
-	// digestBytes is the size of a digest of a part in a message.
+	// digestBytes is the encoded size of the digest of a group or leaf.
 	digestBytes = 4
-	// wantedIDBytes is the size of an id that is asked for, roughly.
+	// wantedIDBytes is the approximate encoded size of a requested id.
 	wantedIDBytes = 16
 )
 
-// Message is what two processes swap. All of it but From and Digest is
-// optional.
+// Message is a message of an exchange between two processes. All fields except
+// From and Digest are optional.
 type Message[P any] struct {
-	From    string
+	From string
+	// Digest is the digest of the sender's whole table.
 	Digest  uint64
 	Records []ObservedRecord[P]
-	// Compare asks for the digests of the groups if the tables differ.
+	// Compare requests the digests of the groups if the tables differ.
 	Compare bool
-	// Group is one more than the group whose leaves Digests describes; with zero,
-	// Digests describes the groups.
+	// Group tells what Digests contains: the digests of all groups if it is zero,
+	// else the digests of the leaves of group Group-1.
 	Group   int
 	Digests []uint32
-	// Leaves are the leaves whose members are all among Records.
+	// Leaves lists the leaves of the group all of whose members are in Records.
 	Leaves []int
-	// Want are the ids of the members whose records are asked for.
+	// Want lists the ids of the members whose records the sender requests.
 	Want []string
 }
 
-// MergeResult says what the records of a message changed.
+// MergeResult summarizes what the records of a message changed.
 type MergeResult struct {
+	// Refuted, StateChanged and Changed tell whether any record had the outcome of
+	// that name; Changed also covers StateChanged.
 	Refuted, StateChanged, Changed bool
 	// KnownRecords counts the records that changed nothing, NewRecords the others.
 	KnownRecords, NewRecords int
 }
 
-// Gossip decides what a process tells others of its table. Urgent facts and
-// updates are passed on for a while; all else is found by comparing digests: of
-// the tables, then of groups, then of the leaves of one group, then the members
-// of a few leaves. A record is so sent only to a process that lacks it.
+// Gossip decides what a process sends to others to make their tables equal.
+// Recent changes are sent a limited number of times. All other differences are
+// found by comparing digests: of the tables, then of the groups, then of the leaves
+// of one group, and then the members of a few leaves. Thus a record is sent only to
+// a process that lacks it.
 type Gossip[P any] struct {
 	Table      *Table[P]
 	Budget     *Budget
 	RecordSize RecordSize[P]
-	// RandIntN returns a number below n.
+	// RandIntN returns a random number from 0 to n-1.
 	RandIntN func(n int) int
 }
 
@@ -72,8 +77,8 @@
 }
 
 // FirstMessage returns the first message of an exchange with a member. If this
-// process does not hold the member for alive, the message says so, that the
-// member can refute.
+// process considers the member suspect or dead, the message contains that state, so
+// that the member can refute it.
 func (g *Gossip[P]) FirstMessage(partner string, now time.Time) Message[P] {
 	m := g.NewMessage()
 	m.Compare = true
@@ -81,6 +86,8 @@
 	return m
 }
 
+// takeUpdates returns the changes to send to a partner and charges them to the
+// budget. They include the partner's own state if it is suspect or dead.
 func (g *Gossip[P]) takeUpdates(partner string, now time.Time) []ObservedRecord[P] {
 	room, urgent := g.Budget.Available(now)
 	out := g.Table.TakeChanges(min(urgent, maxMessageBytes), min(room, maxUpdateBytes), g.RecordSize, now)
@@ -96,38 +103,38 @@
 	return out
 }
 
-// MergeMessage merges the records of a message.
+// MergeMessage merges the records of a received message into the table.
 func (g *Gossip[P]) MergeMessage(m Message[P], now time.Time) MergeResult {
-	var l MergeResult
+	var result MergeResult
 	for _, r := range m.Records {
 		switch g.Table.Merge(r.Record, r.Age, now) {
 		case Unchanged:
-			l.KnownRecords++
+			result.KnownRecords++
 		case Refuted:
-			l.Refuted = true
-			l.NewRecords++
+			result.Refuted = true
+			result.NewRecords++
 		case Updated:
-			l.Changed = true
-			l.NewRecords++
+			result.Changed = true
+			result.NewRecords++
 		case StateChanged:
-			l.StateChanged, l.Changed = true, true
-			l.NewRecords++
+			result.StateChanged, result.Changed = true, true
+			result.NewRecords++
 		}
 	}
 	g.chargeRecords(m.Records, now)
 	g.Budget.Charge(len(m.Digests)*digestBytes, now)
 	g.Table.RecordSuccess(m.From, now)
-	return l
+	return result
 }
 
-// Reply merges a message and returns the answer to it. Updates are chosen before
-// the merge, so that they are not sent back.
+// Reply merges a received message and returns the reply to it. The changes in the
+// reply are chosen before the merge, so that received changes are not sent back.
 func (g *Gossip[P]) Reply(m Message[P], now time.Time) (Message[P], MergeResult) {
 	var out Message[P]
 	if m.Compare {
 		out.Records = g.takeUpdates(m.From, now)
 	}
-	l := g.MergeMessage(m, now)
+	result := g.MergeMessage(m, now)
 	switch {
 	case m.Group > 0 && m.Group <= Groups && len(m.Digests) == Leaves:
 		out.Group = m.Group
@@ -135,8 +142,8 @@
 	case len(m.Want) > 0:
 		out.Records = g.wantedRecords(m.Want, now)
 	}
-	// A partner that suspects an earlier incarnation of this process needs the
-	// current record.
+	// A partner that suspects an earlier incarnation of this process has to receive
+	// the current record.
 	for _, r := range m.Records {
 		if r.ID == g.Table.self && r.StateOnly {
 			own, _ := g.Table.Get(r.ID, now)
@@ -149,25 +156,26 @@
 		out.Digests = g.Table.GroupDigests()
 		g.Budget.Charge(Groups*digestBytes, now)
 	}
-	return out, l
+	return out, result
 }
 
-// NextMessage returns the message that follows an answer which was absorbed, if the
-// tables differ and the budget allows to find out where.
-func (g *Gossip[P]) NextMessage(answer Message[P], now time.Time) (Message[P], bool) {
+// NextMessage returns the next message to send after a reply was merged. It returns
+// false if the tables are equal, the budget is used up, or nothing remains to be
+// sent.
+func (g *Gossip[P]) NextMessage(reply Message[P], now time.Time) (Message[P], bool) {
 	room, _ := g.Budget.Available(now)
-	if room == 0 || answer.Digest == g.Table.Digest() {
+	if room == 0 || reply.Digest == g.Table.Digest() {
 		return Message[P]{}, false
 	}
 	m := g.NewMessage()
 	switch {
-	case answer.Group > 0 && answer.Group <= Groups:
-		m.Want, m.Records = g.compareLeaves(answer, room, now)
+	case reply.Group > 0 && reply.Group <= Groups:
+		m.Want, m.Records = g.compareLeaves(reply, room, now)
 		g.chargeRecords(m.Records, now)
 		g.Budget.Charge(len(m.Want)*wantedIDBytes, now)
 		return m, len(m.Want)+len(m.Records) > 0
-	case len(answer.Digests) == Groups:
-		i, ok := differingIndex(g.Table.GroupDigests(), answer.Digests, g.ownGroup(), g.RandIntN)
+	case len(reply.Digests) == Groups:
+		i, ok := differingIndex(g.Table.GroupDigests(), reply.Digests, g.ownGroup(), g.RandIntN)
 		if !ok {
 			return m, false
 		}
@@ -182,22 +190,22 @@
 
 func groupOf(d fleet.Domain) int { return int(stableHash(string(d)) % Groups) }
 
-// differingIndex returns an index at which the digests differ: first if it does,
-// else any.
-func differingIndex(a, b []uint32, first int, pick func(int) int) (int, bool) {
+// differingIndex returns an index at which the digests differ: first, if they differ
+// there, or else one found from a random start.
+func differingIndex(a, b []uint32, first int, randIntN func(int) int) (int, bool) {
 	if a[first] != b[first] {
 		return first, true
 	}
-	start := pick(len(a))
+	start := randIntN(len(a))
 	for i := range a {
-		if j := (start + i) % len(a); a[j] != b[j] {
-			return j, true
+		if k := (start + i) % len(a); a[k] != b[k] {
+			return k, true
 		}
 	}
 	return 0, false
 }
 
-// membersByLeaf returns the members of a group by leaf.
+// membersByLeaf returns the members of a group, by leaf within the group.
 func (t *Table[P]) membersByLeaf(group int, now time.Time) [Leaves][]ObservedRecord[P] {
 	var out [Leaves][]ObservedRecord[P]
 	t.m.Range(func(_ string, e tableEntry[P]) bool {
@@ -210,15 +218,16 @@
 	return out
 }
 
-// leafRecords returns what the partner may lack of a group, by the digests of its
-// leaves: whole records of leaves of which it has nothing, and bare ones of
-// all members of other leaves.
+// leafRecords returns records of the leaves of a group whose digests differ from the
+// partner's: complete records of leaves that are empty at the partner, and
+// state-only records of all members of other leaves. It also returns the indexes of
+// those other leaves.
 func (g *Gossip[P]) leafRecords(group int, theirs []uint32, now time.Time) ([]ObservedRecord[P], []int) {
 	room, _ := g.Budget.Available(now)
 	room = min(max(room, minReplyBytes), maxMessageBytes)
 	ours, members := g.Table.LeafDigests(group), g.Table.membersByLeaf(group, now)
 	var out []ObservedRecord[P]
-	var listed []int
+	var listedLeaves []int
 	start, used := g.RandIntN(Leaves), 0
 	for i := range Leaves {
 		leaf := (start + i) % Leaves
@@ -226,83 +235,85 @@
 			continue
 		}
 		empty := theirs[leaf] == 0
-		for _, s := range members[leaf] {
-			if empty && s.State == Dead {
+		for _, rec := range members[leaf] {
+			if empty && rec.State == Dead {
 				continue
 			}
 			if !empty {
-				s.Record = stateOnly(s.Record)
+				rec.Record = stateOnly(rec.Record)
 			}
-			used += g.RecordSize(&s.Record)
-			out = append(out, s)
+			used += g.RecordSize(&rec.Record)
+			out = append(out, rec)
 		}
 		if !empty {
-			listed = append(listed, leaf)
+			listedLeaves = append(listedLeaves, leaf)
 		}
 		if used >= room {
 			break
 		}
 	}
 	g.Budget.Charge(used, now)
-	return out, listed
+	return out, listedLeaves
 }
 
-// compareLeaves compares the members of leaves that the partner listed with those of
-// this process: it returns the ids of those that are newer there, and records
-// of those that are newer here.
-func (g *Gossip[P]) compareLeaves(answer Message[P], room int, now time.Time) (want []string, push []ObservedRecord[P]) {
+// compareLeaves compares the members of the leaves that the partner listed with
+// those of this process. It returns the ids of members whose records are newer at
+// the partner, and records of members that are newer here.
+func (g *Gossip[P]) compareLeaves(reply Message[P], room int, now time.Time) (wantIDs []string, newerHere []ObservedRecord[P]) {
 	theirs := map[string]*Record[P]{}
-	for i := range answer.Records {
-		r := &answer.Records[i].Record
+	for i := range reply.Records {
+		r := &reply.Records[i].Record
 		if r.StateOnly {
 			theirs[r.ID] = r
 			e, ok := g.Table.m.Get(r.ID)
-			if (!ok && r.State != Dead || ok && newerPayload(r, &e.record)) && len(want)*wantedIDBytes < room {
-				want = append(want, r.ID)
+			if (!ok && r.State != Dead || ok && newerPayload(r, &e.record)) && len(wantIDs)*wantedIDBytes < room {
+				wantIDs = append(wantIDs, r.ID)
 			}
 		}
 	}
 	room, used := min(room, maxMessageBytes), 0
-	members := g.Table.membersByLeaf(answer.Group-1, now)
-	for _, leaf := range answer.Leaves {
+	members := g.Table.membersByLeaf(reply.Group-1, now)
+	for _, leaf := range reply.Leaves {
 		if leaf < 0 || leaf >= Leaves {
 			continue
 		}
-		for _, s := range members[leaf] {
-			r, ok := theirs[s.ID]
+		for _, rec := range members[leaf] {
+			r, ok := theirs[rec.ID]
 			switch {
-			case !ok && s.State == Dead, ok && !newerPayload(&s.Record, r) && s.State <= r.State:
+			case !ok && rec.State == Dead, ok && !newerPayload(&rec.Record, r) && rec.State <= r.State:
 				continue
-			case ok && !newerPayload(&s.Record, r):
-				s.Record = stateOnly(s.Record)
+			case ok && !newerPayload(&rec.Record, r):
+				rec.Record = stateOnly(rec.Record)
 			}
-			if used += g.RecordSize(&s.Record); used <= room {
-				push = append(push, s)
+			if used += g.RecordSize(&rec.Record); used <= room {
+				newerHere = append(newerHere, rec)
 			}
 		}
 	}
-	return want, push
+	return wantIDs, newerHere
 }
 
-// newerPayload reports whether the payload of a is newerPayload than that of b.
+// newerPayload reports whether the payload of a is newer than that of b.
 func newerPayload[P any](a, b *Record[P]) bool {
 	return a.Incarnation > b.Incarnation || a.Incarnation == b.Incarnation && a.Version > b.Version
 }
 
+// wantedRecords returns the records of the given members, as far as the budget
+// allows, but at least one.
 func (g *Gossip[P]) wantedRecords(ids []string, now time.Time) []ObservedRecord[P] {
 	room, _ := g.Budget.Available(now)
 	room = min(max(room, minReplyBytes), maxMessageBytes)
 	var out []ObservedRecord[P]
 	used := 0
 	for _, id := range ids {
-		s, ok := g.Table.Get(id, now)
+		rec, ok := g.Table.Get(id, now)
 		if !ok {
 			continue
 		}
-		if used += g.RecordSize(&s.Record); used > room && len(out) > 0 {
+		if used += g.RecordSize(&rec.Record); used > room && len(out) > 0 {
 			break
 		}
-		out = append(out, s)
+		out = append(out, rec)
 	}
 	g.chargeRecords(out, now)
 	return out
--- a/internal/core/membership/neighbours.go
+++ b/internal/core/membership/neighbours.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// SameDomainNeighbours and OtherNeighbours are the neighbours in the own failure
-	// domain and in others. With eight, 2,790 processes are four hops apart.
+	// SameDomainNeighbours and OtherDomainNeighbours are the numbers of neighbours
+	// of a process in its own failure domain and in other domains. With eight
+	// neighbours in all, 2,790 processes are at most four hops apart.
 	SameDomainNeighbours  = 6
 	OtherDomainNeighbours = 2
-	// ReadersPerDomain is the number of entries of a failure domain that watch
-	// the platform. The second covers the failure of the first.
+	// ReadersPerDomain is the number of entries of a failure domain that watch the
+	// platform. The second one covers a failure of the first.
 	ReadersPerDomain = 2
 )
 
-// stableHash is FNV-1a with a final mix. All processes must agree on it, so it has
-// no random seed.
+// stableHash is FNV-1a with a finalizer. It has no random seed, since all processes
+// must compute the same value.
 func stableHash(parts ...string) uint64 {
 	h := uint64(14695981039346656037)
 	for _, p := range parts {
@@ -30,48 +31,51 @@
 	return mix(h)
 }
 
-// mix spreads each bit over the whole word.
+// mix is the finalizer of MurmurHash3: each bit of h affects all bits of the result.
 func mix(h uint64) uint64 {
 	h = (h ^ h>>33) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
 	return h ^ h>>33
 }
 
+// scoredID is a member's id with its rank in a rendezvous hash.
 type scoredID struct {
 	id    string
 	score uint64
 }
 
-// topScores keeps the ids with the highest scores, in falling order. n is small.
+// topScores keeps the limit highest scores in descending order. Insertion is linear,
+// so limit has to be small.
 type topScores struct {
 	limit int
 	top   []scoredID
 }
 
-func (b *topScores) add(r scoredID) {
-	at := len(b.top)
-	for at > 0 && (b.top[at-1].score < r.score || b.top[at-1].score == r.score && b.top[at-1].id > r.id) {
+func (s *topScores) add(scored scoredID) {
+	at := len(s.top)
+	for at > 0 && (s.top[at-1].score < scored.score || s.top[at-1].score == scored.score && s.top[at-1].id > scored.id) {
 		at--
 	}
-	if at == b.limit {
+	if at == s.limit {
 		return
 	}
-	b.top = slices.Insert(b.top, at, r)
-	b.top = b.top[:min(len(b.top), b.limit)]
+	s.top = slices.Insert(s.top, at, scored)
+	s.top = s.top[:min(len(s.top), s.limit)]
 }
 
-func (b *topScores) ids() []string {
-	out := make([]string, 0, len(b.top))
-	for _, r := range b.top {
-		out = append(out, r.id)
+func (s *topScores) ids() []string {
+	out := make([]string, 0, len(s.top))
+	for _, scored := range s.top {
+		out = append(out, scored.id)
 	}
 	return out
 }
 
-// Neighbours returns the members that the process exchanges with: the first
-// by rendezvous hash among those that are not dead, OwnNeighbours in its own
-// failure domain and OtherNeighbours in others. A member that leaves changes
-// the choice only of those that had chosen it.
+// Neighbours returns the ids of the members that this process exchanges with. They
+// are chosen by rendezvous hash among the members that are not dead:
+// SameDomainNeighbours in the process's own failure domain, and
+// OtherDomainNeighbours in others. When a member leaves, only the processes that
+// had chosen it choose another one.
 func (t *Table[P]) Neighbours(now time.Time) []string {
 	self := t.Self()
 	own, other := topScores{limit: SameDomainNeighbours}, topScores{limit: OtherDomainNeighbours}
@@ -101,15 +105,15 @@
 }
 
 // IsReader reports whether the process is one of the readers of its failure
-// domain: an entry that ranks among the first live ones. An entry that knows
-// of no other one is a reader.
+// domain. An entry that knows of no other entry in its domain is a reader.
 func (t *Table[P]) IsReader() bool {
 	self := t.Self()
 	return self.Kind == fleet.KindEntry && slices.Contains(t.Readers(self.Domain), self.ID)
 }
 
-// Readers returns the readers of a failure domain. A suspect is passed over,
-// so that the domain has two readers that answer.
+// Readers returns the ids of the readers of a failure domain: the entries with the
+// highest rendezvous hashes among those that are alive. Suspects are left out, so
+// that the domain has two readers that respond.
 func (t *Table[P]) Readers(d fleet.Domain) []string {
 	readers := topScores{limit: ReadersPerDomain}
 	t.m.Range(func(id string, e tableEntry[P]) bool {
--- a/internal/core/membership/simulation_test.go
+++ b/internal/core/membership/simulation_test.go
@@ -11,56 +11,56 @@
 )
 
 const (
-	designEntries = 390
-	designAgents  = 2400
-	designDomains = 14
-	recordBytes   = 170
-	bareBytes     = 28
-	headBytes     = 40
-	tick          = 250 * time.Millisecond
-	rate          = 800
-	// simSeeds are the members that all know before a start.
-	simSeeds = 3
-	// perDaemon is the bound of all control, of which status streams, frames and
-	// the document take a part beside the exchanges.
-	perDaemon = 3000
+	designEntries        = 390
+	designAgents         = 2400
+	designDomains        = 14
+	recordBytes          = 170
+	stateOnlyBytes       = 28
+	headerBytes          = 40
+	tickInterval         = 250 * time.Millisecond
+	budgetBytesPerSecond = 800
+	// seedMembers is the number of members that every process knows when it starts.
+	seedMembers = 3
+	// maxControlBytesPerSecond is the limit for all control traffic of a process.
+	// Besides exchanges it covers status streams, framing and the declaration.
+	maxControlBytesPerSecond = 3000
 )
 
-var designSize = flag.Bool("design-size", false, "run the test that holds the tables of 2,790 processes")
+var designSize = flag.Bool("design-size", false, "run the test with the tables of 2,790 processes")
 
-// simNode is one process.
-type simNode struct {
+// node is one process of the simulation.
+type node struct {
 	*Gossip[string]
 	bytes      int
 	turn       int
-	relay      bool
+	sendNow    bool
 	neighbours []string
 	down       bool
 }
 
-// sim runs the decisions of a fleet with a clock of its own: each node opens
-// an exchange a second, and passes on urgent changes a tick after it heard.
-type sim struct {
+// simulation runs the gossip of a fleet with a simulated clock. Each node starts one
+// exchange per second and sends urgent changes one tick after it received them.
+type simulation struct {
 	t     *testing.T
 	now   time.Time
 	rnd   *rand.Rand
-	nodes []*simNode
-	byID  map[string]*simNode
-	step  int
+	nodes []*node
+	byID  map[string]*node
+	ticks int
 }
 
-func simSize(r *Record[string]) int {
+func simulatedSize(r *Record[string]) int {
 	if r.StateOnly {
-		return bareBytes
+		return stateOnlyBytes
 	}
 	return recordBytes
 }
 
-func newSim(t *testing.T, entries, agents int, full bool) *sim {
+func newSimulation(t *testing.T, entries, agents int, allKnown bool) *simulation {
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
-	s := &sim{t: t, now: t0, rnd: rand.New(rand.NewPCG(seed, 1)), byID: map[string]*simNode{}}
-	var recs []Record[string]
+	s := &simulation{t: t, now: t0, rnd: rand.New(rand.NewPCG(seed, 1)), byID: map[string]*node{}}
+	var records []Record[string]
 	for i := range entries + agents {
 		r := Record[string]{
 			ID: fmt.Sprintf("d%02d-%04d", i%designDomains, i), Domain: fleet.Domain(fmt.Sprintf("d%02d", i%designDomains)),
@@ -69,12 +69,12 @@
 		if i >= entries {
 			r.Kind = fleet.KindAgent
 		}
-		recs = append(recs, r)
+		records = append(records, r)
 	}
-	for i, r := range recs {
-		n := &simNode{Gossip: &Gossip[string]{Table: NewTable(r, s.now), Budget: NewBudget(rate, s.now), RecordSize: simSize, RandIntN: s.rnd.IntN}}
-		for j, o := range recs {
-			if i != j && (full || j < simSeeds) {
+	for i, r := range records {
+		n := &node{Gossip: &Gossip[string]{Table: NewTable(r, s.now), Budget: NewBudget(budgetBytesPerSecond, s.now), RecordSize: simulatedSize, RandIntN: s.rnd.IntN}}
+		for j, o := range records {
+			if i != j && (allKnown || j < seedMembers) {
 				n.Table.Merge(o, sendPeriod, s.now)
 			}
 		}
@@ -83,25 +83,26 @@
 	return s
 }
 
-func (s *sim) call(n, to *simNode, m Message[string]) Message[string] {
+// call sends a message and merges the reply, and counts the bytes at both nodes.
+func (s *simulation) call(n, to *node, m Message[string]) Message[string] {
 	count := func(m Message[string]) {
-		b := headBytes + len(m.Digests)*digestBytes + len(m.Want)*wantedIDBytes
+		b := headerBytes + len(m.Digests)*digestBytes + len(m.Want)*wantedIDBytes
 		for i := range m.Records {
-			b += simSize(&m.Records[i].Record)
+			b += simulatedSize(&m.Records[i].Record)
 		}
 		n.bytes, to.bytes = n.bytes+b, to.bytes+b
 	}
 	count(m)
 	a, l := to.Reply(m, s.now)
-	to.relay = to.relay || l.StateChanged || l.Refuted
+	to.sendNow = to.sendNow || l.StateChanged || l.Refuted
 	count(a)
 	l = n.MergeMessage(a, s.now)
-	n.relay = n.relay || l.StateChanged || l.Refuted
+	n.sendNow = n.sendNow || l.StateChanged || l.Refuted
 	return a
 }
 
-// exchange is what the application does with the decisions.
-func (s *sim) exchange(n *simNode, id string, compare bool) {
+// exchange runs an exchange in the way the application does.
+func (s *simulation) exchange(n *node, id string, compare bool) {
 	to := s.byID[id]
 	if to.down {
 		n.Table.RecordFailure(id, s.now)
@@ -119,16 +120,16 @@
 }
 
 // round advances the time by one tick.
-func (s *sim) round() {
-	s.now = s.now.Add(tick)
-	s.step++
+func (s *simulation) round() {
+	s.now = s.now.Add(tickInterval)
+	s.ticks++
 	for i, n := range s.nodes {
 		if n.down {
 			continue
 		}
-		if (i+s.step)%4 == 0 {
-			n.relay = n.Table.Tick(s.now) || n.relay
-			if s.step%64 < 4 || n.turn < 30 {
+		if (i+s.ticks)%4 == 0 {
+			n.sendNow = n.Table.Tick(s.now) || n.sendNow
+			if s.ticks%64 < 4 || n.turn < 30 {
 				n.neighbours = n.Table.Neighbours(s.now)
 			}
 			n.turn++
@@ -139,8 +140,8 @@
 				}
 			}
 		}
-		if n.relay {
-			n.relay = false
+		if n.sendNow {
+			n.sendNow = false
 			for _, id := range n.neighbours {
 				s.exchange(n, id, false)
 			}
@@ -148,15 +149,15 @@
 	}
 }
 
-// run advances for a time or until done, and returns the time taken and the
-// mean and highest bytes per second of a node.
-func (s *sim) run(limit time.Duration, done func() bool) (took time.Duration, mean, top float64) {
+// run advances the time until done returns true, but at most by limit. It returns
+// the time taken, and the mean and the highest bytes per second of a node.
+func (s *simulation) run(limit time.Duration, done func() bool) (took time.Duration, mean, top float64) {
 	for _, n := range s.nodes {
 		n.bytes = 0
 	}
 	for took < limit && !done() {
 		s.round()
-		took += tick
+		took += tickInterval
 	}
 	for _, n := range s.nodes {
 		b := float64(n.bytes) / took.Seconds()
@@ -165,10 +166,11 @@
 	return took, mean, top
 }
 
-func never() bool { return false }
+func neverDone() bool { return false }
 
-// missing returns how many live nodes do not hold what ok accepts of a member.
-func (s *sim) missing(id string, ok func(ObservedRecord[string], bool) bool) (n int) {
+// countLacking returns the number of live nodes whose record of a member is not
+// accepted by ok.
+func (s *simulation) countLacking(id string, ok func(ObservedRecord[string], bool) bool) (n int) {
 	for _, o := range s.nodes {
 		if r, found := o.Table.Get(id, s.now); !o.down && !ok(r, found) {
 			n++
@@ -177,54 +179,54 @@
 	return n
 }
 
-// TestDesignSize guards against exchanges whose bytes grow with the fleet, and
-// against failures and marks that spread too slowly at the design size.
+// TestDesignSize guards against exchange traffic that grows with the fleet, and
+// against failures and flags that spread too slowly at the design size.
 func TestDesignSize(t *testing.T) {
 	if !*designSize {
-		t.Skip("holds 7.8 million records and takes minutes; run with -design-size")
+		t.Skip("needs 7.8 million records and several minutes; run with -design-size")
 	}
-	s := newSim(t, designEntries, designAgents, true)
-	s.run(2*time.Second, never)
-	_, mean, top := s.run(3*time.Second, never)
-	t.Logf("quiet: %.0f B/s, at most %.0f", mean, top)
-	if top > rate {
-		t.Errorf("a quiet process takes %.0f B/s, want at most %d", top, rate)
+	s := newSimulation(t, designEntries, designAgents, true)
+	s.run(2*time.Second, neverDone)
+	_, mean, top := s.run(3*time.Second, neverDone)
+	t.Logf("without changes: %.0f B/s, at most %.0f", mean, top)
+	if top > budgetBytesPerSecond {
+		t.Errorf("a process uses %.0f B/s without changes, want at most %d", top, budgetBytesPerSecond)
 	}
 
 	n := s.nodes[1000]
 	n.Table.UpdateSelf(s.now, func(r *Record[string]) { r.Flags = 1 })
-	n.relay = true
+	n.sendNow = true
 	took, mean, top := s.run(10*time.Second, func() bool {
-		return s.missing(n.Table.self, func(r ObservedRecord[string], _ bool) bool { return r.Flags == 1 }) == 0
+		return s.countLacking(n.Table.self, func(r ObservedRecord[string], _ bool) bool { return r.Flags == 1 }) == 0
 	})
-	t.Logf("mark known everywhere after %v; %.0f B/s, at most %.0f", took, mean, top)
+	t.Logf("flag known everywhere after %v; %.0f B/s, at most %.0f", took, mean, top)
 	if took > 3*time.Second {
-		t.Errorf("mark known after %v, want 3 s", took)
+		t.Errorf("flag known after %v, want 3 s", took)
 	}
 
 	s.nodes[2000].down = true
 	id := s.nodes[2000].Table.self
-	anyone := func() bool {
-		return s.missing(id, func(r ObservedRecord[string], _ bool) bool { return r.State == Alive }) > 0
+	suspected := func() bool {
+		return s.countLacking(id, func(r ObservedRecord[string], _ bool) bool { return r.State == Alive }) > 0
 	}
-	found, _, _ := s.run(12*time.Second, anyone)
+	detection, _, _ := s.run(12*time.Second, suspected)
 	took, mean, top = s.run(10*time.Second, func() bool {
-		return s.missing(id, func(r ObservedRecord[string], _ bool) bool { return r.State != Alive }) == 0
+		return s.countLacking(id, func(r ObservedRecord[string], _ bool) bool { return r.State != Alive }) == 0
 	})
-	t.Logf("failure suspected after %v, known everywhere %v later; %.0f B/s, at most %.0f", found, took, mean, top)
+	t.Logf("failure suspected after %v, known everywhere %v later; %.0f B/s, at most %.0f", detection, took, mean, top)
 	if took > 3*time.Second {
 		t.Errorf("suspicion known after %v, want 3 s", took)
 	}
 }
 
-// TestBudgetHolds guards against a fleet whose records change all the time, as
-// during a spread, and that sends more than its setting; and against a mark
-// that is late meanwhile.
-func TestBudgetHolds(t *testing.T) {
-	s := newSim(t, 40, 120, true)
+// TestBudgetUnderChurn guards against exceeding the configured rate, and against
+// flags that spread late, while records change all the time, as during a
+// distribution of weights.
+func TestBudgetUnderChurn(t *testing.T) {
+	s := newSimulation(t, 40, 120, true)
 	s.now = s.now.Add(startupPeriod)
 	for _, n := range s.nodes {
-		n.Budget.Charge(rate*startupBurstSeconds, s.now)
+		n.Budget.Charge(budgetBytesPerSecond*startupBurstSeconds, s.now)
 	}
 	churn := func() bool {
 		for range 16 {
@@ -234,26 +236,26 @@
 	}
 	took, mean, top := s.run(30*time.Second, churn)
 	t.Logf("64 changes a second: %.0f B/s, at most %.0f, for %v", mean, top, took)
-	if mean > 2*rate || top > perDaemon {
-		t.Errorf("%.0f B/s, at most %.0f; want %d and %d", mean, top, 2*rate, perDaemon)
+	if mean > 2*budgetBytesPerSecond || top > maxControlBytesPerSecond {
+		t.Errorf("%.0f B/s, at most %.0f; want %d and %d", mean, top, 2*budgetBytesPerSecond, maxControlBytesPerSecond)
 	}
 	n := s.nodes[50]
 	n.Table.UpdateSelf(s.now, func(r *Record[string]) { r.Flags = 1 })
-	n.relay = true
+	n.sendNow = true
 	took, _, _ = s.run(10*time.Second, func() bool {
 		churn()
-		return s.missing(n.Table.self, func(r ObservedRecord[string], _ bool) bool { return r.Flags == 1 }) == 0
+		return s.countLacking(n.Table.self, func(r ObservedRecord[string], _ bool) bool { return r.Flags == 1 }) == 0
 	})
-	t.Logf("mark known everywhere after %v meanwhile", took)
+	t.Logf("flag known everywhere after %v under churn", took)
 	if took > 3*time.Second {
-		t.Errorf("mark known after %v, want 3 s", took)
+		t.Errorf("flag known after %v, want 3 s", took)
 	}
 }
 
-// TestStartConverges guards against members that do not find each other after
-// all started at once with a few seeds.
-func TestStartConverges(t *testing.T) {
-	s := newSim(t, 40, 120, false)
+// TestTablesConvergeAfterStart guards against members that do not find each other
+// after all started at once and know only a few seeds.
+func TestTablesConvergeAfterStart(t *testing.T) {
+	s := newSimulation(t, 40, 120, false)
 	took, mean, top := s.run(2*time.Minute, func() bool {
 		for _, n := range s.nodes {
 			if n.Table.Len() < len(s.nodes) {
@@ -262,8 +264,8 @@
 		}
 		return true
 	})
-	t.Logf("all known after %v; %.0f B/s, at most %.0f", took, mean, top)
+	t.Logf("all members known after %v; %.0f B/s, at most %.0f", took, mean, top)
 	if took >= time.Minute {
-		t.Errorf("all known after %v, want less than a minute", took)
+		t.Errorf("all members known after %v, want less than a minute", took)
 	}
 }
--- a/internal/core/membership/suspicion.go
+++ b/internal/core/membership/suspicion.go
@@ -6,8 +6,9 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// RecordSuccess notes a successful exchange with a member. A suspicion ends only
-// when the member itself raises its incarnation, so that all processes agree.
+// RecordSuccess records a successful exchange with a member. It does not end a
+// suspicion: that requires that the member itself raises its incarnation, so that
+// all processes agree.
 func (t *Table[P]) RecordSuccess(id string, now time.Time) {
 	if id == t.self {
 		return
@@ -18,7 +19,7 @@
 	})
 }
 
-// RecordFailure notes that an exchange with a member failed.
+// RecordFailure records a failed exchange with a member.
 func (t *Table[P]) RecordFailure(id string, now time.Time) {
 	if id == t.self {
 		return
@@ -31,8 +32,8 @@
 	})
 }
 
-// FailingIDs returns the ids of members that did not answer last time and are
-// not dead yet. They are tried until they answer or count as dead.
+// FailingIDs returns the ids of members whose last exchange failed and that are not
+// dead yet. The caller retries them until they respond or are declared dead.
 func (t *Table[P]) FailingIDs() []string {
 	var out []string
 	t.m.Range(func(id string, e tableEntry[P]) bool {
@@ -44,11 +45,12 @@
 	return out
 }
 
-// Tick applies the passage of time and returns whether any state changed.
-// A member that is silent to this process becomes suspect. A suspect, own or
-// reported, and a leaving member that is gone become dead if they do not
-// refute. Dead members are forgotten after KeepDead. If this process was paused
-// since the last call, the silence was its own and is not counted.
+// Tick applies timeouts and reports whether any state changed. A member that does
+// not respond to this process becomes suspect. A suspect that does not refute
+// becomes dead, whether this process or another one suspected it; so does a leaving
+// member that does not respond. Dead members are removed after KeepDead. If this
+// process was paused since the last call, the time of the pause does not count
+// against members.
 func (t *Table[P]) Tick(now time.Time) bool {
 	last := t.lastTick.Swap(now.UnixNano())
 	paused := last != 0 && now.Sub(time.Unix(0, last)) >= SuspectAfter
@@ -73,7 +75,7 @@
 	return changed
 }
 
-// withTimersReset starts the time of a suspicion again.
+// withTimersReset restarts the suspicion timeouts of a member.
 func (e tableEntry[P]) withTimersReset(now time.Time) tableEntry[P] {
 	e.failingSince = 0
 	if e.record.State == Suspect {
@@ -82,6 +84,7 @@
 	return e
 }
 
+// nextState returns the state that follows from the member's timeouts.
 func (e tableEntry[P]) nextState(now time.Time) State {
 	silent := time.Duration(0)
 	if e.failingSince != 0 {
@@ -107,8 +110,9 @@
 	return out
 }
 
-// ReportedSilentIDs returns the ids of members that others hold for suspect or dead and
-// that this process did not fail to reach. Contacting them lets them refute.
+// ReportedSilentIDs returns the ids of members that other processes report as
+// suspect or dead although this process did not fail to reach them. An exchange
+// gives such a member the opportunity to refute.
 func (t *Table[P]) ReportedSilentIDs(now time.Time) []string {
 	var out []string
 	t.m.Range(func(id string, e tableEntry[P]) bool {
@@ -121,13 +125,14 @@
 	return out
 }
 
-// recentDeathPeriod is the time for which a death makes the other members of the
-// failure domain worth a check.
+// recentDeathPeriod is the time after the death of a member in which the other
+// members of its failure domain are checked.
 const recentDeathPeriod = 15 * time.Second
 
-// LiveIDsInFailingDomains returns the live members of failure domains in which a member is
-// suspect or died lately. A whole domain that is cut off is then found in a
-// few rounds, instead of only as its members become neighbours.
+// LiveIDsInFailingDomains returns the ids of live members of failure domains in
+// which a member is suspect or died recently. By checking them, a process detects
+// within a few rounds that a whole domain is unreachable, instead of only when its
+// members become neighbours.
 func (t *Table[P]) LiveIDsInFailingDomains(now time.Time) []string {
 	domains := map[fleet.Domain]bool{}
 	t.m.Range(func(_ string, e tableEntry[P]) bool {
--- a/internal/core/membership/table.go
+++ b/internal/core/membership/table.go
@@ -1,11 +1,11 @@
-// Package membership holds the table of the processes of a deployment: how
-// records of the same member merge, when a silent member is suspected and
-// counts as dead, and which members a process talks to.
+// Package membership implements a gossip-based membership protocol: the table of a
+// deployment's processes, the merging of records, the detection of failed members,
+// the choice of neighbours, and the contents of the messages between processes.
 //
-// Records form a lattice. The incarnation decides first; within one
-// incarnation the later state and the higher version each win by themselves.
-// Merging is therefore commutative, associative and idempotent, and a record
-// never goes back.
+// The records of a member form a lattice. The higher incarnation takes precedence;
+// within one incarnation, the later state and the higher version take precedence
+// independently of each other. Merging is therefore commutative, associative and
+// idempotent, and a record never returns to an earlier state.
 package membership
 
 import (
@@ -17,25 +17,26 @@
 )
 
 const (
-	// SuspectAfter is the time without contact after which a member that does
-	// not answer is suspected.
+	// SuspectAfter is the time after which a member that does not respond becomes
+	// suspect.
 	SuspectAfter = 3 * time.Second
-	// DeadAfter is the time without contact after which it counts as dead. In
-	// between it can refute the suspicion.
+	// DeadAfter is the time after which a member that does not respond becomes dead.
+	// Until then it can refute the suspicion.
 	DeadAfter = 6 * time.Second
-	// ReportedGrace is the time for which a member is still used that another
-	// process reports as dead without a suspicion before. This happens when a
-	// partition heals; the refutations then have to cross the whole fleet.
+	// ReportedGrace is the time for which a member remains in use after another
+	// process reported it as dead without an earlier suspicion. This happens when a
+	// partition heals, and the refutations then have to reach the whole fleet.
 	ReportedGrace = 10 * time.Second
-	// KeepDead is the time for which dead members are remembered and tried
-	// again. Partitions of an hour are expected now and then.
+	// KeepDead is the time for which dead members are kept and retried. Partitions
+	// of an hour are expected occasionally.
 	KeepDead = time.Hour
 )
 
-// State is the state of a member; a later one wins at the same incarnation.
+// State is the state of a member. The constants are in the order of precedence
+// within one incarnation, lowest first.
 type State uint8
 
-// The states of a member.
+// States of a member.
 const (
 	Alive State = iota
 	Suspect
@@ -43,29 +44,30 @@
 	Dead
 )
 
-// Record is what is known of one member. P is what the member says of itself
-// beside that; it belongs to Version and is not looked at.
+// Record describes one member. P is the type of further data that the member
+// publishes with each Version; this package does not interpret it.
 type Record[P any] struct {
 	ID      string
 	Kind    fleet.Kind
 	Domain  fleet.Domain
 	Address fleet.Address
-	// Incarnation is set by the member and rises when it restarts or refutes.
+	// Incarnation is set by the member itself. The member increases it when it
+	// restarts or refutes a suspicion.
 	Incarnation uint64
-	// Version rises with each change that the member makes to its record.
+	// Version increases with each change that the member makes to its record.
 	Version uint64
 	State   State
-	// Flags hold what the payload says that others should hear of at once, such
-	// as that the member is cordoned. Only a difference of marks matters.
+	// Flags are the parts of the payload whose change is urgent, such as whether the
+	// member is cordoned. They are only compared for equality.
 	Flags uint8
-	// StateOnly marks a record of the state alone: incarnation and state count, the
-	// rest is not set. It changes nothing in a table that does not hold the
-	// member in that incarnation.
+	// StateOnly marks a record of which only ID, Incarnation, Version and State are
+	// set. It only changes the state of a member that the table contains in the same
+	// incarnation.
 	StateOnly bool
 	Payload   P
 }
 
-// Merge returns the join of two records of the same member and whether it
+// Merge returns the join of two records of the same member, and whether the join
 // differs from a.
 func Merge[P any](a, b Record[P]) (Record[P], bool) {
 	if b.Incarnation != a.Incarnation {
@@ -82,8 +84,8 @@
 	return out, out.Version != a.Version || out.State != a.State
 }
 
-// instant is a time in Unix nanoseconds; zero means never. It takes a third of
-// the memory of a time.Time.
+// instant is a time in Unix nanoseconds; zero means never. It needs a third of the
+// memory of a time.Time.
 type instant int64
 
 func instantOf(t time.Time) instant { return instant(t.UnixNano()) }
@@ -93,46 +95,48 @@
 	return time.Duration(now.UnixNano() - int64(i))
 }
 
-// tableEntry is a record with what this process observed of the member.
+// tableEntry is a record with this process's observations of the member.
 type tableEntry[P any] struct {
 	record Record[P]
-	// confirmedAt is when the record was last known to be true, here or elsewhere.
+	// confirmedAt is the time at which the record was last confirmed, by this
+	// process or another one.
 	confirmedAt instant
-	// failingSince is when the first of a row of failed contacts happened; zero
-	// after a successful one.
+	// failingSince is the time of the first failed exchange since the last successful
+	// one, or zero.
 	failingSince instant
-	// stateSince is when the state was entered, as seen here.
+	// stateSince is the time at which this process learned of the state.
 	stateSince instant
-	// refutableUntil is the time until which a member that others report as dead is
-	// still used, so that it can refute.
+	// refutableUntil is the time until which a member that others report as dead
+	// remains in use, so that it can refute.
 	refutableUntil instant
-	// changedAt is when this process learned of the last change, and sends counts how
-	// often it is still to be passed on.
+	// changedAt is the time at which this process learned of the last change, and
+	// sendsLeft the number of times that the change remains to be sent.
 	changedAt instant
 	sendsLeft uint16
-	// urgent means that the change is one of state or marks.
+	// urgent means that the change concerns the state or the flags.
 	urgent bool
 }
 
-// confirmedDead reports whether the member is dead and had the time to refute. When a
-// partition heals, each side learns that the other held it for dead; without
-// that time every member would vanish for a moment. It ends early if this
-// process cannot reach the member either.
+// confirmedDead reports whether the member is dead and its time to refute is over.
+// When a partition heals, each side learns that the other side considered it dead;
+// without that time, every member would disappear briefly. The time ends early if
+// this process cannot reach the member either.
 func (e tableEntry[P]) confirmedDead(now time.Time) bool {
 	silent := e.failingSince != 0 && e.failingSince.elapsed(now) >= SuspectAfter
 	return e.record.State == Dead && (silent || e.refutableUntil.elapsed(now) >= 0)
 }
 
-// ObservedRecord is a record with the time since it was last known to be true.
+// ObservedRecord is a record with the observations of the process that holds it.
 type ObservedRecord[P any] struct {
 	Record[P]
+	// Age is the time since the record was last confirmed.
 	Age time.Duration
-	// ConfirmedDead means that the member is known to be dead.
+	// ConfirmedDead means that the member is dead and its time to refute is over.
 	ConfirmedDead bool
 }
 
-// Table holds the members, sharded by id. The record of the process itself is
-// in the table as well; only the process changes it.
+// Table is the table of members, sharded by id. It includes the record of the
+// process itself, which only this process changes.
 type Table[P any] struct {
 	self string
 	m    *shard.Map[string, tableEntry[P]]
@@ -141,7 +145,7 @@
 	digestTree digestTree
 }
 
-// NewTable returns a table that holds the record of its own process.
+// NewTable returns a table that contains only the record of its own process.
 func NewTable[P any](self Record[P], now time.Time) *Table[P] {
 	t := &Table[P]{self: self.ID, m: shard.New[string, tableEntry[P]](0)}
 	t.update(self.ID, func(tableEntry[P], bool) (tableEntry[P], bool) {
@@ -173,7 +177,8 @@
 	return max(0, e.confirmedAt.elapsed(now))
 }
 
-// UpdateSelf changes the record of the process itself and raises its version.
+// UpdateSelf applies change to the record of the process itself, increases its
+// version and returns it.
 func (t *Table[P]) UpdateSelf(now time.Time, change func(*Record[P])) Record[P] {
 	var out Record[P]
 	t.update(t.self, func(e tableEntry[P], _ bool) (tableEntry[P], bool) {
@@ -188,24 +193,25 @@
 	return out
 }
 
-// MergeOutcome says what a merge changed.
+// MergeOutcome is the effect of Table.Merge.
 type MergeOutcome uint8
 
-// The outcomes of Table.Merge.
+// Outcomes of Table.Merge.
 const (
 	// Unchanged means that nothing changed.
 	Unchanged MergeOutcome = iota
 	// Updated means that the member is new or its record changed.
 	Updated
-	// StateChanged means that its state or marks changed, which is passed on at once.
+	// StateChanged means that the state or the flags of the member changed, which is
+	// sent to others at once.
 	StateChanged
-	// Refuted means that another process held this one for suspect or dead, or
-	// knew a former life of it, and its incarnation was raised.
+	// Refuted means that another process considered this one suspect or dead, or had
+	// a record of an earlier run of it, and that this process raised its incarnation.
 	Refuted
 )
 
-// Merge takes a record from another process; age is the time since it was
-// last known to be true.
+// Merge merges a record from another process into the table. age is the time since
+// the record was last confirmed.
 func (t *Table[P]) Merge(r Record[P], age time.Duration, now time.Time) MergeOutcome {
 	if r.ID == t.self {
 		return t.refute(r, now)
@@ -254,8 +260,8 @@
 	return out
 }
 
-// refute raises the incarnation of the process itself if another process
-// holds a record that would win over its own.
+// refute raises the incarnation of the process itself if another process has a
+// record that would take precedence over its own.
 func (t *Table[P]) refute(r Record[P], now time.Time) MergeOutcome {
 	out := Unchanged
 	t.update(t.self, func(e tableEntry[P], _ bool) (tableEntry[P], bool) {
@@ -271,19 +277,20 @@
 	return out
 }
 
-// Range calls f for each member while the lock of its shard is held.
-func (t *Table[P]) Range(now time.Time, f func(ObservedRecord[P]) bool) {
-	t.m.Range(func(_ string, e tableEntry[P]) bool { return f(t.observed(e, now)) })
+// Range calls f for each member, holding the lock of the member's shard, until f
+// returns false.
+func (t *Table[P]) Range(now time.Time, visit func(ObservedRecord[P]) bool) {
+	t.m.Range(func(_ string, e tableEntry[P]) bool { return visit(t.observed(e, now)) })
 }
 
-// ConfirmedDead reports whether the member is known to be dead.
+// ConfirmedDead reports whether the member is dead and its time to refute is over.
 func (t *Table[P]) ConfirmedDead(id string, now time.Time) bool {
 	e, ok := t.m.Get(id)
 	return ok && e.confirmedDead(now)
 }
 
-// LiveMembers returns the members that are not known to be dead, the process itself
-// included.
+// LiveMembers returns the members that are not confirmed dead, including the process
+// itself.
 func (t *Table[P]) LiveMembers(now time.Time) []ObservedRecord[P] {
 	var out []ObservedRecord[P]
 	t.m.Range(func(_ string, e tableEntry[P]) bool {
@@ -295,7 +302,7 @@
 	return out
 }
 
-// AllMembers returns every member, the process itself included.
+// AllMembers returns all members, including the process itself.
 func (t *Table[P]) AllMembers(now time.Time) []ObservedRecord[P] {
 	var out []ObservedRecord[P]
 	t.Range(now, func(s ObservedRecord[P]) bool {
--- a/internal/core/membership/updates.go
+++ b/internal/core/membership/updates.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// urgentSends and sendsUpdate are how often a process passes on a change. Of
-	// the urgent ones half go to members that have them already.
-	// What members do not receive in this way they find by their digests.
+	// urgentSends and updateSends are the numbers of times that a process sends an
+	// urgent and any other change. Half of the urgent sends go to members that have
+	// the change already. Members that do not receive a change in this way find it
+	// by digests.
 	urgentSends = 2 * (SameDomainNeighbours + OtherDomainNeighbours)
 	updateSends = 3
-	// sendPeriod is the time for which a change is passed on. Without it, a fleet
-	// that starts passes on each of its records for as long as the budget
-	// needs, to members that have them.
+	// sendPeriod is the time within which a change is sent. Without this limit, the
+	// processes of a fleet that starts would send each record, for as long as the
+	// budget requires, to members that have it already.
 	sendPeriod = 10 * time.Second
 )
 
-// withPendingSends makes a change something to pass on. One that follows an urgent one
-// does not take its place.
+// withPendingSends schedules a change for sending. A change that is not urgent does
+// not replace an urgent one that is still pending.
 func (e tableEntry[P]) withPendingSends(now time.Time, urgent bool) tableEntry[P] {
 	if !urgent && e.urgent && e.hasPendingSends(now) {
 		return e
@@ -35,13 +36,13 @@
 	return e.sendsLeft > 0 && e.changedAt.elapsed(now) < sendPeriod
 }
 
-// RecordSize estimates the bytes that a record takes in a message.
+// RecordSize estimates the encoded size of a record in bytes.
 type RecordSize[P any] func(*Record[P]) int
 
-// TakeChanges returns records that changed lately and counts them as passed on
-// once more: urgent ones first, then those passed on least. Urgent ones take
-// at most urgent bytes; others are added up to room bytes in all. State
-// changes of a member that is not alive go out as bare records.
+// TakeChanges returns records with pending changes and counts each as sent once:
+// urgent changes first, then those that were sent least often. Urgent changes may
+// fill max(urgent, room) bytes, others are added up to a total of room bytes.
+// Urgent changes of a suspect or dead member are returned as state-only records.
 func (t *Table[P]) TakeChanges(urgent, room int, size RecordSize[P], now time.Time) []ObservedRecord[P] {
 	type item struct {
 		id        string
@@ -75,13 +76,13 @@
 			if !ok {
 				return e, false
 			}
-			s := t.observed(e, now)
+			rec := t.observed(e, now)
 			if e.urgent && (e.record.State == Suspect || e.record.State == Dead) {
-				s.Record = stateOnly(s.Record)
+				rec.Record = stateOnly(rec.Record)
 			}
-			if n := size(&s.Record); used+n <= limit {
+			if n := size(&rec.Record); used+n <= limit {
 				used, e.sendsLeft = used+n, e.sendsLeft-1
-				out = append(out, s)
+				out = append(out, rec)
 			}
 			return e, true
 		})
@@ -92,12 +93,12 @@
 	return out
 }
 
-// stateOnly returns the state of a record alone.
+// stateOnly returns a state-only copy of a record.
 func stateOnly[P any](r Record[P]) Record[P] {
 	return Record[P]{ID: r.ID, Incarnation: r.Incarnation, Version: r.Version, State: r.State, StateOnly: true}
 }
 
-// HasPendingChanges reports whether changes wait to be passed on.
+// HasPendingChanges reports whether any change remains to be sent.
 func (t *Table[P]) HasPendingChanges(now time.Time) bool {
 	found := false
 	t.m.Range(func(_ string, e tableEntry[P]) bool {
