--- a/internal/app/entry/answer.go
+++ b/internal/app/entry/answer.go
@@ -9,73 +9,76 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// answer is an answer whose first piece was received. It is used by one
-// goroutine.
-type answer struct {
-	src    port.Answer
-	first  []byte
-	err    error
-	ready  bool
-	ended  bool
-	closed bool
-	done   func()
-	permit func()
+// targetAnswer is the answer of one target. prefetch receives its first piece
+// before the caller reads it. It is used by one goroutine.
+type targetAnswer struct {
+	src port.Answer
+	// firstPiece and firstErr are the result of prefetch; hasFirst means that Next
+	// has not returned them yet.
+	firstPiece    []byte
+	firstErr      error
+	hasFirst      bool
+	streamClosed  bool
+	closed        bool
+	releaseTarget func()
+	releasePermit func()
 }
 
-// prefetch receives the first piece and checks that the answer belongs to the
-// request.
-func (a *answer) prefetch(q *port.ServeRequest) error {
+// prefetch checks that the answer belongs to the request and receives the first
+// piece.
+func (a *targetAnswer) prefetch(req *port.ServeRequest) error {
 	h := a.src.Head()
-	if h.ID != q.ID {
+	if h.ID != req.ID {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBrokenAnswer, "answer belongs to request %q", h.ID)
 	}
-	if q.Group != "" && h.Version == "" {
+	if req.Group != "" && h.Version == "" {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBrokenAnswer, "answer does not name its version")
 	}
-	a.first, a.err = a.src.Next()
-	a.ready = true
-	if a.err != nil && !errors.Is(a.err, io.EOF) {
-		return a.err
+	a.firstPiece, a.firstErr = a.src.Next()
+	a.hasFirst = true
+	if a.firstErr != nil && !errors.Is(a.firstErr, io.EOF) {
+		return a.firstErr
 	}
 	return nil
 }
 
-func (a *answer) release(f func()) { a.permit = f }
+// onClose sets a function that Close calls to release the permit.
+func (a *targetAnswer) onClose(f func()) { a.releasePermit = f }
 
 // Head implements port.Answer.
-func (a *answer) Head() port.AnswerHead { return a.src.Head() }
+func (a *targetAnswer) Head() port.AnswerHead { return a.src.Head() }
 
 // Next implements port.Answer.
-func (a *answer) Next() ([]byte, error) {
-	if a.ready {
-		a.ready = false
-		b := a.first
-		a.first = nil
-		return b, a.err
+func (a *targetAnswer) Next() ([]byte, error) {
+	if a.hasFirst {
+		a.hasFirst = false
+		b := a.firstPiece
+		a.firstPiece = nil
+		return b, a.firstErr
 	}
 	return a.src.Next()
 }
 
-// end closes the stream and leaves the target.
-func (a *answer) end() error {
-	if a.ended {
+// closeStream closes the stream and releases the slot in the target.
+func (a *targetAnswer) closeStream() error {
+	if a.streamClosed {
 		return nil
 	}
-	a.ended = true
+	a.streamClosed = true
 	err := a.src.Close()
-	a.done()
+	a.releaseTarget()
 	return err
 }
 
-// Close implements port.Answer. It returns the permit.
-func (a *answer) Close() error {
+// Close implements port.Answer. It also releases the permit.
+func (a *targetAnswer) Close() error {
 	if a.closed {
 		return nil
 	}
 	a.closed = true
-	err := a.end()
-	if a.permit != nil {
-		a.permit()
+	err := a.closeStream()
+	if a.releasePermit != nil {
+		a.releasePermit()
 	}
 	return err
 }
--- a/internal/app/entry/attempt.go
+++ b/internal/app/entry/attempt.go
@@ -9,44 +9,44 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// attempts tries targets until one answers or no retry is allowed. A refusal
-// for lack of room is no retry: the request keeps its permit and waits for room
-// until its deadline, because a permit says that there is room for it and only
-// the entry's view of the targets lags.
-// It adds the targets that it tried to tried.
-func (e *Entry) attempts(
-	ctx context.Context, r *port.ServeRequest, p *plan, tried map[fleet.VM]bool,
-) (*answer, error) {
+// tryTargets sends the request to one target after another until one answers or
+// no further retry is allowed. A refusal for lack of room does not count as a
+// retry: the request keeps its permit and waits for room until its deadline,
+// because the permit means that there is room for it and only the entry's view of
+// the targets lags behind. tryTargets adds the targets that it used to tried.
+func (e *Entry) tryTargets(
+	ctx context.Context, r *port.ServeRequest, pc *poolConfig, tried map[fleet.VM]bool,
+) (*targetAnswer, error) {
 	var last error
 	mayHaveRun := false
-	for n, full := 0, 0; ; {
-		c, err := e.next(ctx, r, p, tried, full)
+	for retries, fullRefusals := 0, 0; ; {
+		c, err := e.reserveTarget(ctx, r, pc, tried, fullRefusals)
 		if err != nil {
 			if last == nil {
 				last = err
 			}
 			break
 		}
-		a, err := e.attempt(ctx, r, c)
+		a, err := e.tryTarget(ctx, r, c)
 		if err == nil {
 			tried[c.VM] = true
 			return a, nil
 		}
 		last = err
-		if v := verdict.FromError(err); fullCode(v.Code) && v.Verdict == verdict.NotRun {
-			full++
+		if v := verdict.FromError(err); isFullCode(v.Code) && v.Verdict == verdict.NotRun {
+			fullRefusals++
 			e.countRetry(r, err)
 			continue
 		}
 		tried[c.VM] = true
 		mayHaveRun = mayHaveRun || verdict.FromError(err).Verdict != verdict.NotRun
-		if n >= routing.MaxRetries || !retryable(ctx, verdict.FromError(err), !p.once(r)) || !e.budget.TryWithdraw(p.pool) {
+		if retries >= routing.MaxRetries || !retryable(ctx, verdict.FromError(err), !pc.atMostOnce(r)) || !e.budget.TryWithdraw(pc.pool) {
 			break
 		}
-		n++
+		retries++
 		e.countRetry(r, err)
 	}
-	return nil, overall(last, mayHaveRun)
+	return nil, finalError(last, mayHaveRun)
 }
 
 func (e *Entry) countRetry(r *port.ServeRequest, err error) {
@@ -55,9 +55,10 @@
 		port.Attr{Key: "code", Value: string(verdict.FromError(err).Code)})
 }
 
-// overall returns the error of a request. A refusal by the last target does not
-// undo that an earlier one may have run the request.
-func overall(err error, mayHaveRun bool) error {
+// finalError returns the error of a request whose last attempt failed with err. If
+// an earlier attempt may have run the request, the verdict is at least
+// may-have-run, even if the last target refused the request.
+func finalError(err error, mayHaveRun bool) error {
 	v := verdict.FromError(err)
 	if mayHaveRun && v.Verdict == verdict.NotRun {
 		return v.WithVerdict(verdict.MayHaveRun)
@@ -65,8 +66,9 @@
 	return v
 }
 
-// retryable reports whether another target may answer after this error.
-func retryable(ctx context.Context, v *verdict.Error, repeatable bool) bool {
+// retryable reports whether the request may be sent to another target after this
+// error. mayRerun says whether it may run more than once.
+func retryable(ctx context.Context, v *verdict.Error, mayRerun bool) bool {
 	if ctx.Err() != nil {
 		return false
 	}
@@ -75,48 +77,48 @@
 		verdict.CodeCanceled, verdict.CodeDeadline, verdict.CodeDuplicate, verdict.CodeInProgress:
 		return false
 	}
-	return v.Verdict == verdict.NotRun || repeatable && v.Verdict == verdict.MayHaveRun
+	return v.Verdict == verdict.NotRun || mayRerun && v.Verdict == verdict.MayHaveRun
 }
 
-// attempt sends the request to a target in which next took a place, and waits
-// for the first piece of the answer, because a failure before it can still be
-// retried. All attempts carry the caller's request id, which the engine names
-// in its answer; each has its own stream, and no target gets two of them unless
-// it refused the first one for lack of room.
-func (e *Entry) attempt(ctx context.Context, r *port.ServeRequest, c routing.Choice) (*answer, error) {
-	q := *r
-	q.Revision, q.FromDomain = e.revision(), e.Domain
+// tryTarget sends the request to a target in which reserveTarget reserved a slot.
+// It waits for the first piece of the answer, because a failure before that piece
+// can still be retried. All attempts carry the caller's request id, which the
+// engine repeats in its answer. Each attempt has its own stream, and no target
+// gets a second attempt unless it refused the first one for lack of room.
+func (e *Entry) tryTarget(ctx context.Context, r *port.ServeRequest, c routing.Choice) (*targetAnswer, error) {
+	req := *r
+	req.Revision, req.FromDomain = e.revision(), e.Domain
 	if d, ok := ctx.Deadline(); ok {
-		if q.Timeout = d.Sub(e.Clock.Now()); q.Timeout <= 0 {
+		if req.Timeout = d.Sub(e.Clock.Now()); req.Timeout <= 0 {
 			e.table.Release(c.VM)
 			return nil, verdict.New(verdict.NotRun, verdict.CodeDeadline, "deadline passed")
 		}
 	}
 	var load *port.Load
-	src, err := e.Agents.Serve(ctx, c.Address, q, func(l port.Load) { load = &l })
+	src, err := e.Agents.Serve(ctx, c.Address, req, func(l port.Load) { load = &l })
 	if err != nil {
 		e.table.Release(c.VM)
 	}
 	switch {
 	case load == nil:
-	case err != nil && fullCode(verdict.FromError(err).Code):
+	case err != nil && isFullCode(verdict.FromError(err).Code):
 		e.table.RecordFull(c.VM, load.InFlight, load.Limit, e.Clock.Now())
 	default:
 		e.table.RecordLoad(c.VM, load.InFlight, load.Limit)
-		e.lendCapacity(poolOf(r))
+		e.adjustCapacityIfQueued(poolOf(r))
 	}
 	if err != nil {
 		return nil, err
 	}
-	a := &answer{src: src, done: func() { e.table.Release(c.VM) }}
-	if err := a.prefetch(&q); err != nil {
+	a := &targetAnswer{src: src, releaseTarget: func() { e.table.Release(c.VM) }}
+	if err := a.prefetch(&req); err != nil {
 		_ = a.Close()
 		return nil, err
 	}
 	return a, nil
 }
 
-func fullCode(c verdict.Code) bool {
+func isFullCode(c verdict.Code) bool {
 	return c == verdict.CodeTargetFull || c == verdict.CodeTargetWarming
 }
 
--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -1,5 +1,6 @@
 // Package entry is the application of an entry process: it admits callers'
-// requests, queues them, picks targets, retries, and watches the agents.
+// requests, queues them, chooses targets, retries failed attempts, and watches
+// the status of the agents.
 package entry
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Deps are the parts of the outside that an entry uses.
+// Deps holds the ports and settings of an Entry.
 type Deps struct {
 	ID        string
 	Domain    fleet.Domain
@@ -27,30 +28,30 @@
 	Metrics   port.Metrics
 }
 
-// Entry answers decoded requests. Its shared state is in the table, the queue,
-// the budget and the plans, each in a sharded map.
+// Entry serves decoded requests. Its shared state is in the routing table, the
+// queue, the retry budget and the caches, each in a sharded map.
 type Entry struct {
 	Deps
-	table  *routing.Table
-	queue  *schedule.Queue
-	budget *routing.RetryBudget
-	plans  *shard.Map[routing.Pool, *plan]
-	assign *shard.Map[fleet.VM, assigned]
-	sizes  *shard.Map[routing.Pool, poolSize]
+	table       *routing.Table
+	queue       *schedule.Queue
+	budget      *routing.RetryBudget
+	poolConfigs *shard.Map[routing.Pool, *poolConfig]
+	assignments *shard.Map[fleet.VM, cachedAssignment]
+	poolSizes   *shard.Map[routing.Pool, poolSize]
 }
 
 var _ httpapi.Backend = (*Entry)(nil)
 
-// New returns an entry that knows no target yet.
+// New returns an entry without any targets. Run adds them.
 func New(d Deps) *Entry {
 	return &Entry{
-		Deps:   d,
-		table:  routing.NewTable(),
-		queue:  schedule.NewQueue(d.MaxQueued),
-		budget: routing.NewRetryBudget(),
-		plans:  shard.New[routing.Pool, *plan](0),
-		assign: shard.New[fleet.VM, assigned](0),
-		sizes:  shard.New[routing.Pool, poolSize](0),
+		Deps:        d,
+		table:       routing.NewTable(),
+		queue:       schedule.NewQueue(d.MaxQueued),
+		budget:      routing.NewRetryBudget(),
+		poolConfigs: shard.New[routing.Pool, *poolConfig](0),
+		assignments: shard.New[fleet.VM, cachedAssignment](0),
+		poolSizes:   shard.New[routing.Pool, poolSize](0),
 	}
 }
 
@@ -74,11 +75,11 @@
 // Serve implements httpapi.Backend. The request holds its permit until the
 // answer is closed.
 func (e *Entry) Serve(ctx context.Context, r port.ServeRequest, begin func() error) (port.Answer, error) {
-	p, err := e.plan(poolOf(&r), &r)
+	pc, err := e.poolConfig(poolOf(&r), &r)
 	if err != nil {
 		return nil, err
 	}
-	t, err := e.enqueue(ctx, &r, p)
+	t, err := e.enqueue(ctx, &r, pc)
 	if err != nil {
 		e.countShed(&r, err)
 		return nil, err
@@ -88,40 +89,40 @@
 		e.countShed(&r, err)
 		return nil, err
 	}
-	e.budget.Deposit(p.pool)
+	e.budget.Deposit(pc.pool)
 	tried := map[fleet.VM]bool{}
-	a, err := e.attempts(ctx, &r, p, tried)
+	a, err := e.tryTargets(ctx, &r, pc, tried)
 	if err != nil {
 		e.queue.Release(t, e.Clock.Now())
 		return nil, err
 	}
-	a.release(func() { e.queue.Release(t, e.Clock.Now()) })
+	a.onClose(func() { e.queue.Release(t, e.Clock.Now()) })
 	if r.Group == "" {
 		return a, nil
 	}
-	return &resumable{answer: a, e: e, ctx: ctx, r: r, p: p, tried: tried, head: a.Head()}, nil
+	return &resumableAnswer{targetAnswer: a, e: e, ctx: ctx, r: r, pc: pc, tried: tried, head: a.Head()}, nil
 }
 
-// enqueue waits for a permit.
-func (e *Entry) enqueue(ctx context.Context, r *port.ServeRequest, p *plan) (*schedule.Ticket, error) {
+// enqueue puts the request into the queue and waits until it gets a permit.
+func (e *Entry) enqueue(ctx context.Context, r *port.ServeRequest, pc *poolConfig) (*schedule.Ticket, error) {
 	start := e.Clock.Now()
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		deadline = start.Add(r.Timeout)
 	}
-	c := p.decl.Customers[r.Customer]
+	c := pc.decl.Customers[r.Customer]
 	t, err := e.queue.Enqueue(schedule.Request{
-		Pool: p.pool, Customer: r.Customer, Class: r.Class,
+		Pool: pc.pool, Customer: r.Customer, Class: r.Class,
 		Share: c.Share, MaxQueued: c.MaxQueued, Deadline: deadline,
 	}, start)
 	if err != nil {
 		return nil, err
 	}
-	e.lendCapacity(p.pool)
+	e.adjustCapacityIfQueued(pc.pool)
 	select {
 	case err = <-t.Granted():
 	case <-ctx.Done():
-		err = ended(ctx, verdict.NotRun)
+		err = contextError(ctx, verdict.NotRun)
 	}
 	e.queue.MarkStarted(t)
 	e.Metrics.Seconds("masticwing_entry_queue_seconds", e.Clock.Now().Sub(start), requestAttrs(r)...)
@@ -132,8 +133,8 @@
 	return t, nil
 }
 
-// ended returns the error of a request whose context has ended.
-func ended(ctx context.Context, v verdict.Verdict) error {
+// contextError returns the error of a request whose context has ended.
+func contextError(ctx context.Context, v verdict.Verdict) error {
 	if ctx.Err() == context.DeadlineExceeded {
 		return verdict.Wrap(ctx.Err(), v, verdict.CodeDeadline, "deadline passed")
 	}
@@ -149,7 +150,7 @@
 	return []port.Attr{{Key: "customer", Value: string(r.Customer)}, {Key: "class", Value: r.Class.String()}}
 }
 
-// State is the value of /status.
+// State is the state of an entry as GET /status reports it.
 type State struct {
 	Revision  uint64                 `json:"revision"`
 	AgeMS     int64                  `json:"age_ms"`
@@ -157,7 +158,7 @@
 	Targets   []routing.TargetStatus `json:"targets"`
 }
 
-// State returns what the entry knows, for operators.
+// State returns the current state for operators.
 func (e *Entry) State(bytesHeld int64) State {
 	s := State{BytesHeld: bytesHeld, Targets: e.table.Snapshot(e.Clock.Now())}
 	if d, age := e.Directory.Declaration(); d != nil {
--- a/internal/app/entry/entry_test.go
+++ b/internal/app/entry/entry_test.go
@@ -19,27 +19,26 @@
 )
 
 const (
-	current fleet.Version = "v-current"
-	former  fleet.Version = "v-former"
+	currentVersion  fleet.Version = "v-current"
+	previousVersion fleet.Version = "v-previous"
 )
 
-// fakeAgent is an agent behind a real rpc server. serve decides what a request
-// does.
+// fakeAgent is an agent behind a real rpc server. serve handles the requests.
 type fakeAgent struct {
 	addr fleet.Address
 
-	mu     sync.Mutex
-	status port.AgentStatus
-	seen   []port.ServeRequest
-	serve  func(ctx context.Context, r port.ServeRequest, sink port.AnswerSink) error
+	mu       sync.Mutex
+	status   port.AgentStatus
+	requests []port.ServeRequest
+	serve    func(ctx context.Context, r port.ServeRequest, sink port.AnswerSink) error
 }
 
 func (a *fakeAgent) Serve(ctx context.Context, r port.ServeRequest, sink port.AnswerSink) error {
 	a.mu.Lock()
-	a.seen = append(a.seen, r)
-	f := a.serve
+	a.requests = append(a.requests, r)
+	handle := a.serve
 	a.mu.Unlock()
-	return f(ctx, r, sink)
+	return handle(ctx, r, sink)
 }
 
 func (a *fakeAgent) Load() port.Load { return a.state().Load }
@@ -50,10 +49,10 @@
 	return a.status
 }
 
-func (a *fakeAgent) calls() int {
+func (a *fakeAgent) requestCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.seen)
+	return len(a.requests)
 }
 
 func (a *fakeAgent) WatchStatus(ctx context.Context, _ string, send func(port.AgentStatus) error) error {
@@ -69,8 +68,8 @@
 	}
 }
 
-// whole answers with two frames that name the agent.
-func (a *fakeAgent) whole(_ context.Context, r port.ServeRequest, sink port.AnswerSink) error {
+// serveComplete sends a complete answer of two frames.
+func (a *fakeAgent) serveComplete(_ context.Context, r port.ServeRequest, sink port.AnswerSink) error {
 	st := a.state()
 	if err := sink.Head(port.AnswerHead{ID: r.ID, Version: st.Version, Status: 200, ContentType: "text/plain"}, st.Load); err != nil {
 		return err
@@ -81,40 +80,44 @@
 	return sink.Data([]byte("{\"token\":2}\n"))
 }
 
-func failing(v verdict.Verdict, c verdict.Code) func(context.Context, port.ServeRequest, port.AnswerSink) error {
-	return func(context.Context, port.ServeRequest, port.AnswerSink) error { return verdict.New(v, c, "as told") }
+// failWith returns a serve function that fails with the verdict and code.
+func failWith(v verdict.Verdict, c verdict.Code) func(context.Context, port.ServeRequest, port.AnswerSink) error {
+	return func(context.Context, port.ServeRequest, port.AnswerSink) error {
+		return verdict.New(v, c, "injected failure")
+	}
 }
 
-// world is an entry with agents on loopback.
-type world struct {
+// harness runs an entry with fake agents on the loopback interface.
+type harness struct {
 	t      *testing.T
 	dir    *porttest.Directory
 	entry  *Entry
 	agents []*fakeAgent
 }
 
-func declaration() *declare.Declaration {
-	sel := func(v string) declare.Selector {
+func testDeclaration() *declare.Declaration {
+	selector := func(v string) declare.Selector {
 		return declare.Selector{{Key: "pool", Op: declare.In, Values: []string{v}}}
 	}
 	return &declare.Declaration{
 		Revision:  7,
 		Customers: map[fleet.Customer]declare.Customer{"resort": {Share: 1}},
 		Domains:   map[fleet.Domain]declare.Domain{"a": {Region: "r"}, "b": {Region: "r"}},
-		Groups:    map[fleet.Group]declare.Group{"summaries": {VMs: sel("model")}},
+		Groups:    map[fleet.Group]declare.Group{"summaries": {VMs: selector("model")}},
 		Models: map[fleet.Model]declare.Model{"m": {
-			Versions: map[string]fleet.Version{"now": current, "then": former},
+			Versions: map[string]fleet.Version{"now": currentVersion, "then": previousVersion},
 		}},
 		Rules: []declare.Rule{{Name: "main", Version: "now"}},
 		Services: map[fleet.Service]declare.Service{"status": {
-			VMs: sel("status"), Calls: map[string]declare.Call{"read": {}, "log": {AtMostOnce: true}},
+			VMs: selector("status"), Calls: map[string]declare.Call{"read": {}, "log": {AtMostOnce: true}},
 		}},
 	}
 }
 
-// newWorld starts n agents of a pool, in domains a and b in turn.
-func newWorld(t *testing.T, pool string, n int) *world {
-	w := &world{t: t, dir: porttest.NewDirectory()}
+// newHarness starts an entry and n agents of a pool, alternately in the domains a
+// and b.
+func newHarness(t *testing.T, pool string, n int) *harness {
+	h := &harness{t: t, dir: porttest.NewDirectory()}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	t.Cleanup(func() { cancel(); wg.Wait() })
@@ -126,27 +129,27 @@
 		}}
 		a.status.Service = "status"
 		if pool == "model" {
-			a.status.Service, a.status.Group, a.status.Version = "", "summaries", current
+			a.status.Service, a.status.Group, a.status.Version = "", "summaries", currentVersion
 		}
-		a.serve = a.whole
+		a.serve = a.serveComplete
 		a.addr = serveAgent(t, ctx, &wg, a)
-		w.agents = append(w.agents, a)
+		h.agents = append(h.agents, a)
 		records = append(records, port.MemberRecord{
 			ID: string(a.status.VM), Kind: fleet.KindAgent, Domain: a.status.Domain, Address: a.addr,
 			Labels: map[string]string{"pool": pool},
 		})
 	}
-	w.dir.Declare(declaration(), 0)
-	w.dir.SetMembers(records...)
+	h.dir.Declare(testDeclaration(), 0)
+	h.dir.SetMembers(records...)
 	client := rpc.NewClient()
 	t.Cleanup(client.Close)
-	w.entry = New(Deps{
-		ID: "e1", Domain: "a", MaxQueued: 100, Directory: w.dir, Agents: client,
+	h.entry = New(Deps{
+		ID: "e1", Domain: "a", MaxQueued: 100, Directory: h.dir, Agents: client,
 		Clock: sysclock.Clock{}, Rand: sysclock.Rand{}, Metrics: noMetrics{},
 	})
-	wg.Go(func() { w.entry.Run(ctx) })
-	w.until("all targets are known", func() bool { return len(w.entry.table.Snapshot(time.Now())) == n })
-	return w
+	wg.Go(func() { h.entry.Run(ctx) })
+	h.waitUntil("all targets are known", func() bool { return len(h.entry.table.Snapshot(time.Now())) == n })
+	return h
 }
 
 func serveAgent(t *testing.T, ctx context.Context, wg *conc.WaitGroup, a *fakeAgent) fleet.Address {
@@ -163,34 +166,35 @@
 	return fleet.Address(lis.Addr().String())
 }
 
-func (w *world) until(what string, f func() bool) {
-	w.t.Helper()
+// waitUntil waits until the condition is true and fails the test after 5 s.
+func (h *harness) waitUntil(what string, condition func() bool) {
+	h.t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if f() {
+		if condition() {
 			return
 		}
 	}
-	w.t.Fatalf("not reached: %s", what)
+	h.t.Fatalf("condition not reached: %s", what)
 }
 
-// change sets the behaviour of every agent.
-func (w *world) change(f func(i int, a *fakeAgent)) {
-	for i, a := range w.agents {
+// updateAgents applies update to every agent under its lock.
+func (h *harness) updateAgents(update func(i int, a *fakeAgent)) {
+	for i, a := range h.agents {
 		a.mu.Lock()
-		f(i, a)
+		update(i, a)
 		a.mu.Unlock()
 	}
 }
 
-func (w *world) calls() int {
+func (h *harness) requestCount() int {
 	n := 0
-	for _, a := range w.agents {
-		n += a.calls()
+	for _, a := range h.agents {
+		n += a.requestCount()
 	}
 	return n
 }
 
-// noMetrics drops measurements.
+// noMetrics discards all measurements.
 type noMetrics struct{}
 
 func (noMetrics) Count(string, int64, ...port.Attr)           {}
--- a/internal/app/entry/plan.go
+++ b/internal/app/entry/pool_config.go
@@ -15,20 +15,20 @@
 	return routing.Pool{Group: r.Group, Service: r.Service}
 }
 
-// plan is what one declaration says of a pool. It is immutable.
-type plan struct {
+// poolConfig is the part of a declaration that concerns one pool. It is immutable.
+type poolConfig struct {
 	decl    *declare.Declaration
 	pool    routing.Pool
 	version fleet.Version
-	// older lists the other declared versions of the group's model. With
-	// overlap keep-old a target may serve one of them until it has loaded the
-	// declared one, so that a change does not interrupt service.
-	older map[fleet.Version]bool
+	// olderVersions lists the other declared versions of the group's model, if
+	// the group's overlap is keep-old. A target may serve one of them until it has
+	// loaded the declared version, so that a change does not interrupt service.
+	olderVersions map[fleet.Version]bool
 }
 
-// plan returns the plan of a pool for the newest declaration. It is derived
-// once per declaration.
-func (e *Entry) plan(k routing.Pool, r *port.ServeRequest) (*plan, error) {
+// poolConfig returns the configuration of a pool under the newest declaration. It
+// is computed once per declaration and cached.
+func (e *Entry) poolConfig(k routing.Pool, r *port.ServeRequest) (*poolConfig, error) {
 	d, _ := e.Directory.Declaration()
 	if d == nil {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeNoConfiguration, "no configuration is known yet")
@@ -36,36 +36,37 @@
 	if err := checkTarget(d, r); err != nil {
 		return nil, err
 	}
-	if p, ok := e.plans.Get(k); ok && p.decl == d {
-		return p, nil
+	if pc, ok := e.poolConfigs.Get(k); ok && pc.decl == d {
+		return pc, nil
 	}
-	p := newPlan(d, k)
-	e.plans.Put(k, p)
-	return p, nil
+	pc := newPoolConfig(d, k)
+	e.poolConfigs.Put(k, pc)
+	return pc, nil
 }
 
-func newPlan(d *declare.Declaration, k routing.Pool) *plan {
-	p := &plan{decl: d, pool: k}
+func newPoolConfig(d *declare.Declaration, k routing.Pool) *poolConfig {
+	pc := &poolConfig{decl: d, pool: k}
 	if k.Group == "" {
-		return p
+		return pc
 	}
 	model, version, ok := d.GroupVersion(k.Group)
 	if !ok {
-		return p
+		return pc
 	}
-	p.version = version
+	pc.version = version
 	if d.Groups[k.Group].Overlap == declare.KeepOld {
-		p.older = map[fleet.Version]bool{}
+		pc.olderVersions = map[fleet.Version]bool{}
 		for _, v := range d.Models[model].Versions {
 			if v != version {
-				p.older[v] = true
+				pc.olderVersions[v] = true
 			}
 		}
 	}
-	return p
+	return pc
 }
 
-// checkTarget checks the names of a request against the declaration.
+// checkTarget checks that the group, or the service and call, of a request are
+// declared, and that a call that runs at most once has an idempotency key.
 func checkTarget(d *declare.Declaration, r *port.ServeRequest) error {
 	if r.Group != "" {
 		if _, ok := d.Groups[r.Group]; !ok {
@@ -87,13 +88,14 @@
 	return nil
 }
 
-// once reports whether the request may run at most once.
-func (p *plan) once(r *port.ServeRequest) bool {
-	return r.Service != "" && p.decl.Services[r.Service].Calls[r.Call].AtMostOnce
+// atMostOnce reports whether the request must not run more than once.
+func (pc *poolConfig) atMostOnce(r *port.ServeRequest) bool {
+	return r.Service != "" && pc.decl.Services[r.Service].Calls[r.Call].AtMostOnce
 }
 
-// assigned caches the assignment of one agent.
-type assigned struct {
+// cachedAssignment is the assignment of one agent. It is valid for one
+// declaration and for one incarnation and version of the agent's member record.
+type cachedAssignment struct {
 	decl        *declare.Declaration
 	incarnation uint64
 	version     uint64
@@ -101,8 +103,8 @@
 	cordoned    bool
 }
 
-// agents returns the agents that may serve each pool, without those that are
-// leaving or out of service.
+// agents returns the agents that may serve each pool, without those that
+// are leaving, dead or cordoned.
 func (e *Entry) agents(d *declare.Declaration) map[routing.Pool][]routing.Agent {
 	out := map[routing.Pool][]routing.Agent{}
 	for _, m := range e.Directory.Members(fleet.KindAgent) {
@@ -118,22 +120,23 @@
 	return out
 }
 
-func (e *Entry) assignment(d *declare.Declaration, m *port.MemberRecord) assigned {
+func (e *Entry) assignment(d *declare.Declaration, m *port.MemberRecord) cachedAssignment {
 	vm := fleet.VM(m.ID)
-	a, ok := e.assign.Get(vm)
+	a, ok := e.assignments.Get(vm)
 	if ok && a.decl == d && a.incarnation == m.Incarnation && a.version == m.Version {
 		return a
 	}
-	x := d.Assign(declare.Machine{VM: vm, Domain: m.Domain, Labels: m.Labels})
-	a = assigned{d, m.Incarnation, m.Version, routing.Pool{Group: x.Group, Service: x.Service}, x.Cordoned}
-	e.assign.Put(vm, a)
+	computed := d.Assign(declare.Machine{VM: vm, Domain: m.Domain, Labels: m.Labels})
+	a = cachedAssignment{d, m.Incarnation, m.Version, routing.Pool{Group: computed.Group, Service: computed.Service}, computed.Cordoned}
+	e.assignments.Put(vm, a)
 	return a
 }
 
-// onceOrder returns the agents of a service in the order in which a keyed call
-// tries them. It is the same at every entry with the same members.
-func (e *Entry) onceOrder(p *plan, r *port.ServeRequest) []routing.Choice {
-	agents := e.agents(p.decl)[p.pool]
+// rankAgents returns the agents of a service in the order in which a call with an
+// idempotency key tries them. The order is the same at every entry that knows the
+// same members.
+func (e *Entry) rankAgents(pc *poolConfig, r *port.ServeRequest) []routing.Choice {
+	agents := e.agents(pc.decl)[pc.pool]
 	byID := make(map[string]routing.Agent, len(agents))
 	ids := make([]string, 0, len(agents))
 	for _, a := range agents {
--- a/internal/app/entry/run.go
+++ b/internal/app/entry/run.go
@@ -19,78 +19,82 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// closeTimeout bounds the time to send the last bytes of finished answers.
+// closeTimeout limits the time for sending the last bytes of finished answers.
 const closeTimeout = 2 * time.Second
 
-// readinessEvery is the time between two looks at the reason why the process
-// serves nothing, which changes without a change of the configuration.
-const readinessEvery = 500 * time.Millisecond
+// readinessInterval is the interval at which the reason why the process is not
+// ready is updated. The reason can change without a change of the declaration.
+const readinessInterval = 500 * time.Millisecond
 
 const (
 	// gcPercent replaces the 50 of the other daemons, since an entry shares its
-	// VM with no target. With 50 and a live heap of 4 MB, collections took a
-	// quarter of the processor time at 1,000 requests a second.
+	// VM with no target. With 50 and a live heap of 4 MB, garbage collection took
+	// a quarter of the CPU time at 1,000 requests per second.
 	gcPercent = 200
-	// baseMemory is what an entry uses beside the bytes held for callers:
-	// tables, metrics, and the runtime's own. All but idle connections is
-	// counted, with room for garbage, so the limit may be close to the bound.
+	// baseMemory is the memory of an entry in addition to the bytes held for
+	// callers: tables, metrics and the Go runtime. It covers everything except idle
+	// connections and includes room for garbage, so the memory limit can be close
+	// to the process's memory bound.
 	baseMemory = 6 << 20
-	// idleBytes is added for each idle connection: two buffers of 4 KiB, a
-	// goroutine, and what its last request leaves. Without it, some thousand of
-	// them would keep the collector busy all the time.
-	idleBytes = 24 << 10
-	// limitEvery is the time between two looks at the idle connections.
-	limitEvery = time.Second
+	// idleConnectionBytes is added to the memory limit for each idle connection:
+	// two buffers of 4 KiB, a goroutine, and what remains of the last request.
+	// Without it, a few thousand idle connections would make the collector run all
+	// the time.
+	idleConnectionBytes = 24 << 10
+	// memoryLimitInterval is the interval at which the memory limit is adapted to
+	// the number of idle connections.
+	memoryLimitInterval = time.Second
 )
 
-// collectLess sets the collector's pace.
-func collectLess() {
+// setGCPercent sets gcPercent, unless the environment sets another value.
+func setGCPercent() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
 	}
 }
 
-// limitMemory makes the collector keep the process near its bounds until ctx
-// ends. Near the limit it collects more often than gcPercent says, so that
-// garbage does not add to what callers that read nothing hold.
+// limitMemory keeps the runtime's memory limit up to date until ctx ends, unless
+// the environment sets one. Near the limit, the collector runs more often than
+// gcPercent implies, so that garbage does not add to the memory that is held for
+// callers that do not read.
 func limitMemory(ctx context.Context, held int64, idle func() int) {
 	if os.Getenv("GOMEMLIMIT") != "" {
 		return
 	}
-	look := time.NewTicker(limitEvery)
-	defer look.Stop()
+	ticker := time.NewTicker(memoryLimitInterval)
+	defer ticker.Stop()
 	for last := int64(-1); ; {
-		if n := held + baseMemory + idleBytes*int64(idle()); n != last {
+		if n := held + baseMemory + idleConnectionBytes*int64(idle()); n != last {
 			debug.SetMemoryLimit(n)
 			last = n
 		}
 		select {
-		case <-look.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// Directory is the part of the process that knows the deployment and answers
-// other processes about it.
+// Directory is the process's view of the deployment, together with the handler
+// through which other processes exchange it.
 type Directory interface {
 	port.Directory
-	// NotReady returns why this process serves nothing yet, or "".
+	// NotReady returns the reason why this process is not ready, or "".
 	NotReady() string
-	// Handler answers other processes.
+	// Handler returns the handler for requests of other processes.
 	Handler() port.MemberHandler
-	// Traffic returns the bytes sent and received by kind.
+	// Traffic returns the bytes sent and received, by kind of message.
 	Traffic() []port.Traffic
 	// Run keeps the directory up to date until ctx ends.
 	Run(ctx context.Context)
 }
 
-// NewDirectory builds the directory of a process.
-type NewDirectory func(c *Config, env daemon.Env, client *rpc.Client) (Directory, error)
+// DirectoryBuilder builds the directory of a process. Tests replace it.
+type DirectoryBuilder func(c *Config, env daemon.Env, client *rpc.Client) (Directory, error)
 
-// Role returns the role of the entry binary.
-func Role(build NewDirectory) daemon.Role {
+// Role returns the daemon role of the masticwing-entry binary.
+func Role(build DirectoryBuilder) daemon.Role {
 	c := &Config{}
 	return daemon.Role{
 		Name:     "masticwing-entry",
@@ -110,16 +114,16 @@
 	server *rpc.Server
 }
 
-// status is the value of /status.
+// status is the response to GET /status.
 type status struct {
 	State
 	Traffic []port.Traffic `json:"traffic"`
 }
 
-// run serves until ctx ends and then drains. Everything that requests in
-// progress need runs until they have finished.
-func run(ctx context.Context, c *Config, env daemon.Env, build NewDirectory) error {
-	collectLess()
+// run serves until ctx ends and then drains. The components that requests in
+// progress need keep running until those requests have finished.
+func run(ctx context.Context, c *Config, env daemon.Env, build DirectoryBuilder) error {
+	setGCPercent()
 	client := rpc.NewClient()
 	client.Source = c.Source
 	defer client.Close()
@@ -151,22 +155,22 @@
 		_ = rpcLis.Close()
 		return errors.Wrap(err, "listening on the callers' address")
 	}
-	live, stop := context.WithCancel(context.WithoutCancel(ctx))
+	backgroundCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	failed := make(chan error, 4)
 	var wg conc.WaitGroup
-	background := func(f func() error) {
+	start := func(f func() error) {
 		wg.Go(func() {
-			if err := f(); err != nil && live.Err() == nil {
+			if err := f(); err != nil && backgroundCtx.Err() == nil {
 				failed <- err
 			}
 		})
 	}
-	background(func() error { p.dir.Run(live); return nil })
-	background(func() error { return p.server.Serve(live, rpcLis) })
-	background(func() error { return p.api.Serve(httpLis) })
-	background(func() error { p.entry.Run(live); return nil })
-	background(func() error { p.followReadiness(ctx); return nil })
-	background(func() error { limitMemory(live, p.cfg.Memory, p.api.IdleConnections); return nil })
+	start(func() error { p.dir.Run(backgroundCtx); return nil })
+	start(func() error { return p.server.Serve(backgroundCtx, rpcLis) })
+	start(func() error { return p.api.Serve(httpLis) })
+	start(func() error { p.entry.Run(backgroundCtx); return nil })
+	start(func() error { p.updateReadiness(ctx); return nil })
+	start(func() error { limitMemory(backgroundCtx, p.cfg.Memory, p.api.IdleConnections); return nil })
 	select {
 	case <-ctx.Done():
 		err = nil
@@ -178,13 +182,13 @@
 	return err
 }
 
-// followReadiness marks the process ready once it knows a configuration, and
-// never again after the stop has begun.
-func (p *process) followReadiness(ctx context.Context) {
+// updateReadiness marks the process ready once a declaration is known, unless the
+// shutdown has begun.
+func (p *process) updateReadiness(ctx context.Context) {
 	changed, unsubscribe := p.dir.Subscribe()
 	defer unsubscribe()
-	look := time.NewTicker(readinessEvery)
-	defer look.Stop()
+	ticker := time.NewTicker(readinessInterval)
+	defer ticker.Stop()
 	for {
 		p.env.Admin.NotReady(cmp.Or(p.dir.NotReady(), "no configuration is known yet"))
 		if d, _ := p.dir.Declaration(); d != nil && ctx.Err() == nil {
@@ -196,14 +200,15 @@
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-look.C:
+		case <-ticker.C:
 		}
 	}
 	<-ctx.Done()
 	p.env.Admin.NotReady("shutting down")
 }
 
-// shutDown refuses new requests and finishes those in progress.
+// shutDown refuses new requests and waits for those in progress, up to the drain
+// timeout.
 func (p *process) shutDown() {
 	p.env.Admin.NotReady("shutting down")
 	p.dir.UpdateSelf(func(m *port.MemberRecord) { m.State = port.MemberLeaving })
@@ -213,7 +218,7 @@
 	if err := p.api.Drain(ctx); err != nil {
 		p.env.Log.Fault("drain time passed", err)
 	}
-	last, cancelLast := context.WithTimeout(context.Background(), closeTimeout)
-	defer cancelLast()
-	p.api.Close(last)
+	closeCtx, cancelClose := context.WithTimeout(context.Background(), closeTimeout)
+	defer cancelClose()
+	p.api.Close(closeCtx)
 }
--- a/internal/app/entry/run_test.go
+++ b/internal/app/entry/run_test.go
@@ -22,7 +22,7 @@
 	"github.com/masticwing/masticwing/internal/port/porttest"
 )
 
-// fakeDirectory runs the fake of the port inside a process.
+// fakeDirectory extends the fake port.Directory to an entry's Directory.
 type fakeDirectory struct{ *porttest.Directory }
 
 func (fakeDirectory) Run(ctx context.Context) { <-ctx.Done() }
@@ -43,7 +43,8 @@
 	return lis.Addr().String()
 }
 
-func get(url string) int {
+// getStatus returns the HTTP status of a GET request, or 0 if it failed.
+func getStatus(url string) int {
 	res, err := http.Get(url)
 	if err != nil {
 		return 0
@@ -67,27 +68,27 @@
 	return string(b), err
 }
 
-// TestPlannedStop guards against a planned stop that interrupts a request in
-// progress, starts a new one, or leaves the process ready.
-func TestPlannedStop(t *testing.T) {
-	w := newWorld(t, "model", 1)
+// TestGracefulShutdown guards against a graceful shutdown that interrupts a request
+// in progress, accepts a new one, or leaves the process ready.
+func TestGracefulShutdown(t *testing.T) {
+	h := newHarness(t, "model", 1)
 	started, release := make(chan struct{}), make(chan struct{})
-	w.change(func(_ int, a *fakeAgent) {
+	h.updateAgents(func(_ int, a *fakeAgent) {
 		a.serve = func(ctx context.Context, r port.ServeRequest, sink port.AnswerSink) error {
 			close(started)
 			<-release
-			return a.whole(ctx, r, sink)
+			return a.serveComplete(ctx, r, sink)
 		}
 	})
 	admin, listen := freeAddress(t), freeAddress(t)
 	path := filepath.Join(t.TempDir(), "entry.ini")
-	text := fmt.Sprintf("[node]\nid = e1\nadmin = %s\ndomain = a\nregion = r\nrpc = %s\n[platform]\naddress = 127.0.0.1:1\n[http]\nlisten = %s\n",
+	config := fmt.Sprintf("[node]\nid = e1\nadmin = %s\ndomain = a\nregion = r\nrpc = %s\n[platform]\naddress = 127.0.0.1:1\n[http]\nlisten = %s\n",
 		admin, freeAddress(t), listen)
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	role := Role(func(*Config, daemon.Env, *rpc.Client) (Directory, error) {
-		return fakeDirectory{w.dir}, nil
+		return fakeDirectory{h.dir}, nil
 	})
 	var wg conc.WaitGroup
 	var out bytes.Buffer
@@ -95,7 +96,7 @@
 	wg.Go(func() {
 		code = daemon.Main(role, []string{"masticwing-entry", "run", "--config", path}, io.Discard, &out)
 	})
-	w.until("the entry is ready", func() bool { return get("http://"+admin+"/readyz") == 200 })
+	h.waitUntil("the entry is ready", func() bool { return getStatus("http://"+admin+"/readyz") == 200 })
 
 	var body string
 	wg.Go(func() { body, _ = postGenerate(listen) })
@@ -103,16 +104,16 @@
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	w.until("the entry is not ready", func() bool { return get("http://"+admin+"/readyz") == 503 })
-	w.until("the entry announces that it leaves", func() bool { return w.dir.Self().State == port.MemberLeaving })
-	w.until("new requests are refused", func() bool {
+	h.waitUntil("the entry is not ready", func() bool { return getStatus("http://"+admin+"/readyz") == 503 })
+	h.waitUntil("the entry announces that it is leaving", func() bool { return h.dir.Self().State == port.MemberLeaving })
+	h.waitUntil("new requests are refused", func() bool {
 		b, err := postGenerate(listen)
 		return err == nil && strings.Contains(b, `"code":"shutting_down"`) && strings.Contains(b, `"verdict":"not-run"`)
 	})
 	time.Sleep(50 * time.Millisecond)
 	close(release)
 	wg.Wait()
-	if code != 0 || !strings.Contains(body, `"end":{"verdict":"ran"`) || w.calls() != 1 {
-		t.Fatalf("exit code %d, request in progress got %q, %d calls\n%s", code, body, w.calls(), out.String())
+	if code != 0 || !strings.Contains(body, `"end":{"verdict":"ran"`) || h.requestCount() != 1 {
+		t.Fatalf("exit code %d, request in progress got %q, %d requests at the agent\n%s", code, body, h.requestCount(), out.String())
 	}
 }
--- a/internal/app/entry/settings.go
+++ b/internal/app/entry/settings.go
@@ -20,7 +20,8 @@
 	Drain     time.Duration
 }
 
-// Register adds the settings to a set and returns the common part.
+// Register adds the settings to s and returns those that all daemons have in
+// common.
 func (c *Config) Register(s *settings.Set) *daemon.Common {
 	c.Common.Register(s)
 	c.Settings.Register(s)
--- a/internal/app/entry/watch.go
+++ b/internal/app/entry/watch.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	// capacityEvery is the pause between two computations of the permits of a
-	// pool in which no request waits. They rest on all loads, which change with
-	// every answer, so a signal for each change would cost more than the timer.
-	capacityEvery = 250 * time.Millisecond
-	// refreshPause is the least time between two choices of the watched
-	// agents, since the member table changes all the time in a large fleet.
-	refreshPause = 200 * time.Millisecond
-	// backoffMin and backoffMax bound the pause before a status stream is
-	// opened again.
+	// capacityInterval is the interval at which the permits of a pool without
+	// queued requests are computed. They depend on the loads of all targets, which
+	// change with every answer, so a signal per change would cost more than a timer.
+	capacityInterval = 250 * time.Millisecond
+	// watchRefreshInterval is the shortest time between two selections of the
+	// watched agents, since the member table changes all the time in a large fleet.
+	watchRefreshInterval = 200 * time.Millisecond
+	// backoffMin and backoffMax limit the delay before a status stream is reopened.
 	backoffMin = 100 * time.Millisecond
 	backoffMax = 2 * time.Second
 )
 
-// Run watches agents and follows their capacity until ctx ends.
+// Run watches the agents' status and updates the permits of the pools until ctx
+// ends.
 func (e *Entry) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	wg.Go(func() { e.watchAgents(ctx, &wg) })
-	wg.Go(func() { e.followCapacity(ctx) })
+	wg.Go(func() { e.updateCapacityLoop(ctx) })
 	wg.Go(func() { e.wakeWaiters(ctx) })
 	wg.Wait()
 }
 
-// wakeWaiters lets the requests that wait for a target look again when the
-// declaration or the members have changed.
+// wakeWaiters wakes the requests that wait for a target whenever the declaration
+// or the members have changed.
 func (e *Entry) wakeWaiters(ctx context.Context) {
 	changed, stop := e.Directory.Subscribe()
 	defer stop()
@@ -51,23 +51,23 @@
 	}
 }
 
-// watched is a status stream in progress.
-type watched struct {
+// watchedAgent is an agent with an open status stream. cancel closes the stream.
+type watchedAgent struct {
 	agent  routing.Agent
 	cancel context.CancelFunc
 }
 
-// watchAgents keeps a status stream to each agent of the subset.
+// watchAgents keeps a status stream open to each agent of agentsToWatch.
 func (e *Entry) watchAgents(ctx context.Context, wg *conc.WaitGroup) {
 	changed, stop := e.Directory.Subscribe()
 	defer stop()
-	running := map[fleet.VM]watched{}
+	running := map[fleet.VM]watchedAgent{}
 	for {
-		e.refresh(ctx, wg, running)
+		e.updateWatchedAgents(ctx, wg, running)
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.Clock.After(refreshPause):
+		case <-e.Clock.After(watchRefreshInterval):
 		}
 		select {
 		case <-ctx.Done():
@@ -77,8 +77,10 @@
 	}
 }
 
-func (e *Entry) refresh(ctx context.Context, wg *conc.WaitGroup, running map[fleet.VM]watched) {
-	want := e.subset()
+// updateWatchedAgents starts and stops status streams so that running matches
+// agentsToWatch.
+func (e *Entry) updateWatchedAgents(ctx context.Context, wg *conc.WaitGroup, running map[fleet.VM]watchedAgent) {
+	want := e.agentsToWatch()
 	for vm, w := range running {
 		if a, ok := want[vm]; !ok || a != w.agent {
 			w.cancel()
@@ -90,18 +92,19 @@
 			continue
 		}
 		c, cancel := context.WithCancel(ctx)
-		running[vm] = watched{a, cancel}
-		wg.Go(func() { e.watch(c, a) })
+		running[vm] = watchedAgent{a, cancel}
+		wg.Go(func() { e.watchAgent(c, a) })
 	}
 }
 
-func (e *Entry) subset() map[fleet.VM]routing.Agent {
+// agentsToWatch returns the agents of all pools whose status this entry watches.
+func (e *Entry) agentsToWatch() map[fleet.VM]routing.Agent {
 	want := map[fleet.VM]routing.Agent{}
 	d, _ := e.Directory.Declaration()
 	if d == nil {
 		return want
 	}
-	e.forgetAssignments()
+	e.dropOldAssignments()
 	for _, agents := range e.agents(d) {
 		for _, a := range routing.Subset(e.ID, e.Domain, agents) {
 			want[a.VM] = a
@@ -110,35 +113,37 @@
 	return want
 }
 
-// forgetAssignments drops the cached assignments of agents that are gone.
-func (e *Entry) forgetAssignments() {
+// dropOldAssignments removes the cached assignments of agents that are no longer
+// members.
+func (e *Entry) dropOldAssignments() {
 	members := map[fleet.VM]bool{}
 	for _, m := range e.Directory.Members(fleet.KindAgent) {
 		members[fleet.VM(m.ID)] = true
 	}
-	var gone []fleet.VM
-	e.assign.Range(func(vm fleet.VM, _ assigned) bool {
+	var departed []fleet.VM
+	e.assignments.Range(func(vm fleet.VM, _ cachedAssignment) bool {
 		if !members[vm] {
-			gone = append(gone, vm)
+			departed = append(departed, vm)
 		}
 		return true
 	})
-	for _, vm := range gone {
-		e.assign.Delete(vm)
+	for _, vm := range departed {
+		e.assignments.Delete(vm)
 	}
 }
 
-// watch reads the status of one agent and reconnects until ctx ends.
-func (e *Entry) watch(ctx context.Context, a routing.Agent) {
-	pause := backoffMin
+// watchAgent reads the status of one agent and reconnects until ctx ends.
+func (e *Entry) watchAgent(ctx context.Context, a routing.Agent) {
+	backoff := backoffMin
 	for ctx.Err() == nil {
 		if e.readStatus(ctx, a) {
-			pause = backoffMin
+			backoff = backoffMin
 		}
 		e.table.Forget(a.VM)
-		// Entries that lost the same agent do not return all at once.
-		jittered := pause/2 + time.Duration(e.Rand.IntN(int(pause)))
-		pause = min(2*pause, backoffMax)
+		// The jitter prevents entries that lost the same agent from reconnecting all
+		// at once.
+		jittered := backoff/2 + time.Duration(e.Rand.IntN(int(backoff)))
+		backoff = min(2*backoff, backoffMax)
 		select {
 		case <-ctx.Done():
 		case <-e.Clock.After(jittered):
@@ -146,55 +151,56 @@
 	}
 }
 
-// readStatus records states until the stream ends. It reports whether there
-// was one.
+// readStatus records the agent's status messages until the stream ends. It reports
+// whether there was at least one.
 func (e *Entry) readStatus(ctx context.Context, a routing.Agent) bool {
 	s, err := e.Agents.WatchStatus(ctx, a.Address, e.ID, e.Domain)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = s.Close() }()
-	for got := false; ; got = true {
-		st, err := s.Next()
+	for received := false; ; received = true {
+		status, err := s.Next()
 		if err != nil || ctx.Err() != nil {
-			return got
+			return received
 		}
-		e.table.RecordStatus(report(a, &st), e.Clock.Now())
+		e.table.RecordStatus(targetStatus(a, &status), e.Clock.Now())
 	}
 }
 
-func report(a routing.Agent, s *port.AgentStatus) routing.TargetStatus {
+func targetStatus(a routing.Agent, s *port.AgentStatus) routing.TargetStatus {
 	return routing.TargetStatus{
 		VM: a.VM, Domain: a.Domain, Address: a.Address,
 		Pool:     routing.Pool{Group: s.Group, Service: s.Service},
 		Version:  s.Version,
 		InFlight: s.Load.InFlight,
 		Limit:    s.Load.Limit,
-		// An address that another VM has taken over is not this target.
+		// Another VM may have taken over the address.
 		Usable: s.VM == a.VM && s.Ready && !s.Cordoned && !s.Leaving && s.Load.Limit > 0,
 	}
 }
 
-// followCapacity sets the permits of each pool.
-func (e *Entry) followCapacity(ctx context.Context) {
+// updateCapacityLoop updates the permits of each pool until ctx ends.
+func (e *Entry) updateCapacityLoop(ctx context.Context) {
 	for {
 		if d, _ := e.Directory.Declaration(); d != nil {
-			e.setCapacity(d)
+			e.updateCapacity(d)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.Clock.After(capacityEvery):
+		case <-e.Clock.After(capacityInterval):
 		}
 	}
 }
 
-// setCapacity finds the size of each pool and sets its permits.
-func (e *Entry) setCapacity(d *declare.Declaration) {
-	entries := e.aliveEntries()
+// updateCapacity determines the size of each pool, sets its permits and reports
+// its metrics.
+func (e *Entry) updateCapacity(d *declare.Declaration) {
+	entries := e.countLiveEntries()
 	agents := e.agents(d)
-	for _, k := range pools(d) {
-		e.sizes.Put(k, poolSize{agents: len(agents[k]), entries: entries})
+	for _, k := range declaredPools(d) {
+		e.poolSizes.Put(k, poolSize{agents: len(agents[k]), entries: entries})
 		n := e.adjustCapacity(k)
 		queued, inUse := e.queue.Depth(k)
 		pool := port.Attr{Key: "pool", Value: k.String()}
@@ -204,30 +210,33 @@
 	}
 }
 
-// lendCapacity adjusts the permits of a pool in which requests wait. Their
-// number follows the loads that come with answers: with the pause of
-// followCapacity alone, an entry whose share is used up waits while others
-// leave places free, which doubled the 99th percentile at 90% of capacity.
-func (e *Entry) lendCapacity(k routing.Pool) {
+// adjustCapacityIfQueued adjusts the permits of a pool if requests are queued for
+// it. It is called for every load that arrives with an answer. With the updates of
+// updateCapacityLoop alone, requests of an entry that has used up its share waited
+// while other entries left slots free, which doubled the 99th percentile of the
+// latency at 90% of capacity.
+func (e *Entry) adjustCapacityIfQueued(k routing.Pool) {
 	if queued, _ := e.queue.Depth(k); queued > 0 {
 		e.adjustCapacity(k)
 	}
 }
 
-// adjustCapacity gives a pool this entry's share of its capacity, or what it
-// uses and half of what seems free. The latter lets one entry use what the
-// others leave; by half, because they see the same free places.
+// adjustCapacity sets the permits of a pool to this entry's share of the pool's
+// capacity or, if that is more, to the slots that the entry uses plus half of those
+// that seem free. The latter lets one entry use what the others leave free. It is
+// only half, because all entries see the same free slots.
 func (e *Entry) adjustCapacity(k routing.Pool) int {
 	now := e.Clock.Now()
-	size, _ := e.sizes.Get(k)
+	size, _ := e.poolSizes.Get(k)
 	c := e.table.Capacity(k, now)
-	n := max(size.permits(c), c.OwnInFlight+c.Free/2)
+	n := max(size.permitShare(c), c.OwnInFlight+c.Free/2)
 	e.queue.SetCapacity(k, n, now)
 	return n
 }
 
-// aliveEntries counts this process also while no other one has heard of it.
-func (e *Entry) aliveEntries() int {
+// countLiveEntries returns the number of entries, including this one, that are not
+// leaving or dead. It counts this process even if the directory does not list it.
+func (e *Entry) countLiveEntries() int {
 	n := 1
 	for _, m := range e.Directory.Members(fleet.KindEntry) {
 		if m.ID != e.ID && m.State <= port.MemberSuspect {
@@ -240,9 +249,9 @@
 // poolSize is the number of agents and of entries that share a pool.
 type poolSize struct{ agents, entries int }
 
-// permits is one entry's share of the pool's capacity. Where only a subset of
-// the agents is watched, their mean limit stands for the others.
-func (s poolSize) permits(c routing.Capacity) int {
+// permitShare returns one entry's share of the pool's capacity. If only a subset
+// of the agents is watched, it assumes their mean limit for the others.
+func (s poolSize) permitShare(c routing.Capacity) int {
 	if c.Targets == 0 || s.entries == 0 {
 		return 1
 	}
@@ -253,16 +262,16 @@
 	return int(math.Ceil(total / float64(s.entries)))
 }
 
-// watchers is the expected number of entries that watch an agent, and 0 while
-// the size is not known.
-func (s poolSize) watchers() float64 {
+// entriesPerAgent returns the expected number of entries that watch an agent, or 0
+// while the size is unknown.
+func (s poolSize) entriesPerAgent() float64 {
 	if s.agents <= routing.MaxWatchedAgents {
 		return float64(s.entries)
 	}
 	return max(1, float64(s.entries)*routing.MaxWatchedAgents/float64(s.agents))
 }
 
-func pools(d *declare.Declaration) []routing.Pool {
+func declaredPools(d *declare.Declaration) []routing.Pool {
 	var out []routing.Pool
 	for g := range d.Groups {
 		out = append(out, routing.Pool{Group: g})
--- a/internal/app/entry/watch_test.go
+++ b/internal/app/entry/watch_test.go
@@ -11,6 +11,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
+// await waits until c is closed or receives a value, or ctx ends.
 func await(ctx context.Context, c <-chan struct{}) {
 	select {
 	case <-c:
@@ -18,29 +19,29 @@
 	}
 }
 
-// TestLendsFreePlaces guards against a request that waits for the next
-// computation of the permits although an answer has shown that other entries
-// leave places free.
-func TestLendsFreePlaces(t *testing.T) {
-	w := newWorld(t, "model", 1)
-	heads, end := make(chan struct{}), make(chan struct{})
-	w.change(func(_ int, a *fakeAgent) {
+// TestAnswerRaisesPermits guards against a queued request that waits for the next
+// periodic update of the permits although an answer has shown that other entries
+// leave slots free.
+func TestAnswerRaisesPermits(t *testing.T) {
+	h := newHarness(t, "model", 1)
+	sendHead, endAnswers := make(chan struct{}), make(chan struct{})
+	h.updateAgents(func(_ int, a *fakeAgent) {
 		a.status.Load.InFlight = 2
 		a.serve = func(ctx context.Context, r port.ServeRequest, sink port.AnswerSink) error {
-			await(ctx, heads)
-			err := a.whole(ctx, r, sink)
-			await(ctx, end)
+			await(ctx, sendHead)
+			err := a.serveComplete(ctx, r, sink)
+			await(ctx, endAnswers)
 			return err
 		}
 	})
 	// Without Run, only requests and answers change the permits.
-	e := New(w.entry.Deps)
+	e := New(h.entry.Deps)
 	pool := routing.Pool{Group: "summaries"}
-	agent := routing.Agent{VM: w.agents[0].status.VM, Domain: "a", Address: w.agents[0].addr}
-	full := w.agents[0].state()
+	agent := routing.Agent{VM: h.agents[0].status.VM, Domain: "a", Address: h.agents[0].addr}
+	full := h.agents[0].state()
 	full.Load.InFlight = full.Load.Limit
-	e.table.RecordStatus(report(agent, &full), time.Now())
-	e.sizes.Put(pool, poolSize{agents: 1, entries: 4})
+	e.table.RecordStatus(targetStatus(agent, &full), time.Now())
+	e.poolSizes.Put(pool, poolSize{agents: 1, entries: 4})
 	if n := e.adjustCapacity(pool); n != 2 {
 		t.Fatalf("%d permits, want a quarter of 8", n)
 	}
@@ -49,26 +50,26 @@
 	var wg conc.WaitGroup
 	for range 3 {
 		wg.Go(func() {
-			a, err := e.Serve(ctx, generate(), func() error { return nil })
+			a, err := e.Serve(ctx, generateRequest(), func() error { return nil })
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			await(ctx, end)
+			await(ctx, endAnswers)
 			_ = a.Close()
 		})
 	}
-	depth := func(queued, inUse int) func() bool {
+	depthIs := func(queued, inUse int) func() bool {
 		return func() bool {
 			q, u := e.queue.Depth(pool)
 			return q == queued && u == inUse
 		}
 	}
-	w.until("one request waits", depth(1, 2))
-	heads <- struct{}{}
-	w.until("the answer lends it a permit", depth(0, 3))
-	close(heads)
-	w.until("all are at the agent", func() bool { return w.calls() == 3 })
-	close(end)
+	h.waitUntil("one request is queued", depthIs(1, 2))
+	sendHead <- struct{}{}
+	h.waitUntil("the answer provides a permit for it", depthIs(0, 3))
+	close(sendHead)
+	h.waitUntil("all requests have reached the agent", func() bool { return h.requestCount() == 3 })
+	close(endAnswers)
 	wg.Wait()
 }
--- a/internal/app/ledger/lease.go
+++ b/internal/app/ledger/lease.go
@@ -33,21 +33,21 @@
 // get returns the lease of a bucket. It requests one from the platform if there
 // is none.
 func (s *leases) get(b core.Bucket) (port.LeaseID, error) {
-	var g *bucketLease
-	first := false
-	s.byBucket.Update(b, func(old *bucketLease, ok bool) (*bucketLease, bool) {
-		if first = !ok; first {
-			old = &bucketLease{ready: make(chan struct{})}
+	var lease *bucketLease
+	isNew := false
+	s.byBucket.Update(b, func(existing *bucketLease, ok bool) (*bucketLease, bool) {
+		if isNew = !ok; isNew {
+			existing = &bucketLease{ready: make(chan struct{})}
 		}
-		g = old
-		return g, true
+		lease = existing
+		return lease, true
 	})
-	if first {
-		s.request(b, g)
+	if isNew {
+		s.request(b, lease)
 	}
 	select {
-	case <-g.ready:
-		return g.id, g.err
+	case <-lease.ready:
+		return lease.id, lease.err
 	case <-s.l.ctx.Done():
 		return port.NoLease, errors.Wrap(s.l.ctx.Err(), "waiting for a lease")
 	}
@@ -55,24 +55,24 @@
 
 // request requests the lease from the platform. After a failure, the next get
 // requests it again.
-func (s *leases) request(b core.Bucket, g *bucketLease) {
-	defer close(g.ready)
+func (s *leases) request(b core.Bucket, lease *bucketLease) {
+	defer close(lease.ready)
 	if !s.l.sleep(s.l.writeLimiter.Reserve(s.l.clock.Now())) {
-		g.err = errors.New("ledger was stopped")
+		lease.err = errors.New("ledger was stopped")
 		return
 	}
-	g.id, g.err = s.l.kv.Grant(s.l.ctx, s.l.opts.Window+core.RetentionMargin)
-	if g.err != nil {
-		s.remove(b, g)
+	lease.id, lease.err = s.l.kv.Grant(s.l.ctx, s.l.opts.Window+core.RetentionMargin)
+	if lease.err != nil {
+		s.remove(b, lease)
 	}
 }
 
 // forget makes the next get request a new lease.
 func (s *leases) forget(b core.Bucket) { s.byBucket.Delete(b) }
 
-// remove removes g unless another lease has replaced it.
-func (s *leases) remove(b core.Bucket, g *bucketLease) {
-	s.byBucket.Update(b, func(cur *bucketLease, ok bool) (*bucketLease, bool) { return cur, ok && cur != g })
+// remove removes the lease unless another lease has replaced it.
+func (s *leases) remove(b core.Bucket, lease *bucketLease) {
+	s.byBucket.Update(b, func(cur *bucketLease, ok bool) (*bucketLease, bool) { return cur, ok && cur != lease })
 }
 
 // removeExpired removes the leases of buckets whose keys are all older than the
--- a/internal/app/ledger/ledger.go
+++ b/internal/app/ledger/ledger.go
@@ -107,9 +107,9 @@
 // Begin implements port.Ledger.
 func (l *Ledger) Begin(ctx context.Context, k port.LedgerKey, content port.ContentDigest) (port.LedgerClaim, *port.StoredAnswer, error) {
 	now := l.clock.Now()
-	key, bad := core.ParseKey(k.Service, k.Customer, k.Key, now, l.opts.Window)
-	if bad != nil {
-		return nil, nil, bad
+	key, keyErr := core.ParseKey(k.Service, k.Customer, k.Key, now, l.opts.Window)
+	if keyErr != nil {
+		return nil, nil, keyErr
 	}
 	if a, ok := l.answers.Get(key); ok {
 		return a.replay(content)
@@ -118,13 +118,13 @@
 		return nil, nil, verdict.New(verdict.NotRun, verdict.CodeShuttingDown, "the agent is stopping")
 	}
 	a := core.NewAttempt(l.rand.Uint64(), l.rand.Uint64())
-	dec := l.await(ctx, key, a, now)
-	if dec != core.Run {
+	decision := l.await(ctx, key, a, now)
+	if decision != core.Run {
 		// The answer may have been stored while the call waited.
 		if a, ok := l.answers.Get(key); ok {
 			return a.replay(content)
 		}
-		return nil, nil, dec.Err()
+		return nil, nil, decision.Err()
 	}
 	l.opts.Metrics.Count("ledger_calls", 1)
 	return &claim{l: l, key: key, attempt: a, content: content}, nil, nil
@@ -136,29 +136,29 @@
 	ch := make(chan core.Decision, 1)
 	l.waiters.Put(a, ch)
 	defer l.waiters.Delete(a)
-	dec, needsWorker := l.table.Submit(key, a, now)
-	if dec != core.Queued {
-		return dec
+	decision, needsWorker := l.table.Submit(key, a, now)
+	if decision != core.Queued {
+		return decision
 	}
 	if needsWorker {
 		l.startWorker(key.Document())
 	}
 	select {
-	case dec = <-ch:
-		return dec
+	case decision = <-ch:
+		return decision
 	case <-ctx.Done():
 	case <-l.clock.After(l.opts.MaxWait):
 	case <-l.ctx.Done():
 	}
 	l.table.Cancel(key, a)
 	select {
-	case dec = <-ch:
+	case decision = <-ch:
 	default:
 	}
-	if dec == core.Queued || dec == core.Run {
+	if decision == core.Queued || decision == core.Run {
 		return core.Unavailable
 	}
-	return dec
+	return decision
 }
 
 // deliver sends decisions to the calls that wait for them.
