--- a/internal/app/directory/convergence_test.go
+++ b/internal/app/directory/convergence_test.go
@@ -20,45 +20,45 @@
 const (
 	fleetSize = 30
 	// inForce is the bound of the design for a change.
-	inForce = 7 * time.Second
+	changeDeadline = 7 * time.Second
 )
 
 // TestChangeReachesAll guards against a change that does not reach every
 // process in time: in an ordinary fleet, before and after an outage of the
 // platform, with lost answers, and against members that do not find each other.
 func TestChangeReachesAll(t *testing.T) {
-	w := newWorld(t, fleetSize)
-	rev := w.change()
-	w.await("first declaration", inForce, all, at(rev))
-	w.await("all members known", inForce, all, sees(fleetSize))
+	w := newTestFleet(t, fleetSize)
+	rev := w.writeRevision()
+	w.waitFor("first declaration", changeDeadline, all, hasRevision(rev))
+	w.waitFor("all members known", changeDeadline, all, seesMembers(fleetSize))
 	for range 3 {
-		w.await("change", inForce, all, at(w.change()))
+		w.waitFor("change", changeDeadline, all, hasRevision(w.writeRevision()))
 	}
 
-	w.faults(platform.Faults{Hang: true})
+	w.setFaults(platform.Faults{Hang: true})
 	time.Sleep(3 * time.Second)
-	w.await("kept while the platform hangs", time.Second, all, at(w.doc.Revision))
-	w.faults(platform.Faults{Down: true})
+	w.waitFor("kept while the platform hangs", time.Second, all, hasRevision(w.doc.Revision))
+	w.setFaults(platform.Faults{Down: true})
 	time.Sleep(time.Second)
-	w.faults(platform.Faults{})
-	w.await("change after the outage", inForce, all, at(w.change()))
+	w.setFaults(platform.Faults{})
+	w.waitFor("change after the outage", changeDeadline, all, hasRevision(w.writeRevision()))
 
-	rev = w.change()
-	w.awaitFirst(rev)
-	w.faults(platform.Faults{Down: true})
-	w.await("change while the platform goes down", inForce, all, at(rev))
-	w.faults(platform.Faults{LoseWriteAnswers: 1})
-	w.await("change with a lost answer", inForce, all, at(w.change()))
-	w.faults(platform.Faults{StaleReads: true, DelayMillis: 300})
-	w.await("change with a slow platform that answers from the past", inForce, all, at(w.change()))
-	w.faults(platform.Faults{})
-	w.restoreOlder()
+	rev = w.writeRevision()
+	w.waitForFirst(rev)
+	w.setFaults(platform.Faults{Down: true})
+	w.waitFor("change while the platform goes down", changeDeadline, all, hasRevision(rev))
+	w.setFaults(platform.Faults{LoseWriteAnswers: 1})
+	w.waitFor("change with a lost answer", changeDeadline, all, hasRevision(w.writeRevision()))
+	w.setFaults(platform.Faults{StaleReads: true, DelayMillis: 300})
+	w.waitFor("change with a slow platform that answers from the past", changeDeadline, all, hasRevision(w.writeRevision()))
+	w.setFaults(platform.Faults{})
+	w.restorePreviousRevision()
 	time.Sleep(time.Second)
-	w.await("kept although the platform lost a change", time.Second, all, at(w.doc.Revision))
-	w.await("change after that", inForce, all, at(w.change()))
-	w.await("age confirmed", inForce, all, func(n *node) bool {
+	w.waitFor("kept although the platform lost a change", time.Second, all, hasRevision(w.doc.Revision))
+	w.waitFor("change after that", changeDeadline, all, hasRevision(w.writeRevision()))
+	w.waitFor("age confirmed", changeDeadline, all, func(n *node) bool {
 		_, age := n.Directory.Declaration()
-		return age >= 0 && age < inForce
+		return age >= 0 && age < changeDeadline
 	})
 }
 
@@ -66,67 +66,67 @@
 // that is not noticed, and that does not join again; and against members of
 // the own side that vanish when it heals.
 func TestPartitionHeals(t *testing.T) {
-	w := newWorld(t, fleetSize)
-	w.await("first declaration", inForce, all, at(w.change()))
-	w.await("all members known", inForce, all, sees(fleetSize))
+	w := newTestFleet(t, fleetSize)
+	w.waitFor("first declaration", changeDeadline, all, hasRevision(w.writeRevision()))
+	w.waitFor("all members known", changeDeadline, all, seesMembers(fleetSize))
 	before := w.doc.Revision
 
-	w.cut.Store(fleet.Domain("b"))
-	rev := w.change()
-	w.await("change outside of the cut", inForce, outside("b"), at(rev))
-	w.await("cut-off members taken out", 30*time.Second, outside("b"), sees(20))
-	w.await("cut-off domain takes the others out", 30*time.Second, in("b"), sees(10))
-	w.await("cut-off domain keeps its revision", time.Second, in("b"), at(before))
+	w.cutDomain.Store(fleet.Domain("b"))
+	rev := w.writeRevision()
+	w.waitFor("change outside of the cut", changeDeadline, outsideDomain("b"), hasRevision(rev))
+	w.waitFor("cut-off members taken out", 30*time.Second, outsideDomain("b"), seesMembers(20))
+	w.waitFor("cut-off domain takes the others out", 30*time.Second, inDomain("b"), seesMembers(10))
+	w.waitFor("cut-off domain keeps its revision", time.Second, inDomain("b"), hasRevision(before))
 
 	least := fleetSize
-	w.cut.Store(fleet.Domain(""))
-	w.await("change after healing", inForce, in("b"), at(rev))
-	w.await("members join again", 15*time.Second, all, func(n *node) bool {
+	w.cutDomain.Store(fleet.Domain(""))
+	w.waitFor("change after healing", changeDeadline, inDomain("b"), hasRevision(rev))
+	w.waitFor("members join again", 15*time.Second, all, func(n *node) bool {
 		if n.cfg.Self.Domain != "b" {
 			least = min(least, len(n.Directory.Members(fleet.KindEntry))+len(n.Directory.Members(fleet.KindAgent)))
 		}
-		return sees(fleetSize)(n)
+		return seesMembers(fleetSize)(n)
 	})
 	if least < 20 {
 		t.Errorf("a process saw only %d members while the partition healed, want its own side of 20", least)
 	}
 	time.Sleep(4 * time.Second)
-	w.await("members stay", inForce, all, sees(fleetSize))
+	w.waitFor("members stay", changeDeadline, all, seesMembers(fleetSize))
 }
 
 // TestStartWithoutPlatform guards against a process that serves nothing
 // although a seed holds the declaration, or that serves without one.
 func TestStartWithoutPlatform(t *testing.T) {
-	w := newWorld(t, 3)
-	w.await("first declaration", inForce, all, at(w.change()))
-	w.faults(platform.Faults{Hang: true})
+	w := newTestFleet(t, 3)
+	w.waitFor("first declaration", changeDeadline, all, hasRevision(w.writeRevision()))
+	w.setFaults(platform.Faults{Hang: true})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 
-	late, lis := w.node(3, []fleet.Address{w.nodes[0].cfg.Self.Address})
-	alone, _ := w.node(4, nil)
-	w.start(func() { _ = late.server.Serve(ctx, lis) })
-	w.start(func() { late.Run(ctx) })
-	w.start(func() { alone.Run(ctx) })
+	withSeed, lis := w.newNode(3, []fleet.Address{w.nodes[0].cfg.Self.Address})
+	withoutSeed, _ := w.newNode(4, nil)
+	w.goUntilEnd(func() { _ = withSeed.server.Serve(ctx, lis) })
+	w.goUntilEnd(func() { withSeed.Run(ctx) })
+	w.goUntilEnd(func() { withoutSeed.Run(ctx) })
 	select {
-	case <-late.Ready():
+	case <-withSeed.Ready():
 	case <-time.After(4 * time.Second):
-		t.Fatalf("not ready with a seed: %s", late.NotReadyReason())
+		t.Fatalf("not ready with a seed: %s", withSeed.NotReadyReason())
 	}
-	if !at(w.doc.Revision)(late) {
-		t.Errorf("ready with revision %d", late.rev.Revision())
+	if !hasRevision(w.doc.Revision)(withSeed) {
+		t.Errorf("ready with revision %d", withSeed.current.Revision())
 	}
 	select {
-	case <-alone.Ready():
+	case <-withoutSeed.Ready():
 		t.Error("ready without a declaration")
 	case <-time.After(500 * time.Millisecond):
 	}
-	if alone.NotReadyReason() == "" {
+	if withoutSeed.NotReadyReason() == "" {
 		t.Error("no reason is given")
 	}
-	w.faults(platform.Faults{})
+	w.setFaults(platform.Faults{})
 	select {
-	case <-alone.Ready():
+	case <-withoutSeed.Ready():
 	case <-time.After(5 * time.Second):
 		t.Error("not ready after the platform returned")
 	}
@@ -134,10 +134,10 @@
 
 // TestStateSpreads guards against a leaving or cordoned member that others
 // hear of late, and against load changes that flood the exchanges.
-func TestStateSpreads(t *testing.T) {
-	w := newWorld(t, 12)
-	w.await("first declaration", inForce, all, at(w.change()))
-	w.await("all members known", inForce, all, sees(12))
+func TestMemberStateSpreads(t *testing.T) {
+	w := newTestFleet(t, 12)
+	w.waitFor("first declaration", changeDeadline, all, hasRevision(w.writeRevision()))
+	w.waitFor("all members known", changeDeadline, all, seesMembers(12))
 	n := w.nodes[5]
 	v0 := n.table.Self().Version
 	for i := range 200 {
@@ -149,7 +149,7 @@
 		t.Errorf("200 changes of load made %d versions", v-v0)
 	}
 	n.UpdateSelf(func(r *port.MemberRecord) { r.State = port.MemberLeaving })
-	w.await("leaving known", 3*time.Second, all, func(o *node) bool {
+	w.waitFor("leaving known", 3*time.Second, all, func(o *node) bool {
 		for _, r := range o.Directory.Members(n.cfg.Self.Kind) {
 			if r.ID == n.cfg.Self.ID {
 				return r.State == port.MemberLeaving && r.Status != nil && r.Status.VM == "x"
@@ -162,14 +162,14 @@
 // TestSteadyTraffic guards against exchanges that cost more than the design
 // allows when nothing changes.
 func TestSteadyTraffic(t *testing.T) {
-	w := newWorld(t, fleetSize)
-	w.await("first declaration", inForce, all, at(w.change()))
-	w.await("all members known", inForce, all, sees(fleetSize))
+	w := newTestFleet(t, fleetSize)
+	w.waitFor("first declaration", changeDeadline, all, hasRevision(w.writeRevision()))
+	w.waitFor("all members known", changeDeadline, all, seesMembers(fleetSize))
 	time.Sleep(20 * time.Second)
 	bytes := func() (sum int64) {
 		for _, n := range w.nodes {
-			all := n.client.Meter.Read()[0] // shared with the server; the first kind is the connections'
-			sum += all.In + all.Out
+			traffic := n.client.Meter.Read()[0] // shared with the server; the first kind is the connections'
+			sum += traffic.In + traffic.Out
 		}
 		return sum
 	}
@@ -184,9 +184,9 @@
 
 // TestCommand guards against a change or cordon that operators make with the
 // command and that is not in force, or not shown to be, within the bounds.
-func TestCommand(t *testing.T) {
-	w := newWorld(t, fleetSize)
-	w.await("all members known", inForce, all, sees(fleetSize))
+func TestCtlCommands(t *testing.T) {
+	w := newTestFleet(t, fleetSize)
+	w.waitFor("all members known", changeDeadline, all, seesMembers(fleetSize))
 	file := filepath.Join(t.TempDir(), "main.ini")
 	text := "[domain a]\nregion=r\n[domain b]\nregion=r\n[service s]\nvms=pool=model\n"
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -214,7 +214,7 @@
 		}
 		seconds := v["wait"].(map[string]any)["seconds"].(float64)
 		t.Logf("%s shown in force everywhere after %.2f s", args[0], seconds)
-		w.await("in force when the command returns", 0, all, at(uint64(v["revision"].(float64))))
+		w.waitFor("in force when the command returns", 0, all, hasRevision(uint64(v["revision"].(float64))))
 		if args[0] == "cordon" && seconds > 3 {
 			t.Errorf("cordon took %v s, want at most 3", seconds)
 		}
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -107,32 +107,32 @@
 	cfg  Config
 	deps Deps
 
-	rev   revision.Store
+	current   revision.Store
 	table *membership.Table[port.MemberRecord]
-	own   ownRecord
-	subs  *shard.Map[uint64, chan struct{}]
-	subID atomic.Uint64
+	self   selfRecord
+	subscribers  *shard.Map[uint64, chan struct{}]
+	lastSubscriberID atomic.Uint64
 	// busy holds the addresses with an exchange in progress, so that a silent
 	// member holds at most one goroutine.
-	busy *shard.Map[fleet.Address, struct{}]
+	exchanging *shard.Map[fleet.Address, struct{}]
 	// waiting holds the announcements that wait for busy.
-	waiting *shard.Map[announcement, struct{}]
-	pulls   chan pull
+	pendingAnnouncements *shard.Map[announcement, struct{}]
+	fetchQueue   chan fetchRequest
 	// pulling holds the revisions that are being fetched.
-	pulling  *shard.Map[uint64, struct{}]
-	announce chan struct{}
+	fetching  *shard.Map[uint64, struct{}]
+	selfChanged chan struct{}
 	// revised wakes the announcement of a revision, which carries no records.
-	revised  chan struct{}
-	relay    chan struct{}
-	accepted chan struct{}
+	revisionChanged  chan struct{}
+	peerStateChanged    chan struct{}
+	declarationAccepted chan struct{}
 	gossip   membership.Gossip[port.MemberRecord]
 	intern   interner
 	start    startup
-	turn     atomic.Uint64
+	nextNeighbour     atomic.Uint64
 	// agreed is the digest of the last exchange if both tables had it, else 0.
-	agreed atomic.Uint64
+	agreedDigest atomic.Uint64
 	// lists holds the answers of Members.
-	lists *shard.Map[fleet.Kind, memberList]
+	memberLists *shard.Map[fleet.Kind, memberList]
 }
 
 var _ port.Directory = (*Directory)(nil)
@@ -142,28 +142,28 @@
 	now := deps.Clock.Now()
 	cfg = cfg.withDefaults(now)
 	if deps.Metrics == nil {
-		deps.Metrics = noMetrics{}
+		deps.Metrics = nopMetrics{}
 	}
 	d := &Directory{
 		cfg: cfg, deps: deps,
 		table:    membership.NewTable(toCore(cfg.Self), now),
-		subs:     shard.New[uint64, chan struct{}](0),
-		busy:     shard.New[fleet.Address, struct{}](0),
-		waiting:  shard.New[announcement, struct{}](0),
-		pulls:    make(chan pull, pullQueue),
-		pulling:  shard.New[uint64, struct{}](0),
-		announce: make(chan struct{}, 1),
-		revised:  make(chan struct{}, 1),
-		lists:    shard.New[fleet.Kind, memberList](0),
-		relay:    make(chan struct{}, 1),
-		accepted: make(chan struct{}, 1),
+		subscribers:     shard.New[uint64, chan struct{}](0),
+		exchanging:     shard.New[fleet.Address, struct{}](0),
+		pendingAnnouncements:  shard.New[announcement, struct{}](0),
+		fetchQueue:    make(chan fetchRequest, fetchQueueSize),
+		fetching:  shard.New[uint64, struct{}](0),
+		selfChanged: make(chan struct{}, 1),
+		revisionChanged:  make(chan struct{}, 1),
+		memberLists:    shard.New[fleet.Kind, memberList](0),
+		peerStateChanged:    make(chan struct{}, 1),
+		declarationAccepted: make(chan struct{}, 1),
 		intern:   interner{shard.New[uint64, map[string]string](0)},
 		start:    startup{ready: make(chan struct{})},
 	}
 	d.gossip = membership.Gossip[port.MemberRecord]{
 		Table: d.table, Budget: membership.NewBudget(cfg.ExchangeBytesPerSecond, now), RecordSize: recordSize, RandIntN: deps.Rand.IntN,
 	}
-	d.own.rec = cloneRecord(cfg.Self)
+	d.self.record = cloneRecord(cfg.Self)
 	d.start.reason.Store(&reasonStarting)
 	return d
 }
@@ -172,12 +172,12 @@
 func (d *Directory) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	for _, loop := range []func(context.Context){
-		d.startLoop, d.exchangeLoop, d.announceLoop, d.readLoop, d.vmListLoop, d.meterLoop,
+		d.startLoop, d.exchangeLoop, d.announceLoop, d.readerLoop, d.vmListLoop, d.metricsLoop,
 	} {
 		wg.Go(func() { loop(ctx) })
 	}
-	for range pullWorkers {
-		wg.Go(func() { d.pullLoop(ctx) })
+	for range fetchWorkers {
+		wg.Go(func() { d.fetchLoop(ctx) })
 	}
 	wg.Wait()
 }
@@ -191,22 +191,22 @@
 	default:
 		return nil, -1
 	}
-	h, age := d.rev.Snapshot(d.deps.Clock.Now())
-	return h.Declaration, age
+	snap, age := d.current.Snapshot(d.deps.Clock.Now())
+	return snap.Declaration, age
 }
 
 // Subscribe implements port.Directory.
 func (d *Directory) Subscribe() (<-chan struct{}, func()) {
-	id, ch := d.subID.Add(1), make(chan struct{}, 1)
-	d.subs.Put(id, ch)
-	return ch, func() { d.subs.Delete(id) }
+	id, ch := d.lastSubscriberID.Add(1), make(chan struct{}, 1)
+	d.subscribers.Put(id, ch)
+	return ch, func() { d.subscribers.Delete(id) }
 }
 
 // notify wakes the subscribers. It never blocks: a channel that is full has
 // a wake-up that was not taken yet.
 func (d *Directory) notify() {
-	d.forgetLists()
-	d.subs.Range(func(_ uint64, ch chan struct{}) bool {
+	d.invalidateMemberLists()
+	d.subscribers.Range(func(_ uint64, ch chan struct{}) bool {
 		signal(ch)
 		return true
 	})
@@ -239,14 +239,14 @@
 		return 0, errors.Wrap(err, "reading declaration")
 	}
 	now := d.deps.Clock.Now()
-	if !d.rev.Accept(revision.Snapshot{Declaration: decl, Stored: stored}, age, now) {
+	if !d.current.Accept(revision.Snapshot{Declaration: decl, Stored: stored}, age, now) {
 		return decl.Revision, nil
 	}
 	d.deps.Metrics.Gauge("directory_revision", float64(decl.Revision))
 	d.logState("declaration in force", logging.F("revision", decl.Revision))
 	d.publishFirstRevision()
-	signal(d.accepted)
-	signal(d.revised)
+	signal(d.declarationAccepted)
+	signal(d.revisionChanged)
 	d.notify()
 	return decl.Revision, nil
 }
@@ -257,11 +257,11 @@
 	}
 }
 
-type noMetrics struct{}
+type nopMetrics struct{}
 
-func (noMetrics) Count(string, int64, ...port.Attr)           {}
-func (noMetrics) Seconds(string, time.Duration, ...port.Attr) {}
-func (noMetrics) Gauge(string, float64, ...port.Attr)         {}
+func (nopMetrics) Count(string, int64, ...port.Attr)           {}
+func (nopMetrics) Seconds(string, time.Duration, ...port.Attr) {}
+func (nopMetrics) Gauge(string, float64, ...port.Attr)         {}
 
 func cloneRecord(r port.MemberRecord) port.MemberRecord {
 	r.Labels = maps.Clone(r.Labels)
--- a/internal/app/directory/exchange_test.go
+++ b/internal/app/directory/exchange_test.go
@@ -10,50 +10,50 @@
 
 // recorder answers exchanges with the digest of a directory, or another one,
 // and notes what it was sent.
-type recorder struct {
+type exchangeRecorder struct {
 	port.MemberClient
 	d    *Directory
-	add  uint64
+	digestOffset  uint64
 	sent []port.ExchangeMessage
 }
 
-func (r *recorder) Exchange(_ context.Context, _ fleet.Address, m port.ExchangeMessage) (port.ExchangeMessage, error) {
+func (r *exchangeRecorder) Exchange(_ context.Context, _ fleet.Address, m port.ExchangeMessage) (port.ExchangeMessage, error) {
 	r.sent = append(r.sent, m)
-	return port.ExchangeMessage{From: "w", Digest: r.d.table.Digest() + r.add}, nil
+	return port.ExchangeMessage{From: "w", Digest: r.d.table.Digest() + r.digestOffset}, nil
 }
 
 // TestQuietExchanges guards against tables that agree and still send their
 // records, and against a difference that is not followed by records.
-func TestQuietExchanges(t *testing.T) {
-	r := &recorder{}
-	r.d = alone(nil, r)
-	swap := func() (records []int) {
+func TestEqualTablesExchangeDigestsOnly(t *testing.T) {
+	r := &exchangeRecorder{}
+	r.d = newTestDirectory(nil, r)
+	recordCounts := func() (records []int) {
 		r.sent = nil
-		r.d.exchange(context.Background(), target{"w", "127.0.0.1:2"}, compared)
+		r.d.exchange(context.Background(), partner{"w", "127.0.0.1:2"}, withComparison)
 		for _, m := range r.sent {
 			records = append(records, len(m.Records))
 		}
 		return records
 	}
-	if got := swap(); len(got) != 1 || got[0] == 0 {
+	if got := recordCounts(); len(got) != 1 || got[0] == 0 {
 		t.Errorf("before the tables agreed: messages with %v records, want one with some", got)
 	}
-	if got := swap(); len(got) != 1 || got[0] != 0 {
+	if got := recordCounts(); len(got) != 1 || got[0] != 0 {
 		t.Errorf("tables that agree: messages with %v records, want one with none", got)
 	}
-	r.add = 1
-	if got := swap(); len(got) != 2 || got[1] == 0 {
+	r.digestOffset = 1
+	if got := recordCounts(); len(got) != 2 || got[1] == 0 {
 		t.Errorf("tables that differ: messages with %v records, want a second one with some", got)
 	}
 }
 
 // TestRevisionKeepsRecord guards against a declaration that rewrites the
 // record of every process of the fleet.
-func TestRevisionKeepsRecord(t *testing.T) {
-	d := alone(nil, nil)
+func TestNewRevisionKeepsMemberRecord(t *testing.T) {
+	d := newTestDirectory(nil, nil)
 	var versions []uint64
 	for rev := uint64(1); rev <= 3; rev++ {
-		if _, err := d.accept(stored(t, rev), 0); err != nil {
+		if _, err := d.accept(encodedDocument(t, rev), 0); err != nil {
 			t.Fatal(err)
 		}
 		versions = append(versions, d.table.Self().Version)
@@ -65,8 +65,8 @@
 
 // TestMembersSeeChanges guards against an answer of Members that is used again
 // after the table changed.
-func TestMembersSeeChanges(t *testing.T) {
-	d := alone(nil, nil)
+func TestMembersReflectTableChanges(t *testing.T) {
+	d := newTestDirectory(nil, nil)
 	if n := len(d.Members(fleet.KindAgent)); n != 0 {
 		t.Fatalf("%d agents, want 0", n)
 	}
--- a/internal/app/directory/fetch.go
+++ b/internal/app/directory/fetch.go
@@ -10,56 +10,56 @@
 const (
 	// pullQueue bounds the processes that wait to be asked for a document. One
 	// that finds the queue full is asked after a later exchange.
-	pullQueue = 16
+	fetchQueueSize = 16
 	// pullWorkers bounds the documents fetched at the same time. The second
 	// goes on while the first waits for a process that does not answer.
-	pullWorkers = 2
+	fetchWorkers = 2
 	// pullPatience is the time after which a document that is being fetched is
 	// asked for elsewhere as well.
-	pullPatience = 300 * time.Millisecond
+	fetchHedgeDelay = 300 * time.Millisecond
 )
 
 // pull names a process that holds a newer revision.
-type pull struct {
+type fetchRequest struct {
 	addr fleet.Address
 	rev  uint64
 }
 
-func (d *Directory) requestPull(p pull) {
+func (d *Directory) enqueueFetch(req fetchRequest) {
 	select {
-	case d.pulls <- p:
+	case d.fetchQueue <- req:
 	default:
 	}
 }
 
-func (d *Directory) pullLoop(ctx context.Context) {
+func (d *Directory) fetchLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case p := <-d.pulls:
-			d.fetch(ctx, p)
+		case req := <-d.fetchQueue:
+			d.fetch(ctx, req)
 		}
 	}
 }
 
 // fetch gets a newer document, unless it arrives from elsewhere meanwhile. If
 // the process does not answer, the next exchange asks another one.
-func (d *Directory) fetch(ctx context.Context, p pull) {
-	if p.rev <= d.rev.Revision() {
+func (d *Directory) fetch(ctx context.Context, req fetchRequest) {
+	if req.rev <= d.current.Revision() {
 		return
 	}
 	first := false
-	d.pulling.Update(p.rev, func(_ struct{}, ok bool) (struct{}, bool) {
+	d.fetching.Update(req.rev, func(_ struct{}, ok bool) (struct{}, bool) {
 		first = !ok
 		return struct{}{}, true
 	})
 	if first {
-		defer d.pulling.Delete(p.rev)
-	} else if !d.sleep(ctx, pullPatience) || p.rev <= d.rev.Revision() {
+		defer d.fetching.Delete(req.rev)
+	} else if !d.sleep(ctx, fetchHedgeDelay) || req.rev <= d.current.Revision() {
 		return
 	}
-	doc, err := d.deps.Members.Declaration(ctx, p.addr)
+	doc, err := d.deps.Members.Declaration(ctx, req.addr)
 	if err != nil {
 		d.deps.Metrics.Count("directory_pulls_failed_total", 1)
 		return
--- a/internal/app/directory/fleet_test.go
+++ b/internal/app/directory/fleet_test.go
@@ -29,22 +29,22 @@
 
 // world is a fleet of directories over the real rpc, with a stand-in platform
 // and links between failure domains that can be cut.
-type world struct {
+type testFleet struct {
 	t      *testing.T
 	url    string
 	kv     *kvhttp.Client
 	nodes  []*node
-	domain *shard.Map[fleet.Address, fleet.Domain]
+	domains *shard.Map[fleet.Address, fleet.Domain]
 	// cut is the domain that is separated from all others, and from the
 	// platform; empty if none is.
-	cut atomic.Value
-	rev int64
+	cutDomain atomic.Value
+	platformRevision int64
 	doc inifile.Document
 	wg  conc.WaitGroup
 }
 
 // start runs f until the end of the test.
-func (w *world) start(f func()) { w.wg.Go(f) }
+func (w *testFleet) goUntilEnd(f func()) { w.wg.Go(f) }
 
 // node is one process of the fleet.
 type node struct {
@@ -55,62 +55,62 @@
 	history []uint64
 }
 
-var errCut = errors.New("link is cut")
+var errLinkCut = errors.New("link is cut")
 
 // severed reports whether the link between two places is cut.
-func (w *world) severed(a, b fleet.Domain) bool {
-	c := w.cut.Load().(fleet.Domain)
+func (w *testFleet) isCut(a, b fleet.Domain) bool {
+	c := w.cutDomain.Load().(fleet.Domain)
 	return c != "" && a != b && (a == c || b == c)
 }
 
 // links is a MemberClient and KV whose calls hang while the link is cut, as
 // packets that are dropped without a trace do.
-type links struct {
+type cuttableLinks struct {
 	port.MemberClient
 	port.KV
-	w    *world
+	w    *testFleet
 	from fleet.Domain
 }
 
-func (l links) wait(ctx context.Context, to fleet.Domain) error {
-	if !l.w.severed(l.from, to) {
+func (l cuttableLinks) wait(ctx context.Context, to fleet.Domain) error {
+	if !l.w.isCut(l.from, to) {
 		return nil
 	}
 	select {
 	case <-ctx.Done():
 	case <-time.After(2 * time.Second):
 	}
-	return errCut
+	return errLinkCut
 }
 
-func (l links) Exchange(ctx context.Context, a fleet.Address, m port.ExchangeMessage) (port.ExchangeMessage, error) {
-	to, _ := l.w.domain.Get(a)
+func (l cuttableLinks) Exchange(ctx context.Context, a fleet.Address, m port.ExchangeMessage) (port.ExchangeMessage, error) {
+	to, _ := l.w.domains.Get(a)
 	if err := l.wait(ctx, to); err != nil {
 		return port.ExchangeMessage{}, err
 	}
 	return l.MemberClient.Exchange(ctx, a, m)
 }
 
-func (l links) Declaration(ctx context.Context, a fleet.Address) (port.StoredDeclaration, error) {
-	to, _ := l.w.domain.Get(a)
+func (l cuttableLinks) Declaration(ctx context.Context, a fleet.Address) (port.StoredDeclaration, error) {
+	to, _ := l.w.domains.Get(a)
 	if err := l.wait(ctx, to); err != nil {
 		return port.StoredDeclaration{}, err
 	}
 	return l.MemberClient.Declaration(ctx, a)
 }
 
-func (l links) Watch(ctx context.Context, k string, after int64, d time.Duration) (port.KVEntry, error) {
+func (l cuttableLinks) Watch(ctx context.Context, k string, after int64, d time.Duration) (port.KVEntry, error) {
 	if err := l.wait(ctx, "platform"); err != nil {
 		return port.KVEntry{}, err
 	}
 	e, err := l.KV.Watch(ctx, k, after, d)
-	if l.w.severed(l.from, "platform") {
-		return port.KVEntry{}, errCut
+	if l.w.isCut(l.from, "platform") {
+		return port.KVEntry{}, errLinkCut
 	}
 	return e, err
 }
 
-func (l links) Get(ctx context.Context, k string) (port.KVEntry, error) {
+func (l cuttableLinks) Get(ctx context.Context, k string) (port.KVEntry, error) {
 	if err := l.wait(ctx, "platform"); err != nil {
 		return port.KVEntry{}, err
 	}
@@ -119,35 +119,35 @@
 
 // newWorld starts n processes in three failure domains; every third process of
 // a domain is an entry.
-func newWorld(t *testing.T, n int) *world {
+func newTestFleet(t *testing.T, n int) *testFleet {
 	t.Helper()
 	p := httptest.NewServer(platform.New().Handler())
 	t.Cleanup(p.Close)
-	w := &world{
+	w := &testFleet{
 		t: t, url: p.URL, kv: kvhttp.New(fleet.Address(strings.TrimPrefix(p.URL, "http://"))),
-		domain: shard.New[fleet.Address, fleet.Domain](0), doc: inifile.Document{Config: "[domain a]\nregion=r1\n"},
+		domains: shard.New[fleet.Address, fleet.Domain](0), doc: inifile.Document{Config: "[domain a]\nregion=r1\n"},
 	}
-	w.cut.Store(fleet.Domain(""))
+	w.cutDomain.Store(fleet.Domain(""))
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() {
 		cancel()
 		w.wg.Wait()
-		w.neverBack()
+		w.checkRevisionsNeverFall()
 	})
 	var seeds []fleet.Address
 	for i := range n {
-		nd, lis := w.node(i, seeds)
+		nd, lis := w.newNode(i, seeds)
 		if len(seeds) < 3 {
 			seeds = append(seeds, nd.cfg.Self.Address)
 		}
-		w.start(func() { _ = nd.server.Serve(ctx, lis) })
-		w.start(func() { nd.Run(ctx) })
-		w.start(func() { nd.record(ctx) })
+		w.goUntilEnd(func() { _ = nd.server.Serve(ctx, lis) })
+		w.goUntilEnd(func() { nd.Run(ctx) })
+		w.goUntilEnd(func() { nd.recordHistory(ctx) })
 	}
 	return w
 }
 
-func (w *world) node(i int, seeds []fleet.Address) (*node, net.Listener) {
+func (w *testFleet) newNode(i int, seeds []fleet.Address) (*node, net.Listener) {
 	w.t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -161,10 +161,10 @@
 	if i/3%3 == 0 {
 		self.Kind = fleet.KindEntry
 	}
-	w.domain.Put(self.Address, dom)
+	w.domains.Put(self.Address, dom)
 	nd := &node{client: rpc.NewClient()}
 	w.t.Cleanup(nd.client.Close)
-	l := links{nd.client, w.kv, w, dom}
+	l := cuttableLinks{nd.client, w.kv, w, dom}
 	nd.Directory = New(Config{Self: self, Seeds: seeds}, Deps{
 		KV: l, VMs: w.kv, Members: l, Clock: sysclock.Clock{}, Rand: sysclock.Rand{}, Decode: inifile.Decode,
 	})
@@ -177,7 +177,7 @@
 
 // record keeps the revisions that the process had in force, as a user of the
 // Directory sees them.
-func (n *node) record(ctx context.Context) {
+func (n *node) recordHistory(ctx context.Context) {
 	ch, stop := n.Subscribe()
 	defer stop()
 	for {
@@ -194,7 +194,7 @@
 
 // neverBack fails the test if a process returned to an older revision. It runs
 // after the processes have ended.
-func (w *world) neverBack() {
+func (w *testFleet) checkRevisionsNeverFall() {
 	for _, n := range w.nodes {
 		for i := 1; i < len(n.history); i++ {
 			if n.history[i] < n.history[i-1] {
@@ -205,7 +205,7 @@
 }
 
 // faults sets the faults of the platform.
-func (w *world) faults(f platform.Faults) {
+func (w *testFleet) setFaults(f platform.Faults) {
 	w.t.Helper()
 	b, _ := json.Marshal(f)
 	resp, err := http.Post(w.url+"/faults", "application/json", bytes.NewReader(b))
@@ -216,14 +216,14 @@
 }
 
 // change writes the next revision to the platform.
-func (w *world) change() uint64 {
+func (w *testFleet) writeRevision() uint64 {
 	w.t.Helper()
 	w.doc = w.doc.Next(inifile.ChangeRecord{WriteID: fmt.Sprint("w", w.doc.Revision)})
 	b, err := w.doc.Encode()
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	rev, err := w.kv.CompareAndSwap(context.Background(), inifile.Key, w.rev, b, port.NoLease)
+	rev, err := w.kv.CompareAndSwap(context.Background(), inifile.Key, w.platformRevision, b, port.NoLease)
 	if errors.Is(err, port.ErrUnknownOutcome) {
 		e, gerr := w.kv.Get(context.Background(), inifile.Key)
 		if gerr != nil || !bytes.Equal(e.Value, b) {
@@ -234,13 +234,13 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.rev = rev
+	w.platformRevision = rev
 	return w.doc.Revision
 }
 
 // restoreOlder writes the document before the newest one, as a platform that
 // was restored from a backup holds it.
-func (w *world) restoreOlder() {
+func (w *testFleet) restorePreviousRevision() {
 	w.t.Helper()
 	old := w.doc
 	old.Revision--
@@ -248,19 +248,19 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if w.rev, err = w.kv.CompareAndSwap(context.Background(), inifile.Key, w.rev, b, port.NoLease); err != nil {
+	if w.platformRevision, err = w.kv.CompareAndSwap(context.Background(), inifile.Key, w.platformRevision, b, port.NoLease); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
 // await waits until ok holds for all nodes that pick selects.
-func (w *world) await(what string, limit time.Duration, pick func(*node) bool, ok func(*node) bool) time.Duration {
+func (w *testFleet) waitFor(what string, limit time.Duration, selected func(*node) bool, ok func(*node) bool) time.Duration {
 	w.t.Helper()
 	began := time.Now()
 	for {
 		missing := []string{}
 		for _, n := range w.nodes {
-			if pick(n) && !ok(n) {
+			if selected(n) && !ok(n) {
 				missing = append(missing, n.cfg.Self.ID)
 			}
 		}
@@ -277,10 +277,10 @@
 }
 
 // awaitFirst waits until any process has the revision.
-func (w *world) awaitFirst(rev uint64) {
+func (w *testFleet) waitForFirst(rev uint64) {
 	w.t.Helper()
 	for end := time.Now().Add(7 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if slices.ContainsFunc(w.nodes, at(rev)) {
+		if slices.ContainsFunc(w.nodes, hasRevision(rev)) {
 			return
 		}
 	}
@@ -289,20 +289,20 @@
 
 func all(*node) bool { return true }
 
-func in(d fleet.Domain) func(*node) bool {
+func inDomain(d fleet.Domain) func(*node) bool {
 	return func(n *node) bool { return n.cfg.Self.Domain == d }
 }
 
-func outside(d fleet.Domain) func(*node) bool {
+func outsideDomain(d fleet.Domain) func(*node) bool {
 	return func(n *node) bool { return n.cfg.Self.Domain != d }
 }
 
-func at(rev uint64) func(*node) bool {
-	return func(n *node) bool { return n.rev.Revision() == rev }
+func hasRevision(rev uint64) func(*node) bool {
+	return func(n *node) bool { return n.current.Revision() == rev }
 }
 
 // sees reports whether the node lists count members.
-func sees(count int) func(*node) bool {
+func seesMembers(count int) func(*node) bool {
 	return func(n *node) bool {
 		return len(n.Directory.Members(fleet.KindEntry))+len(n.Directory.Members(fleet.KindAgent)) == count
 	}
--- a/internal/app/directory/handler.go
+++ b/internal/app/directory/handler.go
@@ -23,46 +23,46 @@
 // nothing from what is passed on to members.
 func (d handler) Exchange(_ context.Context, m port.ExchangeMessage) (port.ExchangeMessage, error) {
 	if m.From == "" {
-		return d.ownFacts(), nil
+		return d.selfMessage(), nil
 	}
-	out, l := d.gossip.Reply(d.toMessage(m), d.deps.Clock.Now())
-	d.merged(l)
-	d.observe(m, "")
-	return d.fromMessage(out), nil
+	out, res := d.gossip.Reply(d.toCoreMessage(m), d.deps.Clock.Now())
+	d.handleMerge(res)
+	d.observeRevision(m, "")
+	return d.fromCoreMessage(out), nil
 }
 
 // Declaration implements port.MemberHandler.
 func (d handler) Declaration(context.Context) (port.StoredDeclaration, error) {
-	h, age := d.rev.Snapshot(d.deps.Clock.Now())
-	if h.Declaration == nil {
+	snap, age := d.current.Snapshot(d.deps.Clock.Now())
+	if snap.Declaration == nil {
 		return port.StoredDeclaration{}, ErrNoDeclaration
 	}
-	return port.StoredDeclaration{Revision: h.Declaration.Revision, Stored: h.Stored, Age: age}, nil
+	return port.StoredDeclaration{Revision: snap.Declaration.Revision, Stored: snap.Stored, Age: age}, nil
 }
 
 // Members implements port.MemberHandler. Dead members are included, so that
 // operators see which processes were not heard of and since when.
-func (d handler) Members(context.Context) (port.ExchangeMessage, error) { return d.wholeTable(), nil }
+func (d handler) Members(context.Context) (port.ExchangeMessage, error) { return d.tableMessage(), nil }
 
-func (d *Directory) wholeTable() port.ExchangeMessage {
-	m := d.fromMessage(d.gossip.NewMessage())
+func (d *Directory) tableMessage() port.ExchangeMessage {
+	m := d.fromCoreMessage(d.gossip.NewMessage())
 	m.Records = d.allRecords()
 	return m
 }
 
-func (d *Directory) ownFacts() port.ExchangeMessage {
+func (d *Directory) selfMessage() port.ExchangeMessage {
 	now := d.deps.Clock.Now()
-	m := d.fromMessage(d.gossip.NewMessage())
-	if s, ok := d.table.Get(d.cfg.Self.ID, now); ok {
-		m.Records = []port.MemberRecord{fromCore(s)}
+	m := d.fromCoreMessage(d.gossip.NewMessage())
+	if rec, ok := d.table.Get(d.cfg.Self.ID, now); ok {
+		m.Records = []port.MemberRecord{fromCore(rec)}
 	}
 	return m
 }
 
 func (d *Directory) allRecords() []port.MemberRecord {
 	var out []port.MemberRecord
-	for _, s := range d.table.AllMembers(d.deps.Clock.Now()) {
-		out = append(out, fromCore(s))
+	for _, rec := range d.table.AllMembers(d.deps.Clock.Now()) {
+		out = append(out, fromCore(rec))
 	}
 	return out
 }
--- a/internal/app/directory/intern.go
+++ b/internal/app/directory/intern.go
@@ -19,34 +19,34 @@
 	labels *shard.Map[uint64, map[string]string]
 }
 
-func same[S ~string](s S) S { return unique.Make(s).Value() }
+func internString[S ~string](s S) S { return unique.Make(s).Value() }
 
 // record replaces the parts of a record by shared ones.
-func (in interner) record(r *port.MemberRecord) {
-	r.Domain, r.Region = same(r.Domain), same(r.Region)
-	r.Labels = in.set(r.Labels)
+func (in interner) internRecord(r *port.MemberRecord) {
+	r.Domain, r.Region = internString(r.Domain), internString(r.Region)
+	r.Labels = in.internLabels(r.Labels)
 	if s := r.Status; s != nil {
 		if string(s.VM) == r.ID {
 			s.VM = fleet.VM(r.ID)
 		}
-		s.Domain, s.Group, s.Service, s.Version = same(s.Domain), same(s.Group), same(s.Service), same(s.Version)
+		s.Domain, s.Group, s.Service, s.Version = internString(s.Domain), internString(s.Group), internString(s.Service), internString(s.Version)
 		p := &s.Progress
-		p.Target, p.State, p.Reason = same(p.Target), same(p.State), same(p.Reason)
+		p.Target, p.State, p.Reason = internString(p.Target), internString(p.State), internString(p.Reason)
 	}
 }
 
 // set returns an equal set that other records have, if there is one. Records of
 // members are never modified, so that they can share it.
-func (in interner) set(labels map[string]string) map[string]string {
+func (in interner) internLabels(labels map[string]string) map[string]string {
 	if len(labels) == 0 {
 		return nil
 	}
-	var sum uint64
+	var hash uint64
 	for k, v := range labels {
-		sum += fnv(k, v)
+		hash += hashLabel(k, v)
 	}
-	if old, ok := in.labels.Get(sum); ok && maps.Equal(old, labels) {
-		return old
+	if shared, ok := in.labels.Get(hash); ok && maps.Equal(shared, labels) {
+		return shared
 	}
 	if in.labels.Len() >= maxLabelSets {
 		var keys []uint64
@@ -58,17 +58,17 @@
 			in.labels.Delete(k)
 		}
 	}
-	in.labels.Put(sum, labels)
+	in.labels.Put(hash, labels)
 	return labels
 }
 
 // fnv is FNV-1a over a label.
-func fnv(k, v string) uint64 {
-	h := uint64(14695981039346656037)
+func hashLabel(k, v string) uint64 {
+	hash := uint64(14695981039346656037)
 	for _, s := range []string{k, "=", v} {
 		for i := range len(s) {
-			h = (h ^ uint64(s[i])) * 1099511628211
+			hash = (hash ^ uint64(s[i])) * 1099511628211
 		}
 	}
-	return h
+	return hash
 }
--- a/internal/app/directory/large_bench_test.go
+++ b/internal/app/directory/large_bench_test.go
@@ -12,12 +12,12 @@
 )
 
 // designMembers is the number of processes at the design size.
-const designMembers = 2790
+const designFleetSize = 2790
 
 // large returns a directory that knows the fleet of the design size.
-func large() *Directory {
-	d := alone(nil, nil)
-	for i := range designMembers - 1 {
+func newLargeDirectory() *Directory {
+	d := newTestDirectory(nil, nil)
+	for i := range designFleetSize - 1 {
 		r := port.MemberRecord{
 			ID: fmt.Sprintf("d%02d-w%d", i%14, i), Domain: fleet.Domain(fmt.Sprintf("d%02d", i%14)), Region: "r1",
 			Address: fleet.Address(fmt.Sprintf("10.%d.%d.1:7100", i/250, i%250)), Incarnation: 1, Version: 1,
@@ -41,15 +41,15 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	d := large()
+	d := newLargeDirectory()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	perMember := float64(after.HeapAlloc-before.HeapAlloc) / designMembers
+	perMember := float64(after.HeapAlloc-before.HeapAlloc) / designFleetSize
 	now := d.deps.Clock.Now()
 	b.Run("round", func(b *testing.B) {
 		for b.Loop() {
 			d.table.Tick(now)
-			d.round(now)
+			d.roundPartners(now)
 		}
 		b.ReportMetric(perMember, "B/member")
 	})
@@ -61,7 +61,7 @@
 	b.Run("members", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			d.forgetLists()
+			d.invalidateMemberLists()
 			d.Members(fleet.KindAgent)
 		}
 	})
--- a/internal/app/directory/reader.go
+++ b/internal/app/directory/reader.go
@@ -14,28 +14,28 @@
 
 const (
 	// readerPoll is how often a process checks whether it is a reader.
-	readerPoll = 500 * time.Millisecond
+	readerCheckInterval = 500 * time.Millisecond
 	// platformRetry is the pause after a failed call of the platform.
-	platformRetry = 500 * time.Millisecond
+	platformRetryDelay = 500 * time.Millisecond
 	// rereadEvery is the number of watches without a change after which the
 	// key is read. It finds a platform whose own revisions went back, where a
 	// watch for a higher one would wait for long.
-	rereadEvery = 5
+	maxIdleWatches = 5
 	// vmMisses is the number of lists in a row in which a VM is missing or
 	// leaving before its agent is contacted, since the list lags.
-	vmMisses = 2
+	vmMissThreshold = 2
 	// vmListPerVM times the length of the list is the least time between two
 	// reads of it. At 50 bytes a line it bounds them to 250 B/s, whatever the
 	// size of the fleet. The list has no form that tells only what changed; that
 	// an agent is gone is found by its neighbours in any case.
-	vmListPerVM = 200 * time.Millisecond
+	vmListDelayPerVM = 200 * time.Millisecond
 	// vmProbes bounds the agents contacted after one list.
-	vmProbes = 8
+	maxVMProbes = 8
 )
 
 // readLoop watches the platform while this process is a reader.
-func (d *Directory) readLoop(ctx context.Context) {
-	for d.sleep(ctx, readerPoll) {
+func (d *Directory) readerLoop(ctx context.Context) {
+	for d.sleep(ctx, readerCheckInterval) {
 		if !d.table.IsReader() {
 			continue
 		}
@@ -51,7 +51,7 @@
 	for ctx.Err() == nil && d.table.IsReader() {
 		if err := w.step(ctx); err != nil {
 			d.deps.Metrics.Count("directory_platform_errors_total", 1)
-			if !d.sleep(ctx, d.jitter(platformRetry)) {
+			if !d.sleep(ctx, d.jitter(platformRetryDelay)) {
 				return
 			}
 		}
@@ -63,31 +63,31 @@
 	d *Directory
 	// rev is the platform's revision that was seen last, doc the revision in
 	// that document.
-	rev  int64
-	doc  uint64
-	idle int
+	platformRevision  int64
+	declarationRevision  uint64
+	idleWatches int
 }
 
 func (w *watcher) step(ctx context.Context) error {
-	if w.idle >= rereadEvery {
-		w.idle = 0
+	if w.idleWatches >= maxIdleWatches {
+		w.idleWatches = 0
 		e, err := w.d.deps.KV.Get(ctx, w.d.cfg.Key)
 		if err == nil {
-			w.take(e)
+			w.acceptEntry(e)
 		}
 		return ignoreNotFound(err)
 	}
-	e, err := w.d.deps.KV.Watch(ctx, w.d.cfg.Key, w.rev, w.d.cfg.WatchTimeout)
+	e, err := w.d.deps.KV.Watch(ctx, w.d.cfg.Key, w.platformRevision, w.d.cfg.WatchTimeout)
 	switch {
 	case err == nil:
-		w.take(e)
+		w.acceptEntry(e)
 	case errors.Is(err, port.ErrNotFound):
 		// A watch may end at once if the key is absent.
-		w.idle++
-		if w.rev == 0 && !w.d.sleep(ctx, platformRetry) {
+		w.idleWatches++
+		if w.platformRevision == 0 && !w.d.sleep(ctx, platformRetryDelay) {
 			return nil
 		}
-		w.d.rev.Confirm(w.doc, 0, w.d.deps.Clock.Now())
+		w.d.current.Confirm(w.declarationRevision, 0, w.d.deps.Clock.Now())
 	default:
 		return err
 	}
@@ -103,14 +103,14 @@
 
 // take accepts a document of the platform. One that is older than the newest
 // known is counted; it does not move the age of the newest.
-func (w *watcher) take(e port.KVEntry) {
-	w.rev = e.Rev
-	doc, err := w.d.accept(e.Value, 0)
+func (w *watcher) acceptEntry(e port.KVEntry) {
+	w.platformRevision = e.Rev
+	rev, err := w.d.accept(e.Value, 0)
 	if err != nil {
 		return
 	}
-	w.doc = doc
-	if doc < w.d.rev.Revision() {
+	w.declarationRevision = rev
+	if rev < w.d.current.Revision() {
 		w.d.deps.Metrics.Count("directory_platform_stale_total", 1)
 	}
 }
@@ -122,7 +122,7 @@
 func (d *Directory) vmListLoop(ctx context.Context) {
 	misses := map[string]int{}
 	length := 0
-	for d.sleep(ctx, d.jitter(max(d.cfg.VMListInterval, time.Duration(length)*vmListPerVM))) {
+	for d.sleep(ctx, d.jitter(max(d.cfg.VMListInterval, time.Duration(length)*vmListDelayPerVM))) {
 		if d.deps.VMs == nil || !d.table.IsReader() {
 			continue
 		}
@@ -131,35 +131,35 @@
 			continue
 		}
 		length = len(list)
-		d.probeMissing(ctx, list, misses)
+		d.probeMissingVMs(ctx, list, misses)
 	}
 }
 
-func (d *Directory) probeMissing(ctx context.Context, list []port.VMRecord, misses map[string]int) {
+func (d *Directory) probeMissingVMs(ctx context.Context, list []port.VMRecord, misses map[string]int) {
 	live := map[string]bool{}
-	for _, v := range list {
-		live[string(v.VM)] = v.State == port.VMLive
+	for _, vm := range list {
+		live[string(vm.VM)] = vm.State == port.VMLive
 	}
 	now := d.deps.Clock.Now()
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	probes := 0
 	known := map[string]bool{}
-	for _, s := range d.table.LiveMembers(now) {
-		if s.Kind != fleet.KindAgent || s.Domain != d.cfg.Self.Domain || s.State == membership.Dead {
+	for _, rec := range d.table.LiveMembers(now) {
+		if rec.Kind != fleet.KindAgent || rec.Domain != d.cfg.Self.Domain || rec.State == membership.Dead {
 			continue
 		}
-		known[s.ID] = true
-		if live[s.ID] {
-			delete(misses, s.ID)
+		known[rec.ID] = true
+		if live[rec.ID] {
+			delete(misses, rec.ID)
 			continue
 		}
-		misses[s.ID]++
-		if misses[s.ID] < vmMisses || probes >= vmProbes {
+		misses[rec.ID]++
+		if misses[rec.ID] < vmMissThreshold || probes >= maxVMProbes {
 			continue
 		}
 		probes++
-		wg.Go(func() { d.exchange(ctx, target{s.ID, s.Address}, compared) })
+		wg.Go(func() { d.exchange(ctx, partner{rec.ID, rec.Address}, withComparison) })
 	}
 	for id := range misses {
 		if !known[id] {
--- a/internal/app/directory/reader_test.go
+++ b/internal/app/directory/reader_test.go
@@ -15,14 +15,14 @@
 )
 
 // oneKey is a platform whose key never exceeds the revision that is watched.
-type oneKey struct {
+type singleKeyKV struct {
 	port.KV
 	entry port.KVEntry
 }
 
-func (k *oneKey) Get(context.Context, string) (port.KVEntry, error) { return k.entry, nil }
+func (k *singleKeyKV) Get(context.Context, string) (port.KVEntry, error) { return k.entry, nil }
 
-func (k *oneKey) Watch(_ context.Context, _ string, after int64, _ time.Duration) (port.KVEntry, error) {
+func (k *singleKeyKV) Watch(_ context.Context, _ string, after int64, _ time.Duration) (port.KVEntry, error) {
 	if k.entry.Rev > after {
 		return k.entry, nil
 	}
@@ -30,24 +30,24 @@
 }
 
 // silent counts the addresses that are contacted and never answers.
-type silent struct {
+type unresponsivePeer struct {
 	port.MemberClient
-	asked map[fleet.Address]int
+	contacted map[fleet.Address]int
 }
 
-func (s silent) Exchange(_ context.Context, a fleet.Address, _ port.ExchangeMessage) (port.ExchangeMessage, error) {
-	s.asked[a]++
+func (s unresponsivePeer) Exchange(_ context.Context, a fleet.Address, _ port.ExchangeMessage) (port.ExchangeMessage, error) {
+	s.contacted[a]++
 	return port.ExchangeMessage{}, errors.New("no answer")
 }
 
-func alone(kv port.KV, mc port.MemberClient) *Directory {
+func newTestDirectory(kv port.KV, mc port.MemberClient) *Directory {
 	self := port.MemberRecord{ID: "e", Kind: fleet.KindEntry, Domain: "a", Address: "127.0.0.1:1"}
 	return New(Config{Self: self}, Deps{
 		KV: kv, Members: mc, Clock: sysclock.Clock{}, Rand: sysclock.Rand{}, Decode: inifile.Decode,
 	})
 }
 
-func stored(t *testing.T, rev uint64) []byte {
+func encodedDocument(t *testing.T, rev uint64) []byte {
 	t.Helper()
 	b, err := inifile.Document{Revision: rev, Config: "[domain a]\nregion=r\n"}.Encode()
 	if err != nil {
@@ -58,29 +58,29 @@
 
 // TestPlatformRevisionsGoBack guards against a reader that waits for ever for
 // a higher revision of a platform that started to count anew.
-func TestPlatformRevisionsGoBack(t *testing.T) {
-	kv := &oneKey{entry: port.KVEntry{Value: stored(t, 4), Rev: 900}}
-	w := watcher{d: alone(kv, nil)}
+func TestPlatformRevisionsRestart(t *testing.T) {
+	kv := &singleKeyKV{entry: port.KVEntry{Value: encodedDocument(t, 4), Rev: 900}}
+	w := watcher{d: newTestDirectory(kv, nil)}
 	step := func() {
 		if err := w.step(context.Background()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	step()
-	kv.entry = port.KVEntry{Value: stored(t, 5), Rev: 3}
-	for range rereadEvery + 1 {
+	kv.entry = port.KVEntry{Value: encodedDocument(t, 5), Rev: 3}
+	for range maxIdleWatches + 1 {
 		step()
 	}
-	if got := w.d.rev.Revision(); got != 5 {
+	if got := w.d.current.Revision(); got != 5 {
 		t.Errorf("revision %d, want 5", got)
 	}
 }
 
 // TestUnreadableDocument guards against a document that cannot be read and
 // takes the one in force away.
-func TestUnreadableDocument(t *testing.T) {
-	d := alone(nil, nil)
-	if _, err := d.accept(stored(t, 2), 0); err != nil {
+func TestInvalidDocumentKeepsDeclaration(t *testing.T) {
+	d := newTestDirectory(nil, nil)
+	if _, err := d.accept(encodedDocument(t, 2), 0); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := d.accept([]byte(`{"revision":9,"config":"[zone x]"}`), 0); err == nil {
@@ -97,9 +97,9 @@
 
 // TestVMListIsAHint guards against a list that takes a member out by itself,
 // that is believed at the first look, or that is not followed up.
-func TestVMListIsAHint(t *testing.T) {
-	mc := silent{asked: map[fleet.Address]int{}}
-	d := alone(nil, mc)
+func TestVMListNeedsConfirmation(t *testing.T) {
+	mc := unresponsivePeer{contacted: map[fleet.Address]int{}}
+	d := newTestDirectory(nil, mc)
 	now := time.Now()
 	for _, r := range []port.MemberRecord{
 		{ID: "w1", Kind: fleet.KindAgent, Domain: "a", Address: "w1"},
@@ -110,13 +110,13 @@
 	}
 	list := []port.VMRecord{{VM: "w1", State: port.VMLive}, {VM: "w2", State: port.VMLeaving}}
 	misses := map[string]int{}
-	d.probeMissing(context.Background(), list, misses)
-	if len(mc.asked) != 0 {
-		t.Errorf("asked after one list: %v", mc.asked)
+	d.probeMissingVMs(context.Background(), list, misses)
+	if len(mc.contacted) != 0 {
+		t.Errorf("asked after one list: %v", mc.contacted)
 	}
-	d.probeMissing(context.Background(), list, misses)
-	if len(mc.asked) != 1 || mc.asked["w2"] != 1 {
-		t.Errorf("asked %v, want w2 only", mc.asked)
+	d.probeMissingVMs(context.Background(), list, misses)
+	if len(mc.contacted) != 1 || mc.contacted["w2"] != 1 {
+		t.Errorf("asked %v, want w2 only", mc.contacted)
 	}
 	if s, _ := d.table.Get("w2", now); s.State != membership.Alive || len(d.Members(fleet.KindAgent)) != 3 {
 		t.Errorf("the list alone changed the state to %v", s.State)
--- a/internal/app/directory/record.go
+++ b/internal/app/directory/record.go
@@ -13,27 +13,27 @@
 	return membership.Record[port.MemberRecord]{
 		ID: r.ID, Kind: r.Kind, Domain: r.Domain, Address: r.Address,
 		Incarnation: r.Incarnation, Version: r.Version, State: membership.State(r.State),
-		Flags: marks(r.Status), Payload: r,
+		Flags: recordFlags(r.Status), Payload: r,
 	}
 }
 
 // marks returns what others should hear of at once beside the state.
-func marks(s *port.AgentStatus) (m uint8) {
+func recordFlags(s *port.AgentStatus) (flags uint8) {
 	if s == nil {
 		return 0
 	}
 	for i, set := range []bool{s.Cordoned, s.Leaving, s.Ready} {
 		if set {
-			m |= 1 << i
+			flags |= 1 << i
 		}
 	}
-	return m
+	return flags
 }
 
 // Sizes of a record in a message, without its strings.
 const (
-	bareBytes   = 24
-	memberBytes = 40
+	stateOnlyBytes   = 24
+	recordBytes = 40
 	statusBytes = 40
 	labelBytes  = 6
 )
@@ -41,22 +41,22 @@
 // recordSize estimates the bytes of a record in a message.
 func recordSize(r *membership.Record[port.MemberRecord]) int {
 	if r.StateOnly {
-		return bareBytes + len(r.ID)
+		return stateOnlyBytes + len(r.ID)
 	}
-	p := &r.Payload
-	n := memberBytes + len(r.ID) + len(r.Domain) + len(p.Region) + len(r.Address) + len(p.AdminAddress)
-	for k, v := range p.Labels {
+	payload := &r.Payload
+	n := recordBytes + len(r.ID) + len(r.Domain) + len(payload.Region) + len(r.Address) + len(payload.AdminAddress)
+	for k, v := range payload.Labels {
 		n += labelBytes + len(k) + len(v)
 	}
-	if s := p.Status; s != nil {
-		n += statusBytes + len(s.Group) + len(s.Service) + len(s.Version) + len(s.Progress.Target) +
-			len(s.Progress.State) + len(s.Progress.Reason)
+	if status := payload.Status; status != nil {
+		n += statusBytes + len(status.Group) + len(status.Service) + len(status.Version) + len(status.Progress.Target) +
+			len(status.Progress.State) + len(status.Progress.Reason)
 	}
 	return n
 }
 
 // toMessage leaves out records that no process may send.
-func (d *Directory) toMessage(m port.ExchangeMessage) membership.Message[port.MemberRecord] {
+func (d *Directory) toCoreMessage(m port.ExchangeMessage) membership.Message[port.MemberRecord] {
 	out := membership.Message[port.MemberRecord]{
 		From: m.From, Digest: m.Digest, Compare: m.Compare, Group: int(m.Group), Digests: m.Digests, Want: m.Want,
 	}
@@ -67,30 +67,30 @@
 		if r.ID == "" || r.State > port.MemberDead {
 			continue
 		}
-		d.intern.record(&r)
-		s := membership.ObservedRecord[port.MemberRecord]{Record: toCore(r), Age: r.Age}
-		s.StateOnly = r.Address == ""
-		out.Records = append(out.Records, s)
+		d.intern.internRecord(&r)
+		rec := membership.ObservedRecord[port.MemberRecord]{Record: toCore(r), Age: r.Age}
+		rec.StateOnly = r.Address == ""
+		out.Records = append(out.Records, rec)
 	}
 	return out
 }
 
 // fromMessage adds the revision.
-func (d *Directory) fromMessage(m membership.Message[port.MemberRecord]) port.ExchangeMessage {
-	h, age := d.rev.Snapshot(d.deps.Clock.Now())
+func (d *Directory) fromCoreMessage(m membership.Message[port.MemberRecord]) port.ExchangeMessage {
+	snap, age := d.current.Snapshot(d.deps.Clock.Now())
 	out := port.ExchangeMessage{
 		From: m.From, Age: age, Digest: m.Digest, Compare: m.Compare, Group: uint32(m.Group), Digests: m.Digests, Want: m.Want,
 	}
-	if h.Declaration != nil {
-		out.Revision = h.Declaration.Revision
+	if snap.Declaration != nil {
+		out.Revision = snap.Declaration.Revision
 	}
 	for _, l := range m.Leaves {
 		out.Leaves = append(out.Leaves, uint32(l))
 	}
-	for _, s := range m.Records {
-		r := fromCore(s)
-		if s.StateOnly {
-			r.ID = s.ID
+	for _, rec := range m.Records {
+		r := fromCore(rec)
+		if rec.StateOnly {
+			r.ID = rec.ID
 		}
 		out.Records = append(out.Records, r)
 	}
@@ -98,20 +98,20 @@
 }
 
 // fromCore returns the payload with what the table knows better.
-func fromCore(s membership.ObservedRecord[port.MemberRecord]) port.MemberRecord {
-	r := s.Payload
-	r.Incarnation, r.Version, r.State, r.Age = s.Incarnation, s.Version, port.MemberState(s.State), s.Age
-	return r
+func fromCore(rec membership.ObservedRecord[port.MemberRecord]) port.MemberRecord {
+	out := rec.Payload
+	out.Incarnation, out.Version, out.State, out.Age = rec.Incarnation, rec.Version, port.MemberState(rec.State), rec.Age
+	return out
 }
 
 // ownRecord is what the process says of itself. The table holds the version
 // that was published last. One lock covers the record and its publication, so
 // that two changes cannot be published in the wrong order.
-type ownRecord struct {
+type selfRecord struct {
 	mu        sync.Mutex
-	rec       port.MemberRecord
-	dirty     bool
-	published time.Time
+	record       port.MemberRecord
+	unpublished     bool
+	publishedAt time.Time
 }
 
 // UpdateSelf implements port.Directory. A change other than of load and progress
@@ -119,24 +119,24 @@
 // runs under a lock and must not call the Directory.
 func (d *Directory) UpdateSelf(change func(*port.MemberRecord)) {
 	now := d.deps.Clock.Now()
-	d.own.mu.Lock()
-	old := d.own.rec
+	d.self.mu.Lock()
+	old := d.self.record
 	rec := cloneRecord(old)
 	change(&rec)
-	d.own.rec, d.own.dirty = rec, true
-	state := stateChanged(old, rec)
-	if state || now.Sub(d.own.published) >= d.statusGap() {
+	d.self.record, d.self.unpublished = rec, true
+	urgent := isUrgentChange(old, rec)
+	if urgent || now.Sub(d.self.publishedAt) >= d.minStatusInterval() {
 		d.publishLocked(now)
 	}
-	d.own.mu.Unlock()
-	if state {
-		signal(d.announce)
+	d.self.mu.Unlock()
+	if urgent {
+		signal(d.selfChanged)
 		d.notify()
 	}
 }
 
 // stateChanged reports whether others should hear of the change at once.
-func stateChanged(a, b port.MemberRecord) bool {
+func isUrgentChange(a, b port.MemberRecord) bool {
 	if a.State != b.State || (a.Status == nil) != (b.Status == nil) {
 		return true
 	}
@@ -153,9 +153,9 @@
 // holder of own.mu takes one shard lock of the table; no code takes own.mu
 // under a shard lock.
 func (d *Directory) publishLocked(now time.Time) {
-	d.own.rec.Revision = max(d.own.rec.Revision, d.rev.Revision())
-	d.own.dirty, d.own.published = false, now
-	rec := cloneRecord(d.own.rec)
+	d.self.record.Revision = max(d.self.record.Revision, d.current.Revision())
+	d.self.unpublished, d.self.publishedAt = false, now
+	rec := cloneRecord(d.self.record)
 	d.table.UpdateSelf(now, func(r *membership.Record[port.MemberRecord]) {
 		inc, ver := r.Incarnation, r.Version
 		*r = toCore(rec)
@@ -172,9 +172,9 @@
 // the fleet longer to pass on than the time between two changes. An exchange
 // tells the revision of its sender in any case.
 func (d *Directory) publishFirstRevision() {
-	d.own.mu.Lock()
-	defer d.own.mu.Unlock()
-	if d.own.rec.Revision == 0 {
+	d.self.mu.Lock()
+	defer d.self.mu.Unlock()
+	if d.self.record.Revision == 0 {
 		d.publishLocked(d.deps.Clock.Now())
 	}
 }
@@ -183,17 +183,17 @@
 // versions of a record that differ in load and progress only. Only operators
 // read these from records, and a spread to 600 VMs would otherwise change 120
 // records a second.
-const statusPerMember = 100 * time.Millisecond
+const statusDelayPerMember = 100 * time.Millisecond
 
-func (d *Directory) statusGap() time.Duration {
-	return max(d.cfg.StatusInterval, time.Duration(d.table.Len())*statusPerMember)
+func (d *Directory) minStatusInterval() time.Duration {
+	return max(d.cfg.StatusInterval, time.Duration(d.table.Len())*statusDelayPerMember)
 }
 
 // flushSelf publishes changes that waited for statusGap.
-func (d *Directory) flushSelf(now time.Time) {
-	d.own.mu.Lock()
-	defer d.own.mu.Unlock()
-	if d.own.dirty && now.Sub(d.own.published) >= d.statusGap() {
+func (d *Directory) publishPending(now time.Time) {
+	d.self.mu.Lock()
+	defer d.self.mu.Unlock()
+	if d.self.unpublished && now.Sub(d.self.publishedAt) >= d.minStatusInterval() {
 		d.publishLocked(now)
 	}
 }
--- a/internal/app/directory/startup.go
+++ b/internal/app/directory/startup.go
@@ -16,8 +16,8 @@
 // Reasons why a process is not ready.
 var (
 	reasonStarting  = "waiting for the platform and the seeds"
-	reasonNoneHeld  = "the platform does not answer and no reachable process holds a declaration"
-	reasonNoneKnown = "the platform holds no declaration yet"
+	reasonUnreachable  = "the platform does not answer and no reachable process holds a declaration"
+	reasonNoDeclaration = "the platform holds no declaration yet"
 	reasonReady     = ""
 )
 
@@ -27,9 +27,9 @@
 	once   sync.Once
 	reason atomic.Pointer[string]
 
-	platform    atomic.Bool
-	seedAnswers atomic.Int32
-	seedsAsked  atomic.Int32
+	platformResponded    atomic.Bool
+	seedsResponded atomic.Int32
+	seedsQueried  atomic.Int32
 }
 
 // Ready returns a channel that is closed once the process may serve.
@@ -42,20 +42,20 @@
 // highest revision seen is good enough to serve.
 func (d *Directory) startLoop(ctx context.Context) {
 	began := d.deps.Clock.Now()
-	heard := make(chan struct{}, 1)
+	responded := make(chan struct{}, 1)
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { d.askPlatform(ctx, heard) })
-	for _, t := range d.seeds() {
-		wg.Go(func() { d.askSeed(ctx, t.addr, heard) })
+	wg.Go(func() { d.queryPlatform(ctx, responded) })
+	for _, seed := range d.seedPartners() {
+		wg.Go(func() { d.querySeed(ctx, seed.addr, responded) })
 	}
 	timeout := d.deps.Clock.After(d.cfg.StartTimeout)
-	for !d.decideReady(d.deps.Clock.Now().Sub(began)) {
+	for !d.updateReadiness(d.deps.Clock.Now().Sub(began)) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-heard:
-		case <-d.accepted:
+		case <-responded:
+		case <-d.declarationAccepted:
 		case <-timeout:
 		}
 	}
@@ -66,71 +66,71 @@
 
 // decideReady applies the start-up rule. A declaration that arrives after the
 // rule's time is enough by itself.
-func (d *Directory) decideReady(since time.Duration) bool {
+func (d *Directory) updateReadiness(elapsed time.Duration) bool {
 	s := &d.start
-	held := d.rev.Revision() > 0
-	late := since >= d.cfg.StartTimeout
-	seeds := s.seedAnswers.Load() > 0 || int(s.seedsAsked.Load()) == len(d.seeds())
+	hasDeclaration := d.current.Revision() > 0
+	timedOut := elapsed >= d.cfg.StartTimeout
+	seedsDone := s.seedsResponded.Load() > 0 || int(s.seedsQueried.Load()) == len(d.seedPartners())
 	switch {
-	case held && (late || s.platform.Load() && seeds):
+	case hasDeclaration && (timedOut || s.platformResponded.Load() && seedsDone):
 		s.reason.Store(&reasonReady)
 		return true
-	case s.platform.Load() && seeds:
-		s.reason.Store(&reasonNoneKnown)
-	case late:
-		s.reason.Store(&reasonNoneHeld)
+	case s.platformResponded.Load() && seedsDone:
+		s.reason.Store(&reasonNoDeclaration)
+	case timedOut:
+		s.reason.Store(&reasonUnreachable)
 	}
 	return false
 }
 
 // askPlatform reads the key until the platform answers or a declaration is in
 // force by other means.
-func (d *Directory) askPlatform(ctx context.Context, heard chan struct{}) {
+func (d *Directory) queryPlatform(ctx context.Context, responded chan struct{}) {
 	for {
 		e, err := d.deps.KV.Get(ctx, d.cfg.Key)
 		if err == nil {
 			_, err = d.accept(e.Value, 0)
 		}
 		if err == nil || errors.Is(err, port.ErrNotFound) {
-			d.start.platform.Store(true)
-			signal(heard)
+			d.start.platformResponded.Store(true)
+			signal(responded)
 			return
 		}
-		if !d.sleep(ctx, d.jitter(platformRetry)) || d.NotReadyReason() == reasonReady {
+		if !d.sleep(ctx, d.jitter(platformRetryDelay)) || d.NotReadyReason() == reasonReady {
 			return
 		}
 	}
 }
 
 // askSeed joins through one seed and takes its declaration.
-func (d *Directory) askSeed(ctx context.Context, a fleet.Address, heard chan struct{}) {
-	if d.exchange(ctx, target{addr: a}, compared) {
+func (d *Directory) querySeed(ctx context.Context, a fleet.Address, responded chan struct{}) {
+	if d.exchange(ctx, partner{addr: a}, withComparison) {
 		doc, err := d.deps.Members.Declaration(ctx, a)
 		if err == nil {
 			_, _ = d.accept(doc.Stored, doc.Age)
 		}
-		d.start.seedAnswers.Add(1)
+		d.start.seedsResponded.Add(1)
 	}
-	d.start.seedsAsked.Add(1)
-	signal(heard)
+	d.start.seedsQueried.Add(1)
+	signal(responded)
 }
 
 // meterEvery is the interval over which the traffic is averaged.
-const meterEvery = 10 * time.Second
+const metricsInterval = 10 * time.Second
 
 // meterLoop reports the members, the age and the traffic of the exchanges.
-func (d *Directory) meterLoop(ctx context.Context) {
+func (d *Directory) metricsLoop(ctx context.Context) {
 	last := map[string]port.Traffic{}
-	for d.sleep(ctx, meterEvery) {
+	for d.sleep(ctx, metricsInterval) {
 		now := d.deps.Clock.Now()
 		d.deps.Metrics.Gauge("directory_members", float64(len(d.table.LiveMembers(now))))
-		if _, age := d.rev.Snapshot(now); age >= 0 {
+		if _, age := d.current.Snapshot(now); age >= 0 {
 			d.deps.Metrics.Gauge("directory_age_seconds", age.Seconds())
 		}
 		for _, t := range d.Traffic() {
-			old, kind := last[t.Kind], port.Attr{Key: "kind", Value: t.Kind}
-			d.deps.Metrics.Count("rpc_bytes_total", t.In-old.In, kind, port.Attr{Key: "direction", Value: "in"})
-			d.deps.Metrics.Count("rpc_bytes_total", t.Out-old.Out, kind, port.Attr{Key: "direction", Value: "out"})
+			prev, kind := last[t.Kind], port.Attr{Key: "kind", Value: t.Kind}
+			d.deps.Metrics.Count("rpc_bytes_total", t.In-prev.In, kind, port.Attr{Key: "direction", Value: "in"})
+			d.deps.Metrics.Count("rpc_bytes_total", t.Out-prev.Out, kind, port.Attr{Key: "direction", Value: "out"})
 			last[t.Kind] = t
 		}
 	}
