--- a/cmd/masticwing-gateway/main.go
+++ b/cmd/masticwing-gateway/main.go
@@ -32,9 +32,9 @@
 			set.Register(s)
 			return &set.Common
 		},
-		New:  role,
+		NewRole:     role,
 		MemoryLimit: func() int64 { return set.Memory },
-		Run:    func(ctx context.Context, env daemon.Env) error { return run(ctx, *set, env) },
+		Run:         func(ctx context.Context, env daemon.Env) error { return run(ctx, *set, env) },
 	}
 }
 
--- a/internal/app/daemon/admin.go
+++ b/internal/app/daemon/admin.go
@@ -12,19 +12,19 @@
 	metrics http.Handler
 
 	mu     sync.Mutex
-	notReadyReason string
+	reason string
 	status func() any
 }
 
 func newAdmin(metrics http.Handler) *Admin {
-	return &Admin{metrics: metrics, notReadyReason: "starting"}
+	return &Admin{metrics: metrics, reason: "starting"}
 }
 
 // SetNotReady sets the reason why the daemon serves nothing.
 func (a *Admin) SetNotReady(reason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.notReadyReason = reason
+	a.reason = reason
 }
 
 // SetReady marks the daemon as serving.
@@ -50,7 +50,7 @@
 
 func (a *Admin) readyz(w http.ResponseWriter, _ *http.Request) {
 	a.mu.Lock()
-	reason := a.notReadyReason
+	reason := a.reason
 	a.mu.Unlock()
 	if reason != "" {
 		http.Error(w, reason, http.StatusServiceUnavailable)
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -60,8 +60,8 @@
 	Usage string
 	// Settings registers the settings and returns the common part.
 	Settings func(*settings.Set) *Common
-	// New returns the role once more, to check changed settings. It may be nil.
-	New func() Role
+	// NewRole returns the role once more, to check changed settings. It may be nil.
+	NewRole func() Role
 	// MemoryLimit returns the most that the process may use, after Settings. It may
 	// be nil.
 	MemoryLimit func() int64
@@ -166,11 +166,11 @@
 	defer flush()
 	env := Env{Log: logger, Metrics: metrics, Admin: newAdmin(metrics.Handler())}
 	validate := func() []error {
-		if r.New == nil {
+		if r.NewRole == nil {
 			return nil
 		}
 		fresh := settings.New(r.Name)
-		r.New().Settings(fresh)
+		r.NewRole().Settings(fresh)
 		var out []error
 		for _, f := range fresh.Load(path) {
 			out = append(out, f)
--- a/internal/app/daemon/reload_test.go
+++ b/internal/app/daemon/reload_test.go
@@ -18,8 +18,8 @@
 )
 
 type syncBuffer struct {
-	mu sync.Mutex
-	buf  bytes.Buffer
+	mu  sync.Mutex
+	buf bytes.Buffer
 }
 
 func (o *syncBuffer) Write(p []byte) (int, error) {
--- a/internal/app/directory/convergence_test.go
+++ b/internal/app/directory/convergence_test.go
@@ -103,8 +103,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 
-	withSeed, lis := w.newNode(3, []fleet.Address{w.nodes[0].cfg.Self.Address})
-	withoutSeed, _ := w.newNode(4, nil)
+	withSeed, lis := w.node(3, []fleet.Address{w.nodes[0].cfg.Self.Address})
+	withoutSeed, _ := w.node(4, nil)
 	w.goUntilEnd(func() { _ = withSeed.server.Serve(ctx, lis) })
 	w.goUntilEnd(func() { withSeed.Run(ctx) })
 	w.goUntilEnd(func() { withoutSeed.Run(ctx) })
@@ -114,7 +114,7 @@
 		t.Fatalf("not ready with a seed: %s", withSeed.NotReadyReason())
 	}
 	if !hasRevision(w.doc.Revision)(withSeed) {
-		t.Errorf("ready with revision %d", withSeed.current.Revision())
+		t.Errorf("ready with revision %d", withSeed.rev.Revision())
 	}
 	select {
 	case <-withoutSeed.Ready():
@@ -168,8 +168,8 @@
 	time.Sleep(20 * time.Second)
 	bytes := func() (sum int64) {
 		for _, n := range w.nodes {
-			traffic := n.client.Meter.Read()[0] // shared with the server; the first kind is the connections'
-			sum += traffic.In + traffic.Out
+			all := n.client.Meter.Read()[0] // shared with the server; the first kind is the connections'
+			sum += all.In + all.Out
 		}
 		return sum
 	}
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -107,28 +107,28 @@
 	cfg  Config
 	deps Deps
 
-	current   revision.Store
-	table *membership.Table[port.MemberRecord]
-	self   selfRecord
-	subscribers  *shard.Map[uint64, chan struct{}]
+	rev              revision.Store
+	table            *membership.Table[port.MemberRecord]
+	self             selfRecord
+	subscribers      *shard.Map[uint64, chan struct{}]
 	lastSubscriberID atomic.Uint64
 	// busy holds the addresses with an exchange in progress, so that a silent
 	// member holds at most one goroutine.
 	exchanging *shard.Map[fleet.Address, struct{}]
 	// waiting holds the announcements that wait for busy.
 	pendingAnnouncements *shard.Map[announcement, struct{}]
-	fetchQueue   chan fetchRequest
+	fetchQueue           chan fetchRequest
 	// pulling holds the revisions that are being fetched.
-	fetching  *shard.Map[uint64, struct{}]
+	fetching    *shard.Map[uint64, struct{}]
 	selfChanged chan struct{}
 	// revised wakes the announcement of a revision, which carries no records.
-	revisionChanged  chan struct{}
+	revisionChanged     chan struct{}
 	peerStateChanged    chan struct{}
 	declarationAccepted chan struct{}
-	gossip   membership.Gossip[port.MemberRecord]
-	intern   interner
-	start    startup
-	nextNeighbour     atomic.Uint64
+	gossip              membership.Gossip[port.MemberRecord]
+	intern              interner
+	start               startup
+	nextNeighbour       atomic.Uint64
 	// agreed is the digest of the last exchange if both tables had it, else 0.
 	agreedDigest atomic.Uint64
 	// lists holds the answers of Members.
@@ -146,24 +146,24 @@
 	}
 	d := &Directory{
 		cfg: cfg, deps: deps,
-		table:    membership.NewTable(toCore(cfg.Self), now),
-		subscribers:     shard.New[uint64, chan struct{}](0),
-		exchanging:     shard.New[fleet.Address, struct{}](0),
-		pendingAnnouncements:  shard.New[announcement, struct{}](0),
-		fetchQueue:    make(chan fetchRequest, fetchQueueSize),
-		fetching:  shard.New[uint64, struct{}](0),
-		selfChanged: make(chan struct{}, 1),
-		revisionChanged:  make(chan struct{}, 1),
-		memberLists:    shard.New[fleet.Kind, memberList](0),
-		peerStateChanged:    make(chan struct{}, 1),
-		declarationAccepted: make(chan struct{}, 1),
-		intern:   interner{shard.New[uint64, map[string]string](0)},
-		start:    startup{ready: make(chan struct{})},
+		table:                membership.NewTable(toCore(cfg.Self), now),
+		subscribers:          shard.New[uint64, chan struct{}](0),
+		exchanging:           shard.New[fleet.Address, struct{}](0),
+		pendingAnnouncements: shard.New[announcement, struct{}](0),
+		fetchQueue:           make(chan fetchRequest, fetchQueueSize),
+		fetching:             shard.New[uint64, struct{}](0),
+		selfChanged:          make(chan struct{}, 1),
+		revisionChanged:      make(chan struct{}, 1),
+		memberLists:          shard.New[fleet.Kind, memberList](0),
+		peerStateChanged:     make(chan struct{}, 1),
+		declarationAccepted:  make(chan struct{}, 1),
+		intern:               interner{shard.New[uint64, map[string]string](0)},
+		start:                startup{ready: make(chan struct{})},
 	}
 	d.gossip = membership.Gossip[port.MemberRecord]{
 		Table: d.table, Budget: membership.NewBudget(cfg.ExchangeBytesPerSecond, now), RecordSize: recordSize, RandIntN: deps.Rand.IntN,
 	}
-	d.self.record = cloneRecord(cfg.Self)
+	d.self.rec = cloneRecord(cfg.Self)
 	d.start.reason.Store(&reasonStarting)
 	return d
 }
@@ -191,7 +191,7 @@
 	default:
 		return nil, -1
 	}
-	snap, age := d.current.Snapshot(d.deps.Clock.Now())
+	snap, age := d.rev.Snapshot(d.deps.Clock.Now())
 	return snap.Declaration, age
 }
 
@@ -239,7 +239,7 @@
 		return 0, errors.Wrap(err, "reading declaration")
 	}
 	now := d.deps.Clock.Now()
-	if !d.current.Accept(revision.Snapshot{Declaration: decl, Stored: stored}, age, now) {
+	if !d.rev.Accept(revision.Snapshot{Declaration: decl, Stored: stored}, age, now) {
 		return decl.Revision, nil
 	}
 	d.deps.Metrics.Gauge("directory_revision", float64(decl.Revision))
--- a/internal/app/directory/exchange.go
+++ b/internal/app/directory/exchange.go
@@ -285,8 +285,8 @@
 	if sender, ok := d.table.Get(m.From, now); ok && from == "" {
 		from = sender.Address
 	}
-	d.current.Confirm(m.Revision, m.Age, now)
-	if m.Revision > d.current.Revision() && from != "" {
+	d.rev.Confirm(m.Revision, m.Age, now)
+	if m.Revision > d.rev.Revision() && from != "" {
 		d.enqueueFetch(fetchRequest{from, m.Revision})
 	}
 }
@@ -294,7 +294,7 @@
 // announcement is a message to a neighbour that must not wait for its turn.
 type announcement struct {
 	addr fleet.Address
-	kind    exchangeKind
+	kind exchangeKind
 }
 
 // announceLoop tells all neighbours at once of a new revision, a new state of
--- a/internal/app/directory/exchange_test.go
+++ b/internal/app/directory/exchange_test.go
@@ -12,9 +12,9 @@
 // and notes what it was sent.
 type exchangeRecorder struct {
 	port.MemberClient
-	d    *Directory
-	digestOffset  uint64
-	sent []port.ExchangeMessage
+	d            *Directory
+	digestOffset uint64
+	sent         []port.ExchangeMessage
 }
 
 func (r *exchangeRecorder) Exchange(_ context.Context, _ fleet.Address, m port.ExchangeMessage) (port.ExchangeMessage, error) {
--- a/internal/app/directory/fetch.go
+++ b/internal/app/directory/fetch.go
@@ -46,7 +46,7 @@
 // fetch gets a newer document, unless it arrives from elsewhere meanwhile. If
 // the process does not answer, the next exchange asks another one.
 func (d *Directory) fetch(ctx context.Context, req fetchRequest) {
-	if req.rev <= d.current.Revision() {
+	if req.rev <= d.rev.Revision() {
 		return
 	}
 	first := false
@@ -56,7 +56,7 @@
 	})
 	if first {
 		defer d.fetching.Delete(req.rev)
-	} else if !d.sleep(ctx, fetchHedgeDelay) || req.rev <= d.current.Revision() {
+	} else if !d.sleep(ctx, fetchHedgeDelay) || req.rev <= d.rev.Revision() {
 		return
 	}
 	doc, err := d.deps.Members.Declaration(ctx, req.addr)
--- a/internal/app/directory/fleet_test.go
+++ b/internal/app/directory/fleet_test.go
@@ -30,17 +30,17 @@
 // world is a fleet of directories over the real rpc, with a stand-in platform
 // and links between failure domains that can be cut.
 type testFleet struct {
-	t      *testing.T
-	url    string
-	kv     *kvhttp.Client
-	nodes  []*node
+	t       *testing.T
+	url     string
+	kv      *kvhttp.Client
+	nodes   []*node
 	domains *shard.Map[fleet.Address, fleet.Domain]
 	// cut is the domain that is separated from all others, and from the
 	// platform; empty if none is.
 	cutDomain atomic.Value
-	platformRevision int64
-	doc inifile.Document
-	wg  conc.WaitGroup
+	rev       int64
+	doc       inifile.Document
+	wg        conc.WaitGroup
 }
 
 // start runs f until the end of the test.
@@ -136,7 +136,7 @@
 	})
 	var seeds []fleet.Address
 	for i := range n {
-		nd, lis := w.newNode(i, seeds)
+		nd, lis := w.node(i, seeds)
 		if len(seeds) < 3 {
 			seeds = append(seeds, nd.cfg.Self.Address)
 		}
@@ -147,7 +147,7 @@
 	return w
 }
 
-func (w *testFleet) newNode(i int, seeds []fleet.Address) (*node, net.Listener) {
+func (w *testFleet) node(i int, seeds []fleet.Address) (*node, net.Listener) {
 	w.t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -223,7 +223,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	rev, err := w.kv.CompareAndSwap(context.Background(), inifile.Key, w.platformRevision, b, port.NoLease)
+	rev, err := w.kv.CompareAndSwap(context.Background(), inifile.Key, w.rev, b, port.NoLease)
 	if errors.Is(err, port.ErrUnknownOutcome) {
 		e, gerr := w.kv.Get(context.Background(), inifile.Key)
 		if gerr != nil || !bytes.Equal(e.Value, b) {
@@ -234,7 +234,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.platformRevision = rev
+	w.rev = rev
 	return w.doc.Revision
 }
 
@@ -248,7 +248,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if w.platformRevision, err = w.kv.CompareAndSwap(context.Background(), inifile.Key, w.platformRevision, b, port.NoLease); err != nil {
+	if w.rev, err = w.kv.CompareAndSwap(context.Background(), inifile.Key, w.rev, b, port.NoLease); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -298,7 +298,7 @@
 }
 
 func hasRevision(rev uint64) func(*node) bool {
-	return func(n *node) bool { return n.current.Revision() == rev }
+	return func(n *node) bool { return n.rev.Revision() == rev }
 }
 
 // sees reports whether the node lists count members.
--- a/internal/app/directory/handler.go
+++ b/internal/app/directory/handler.go
@@ -33,7 +33,7 @@
 
 // Declaration implements port.MemberHandler.
 func (d handler) Declaration(context.Context) (port.StoredDeclaration, error) {
-	snap, age := d.current.Snapshot(d.deps.Clock.Now())
+	snap, age := d.rev.Snapshot(d.deps.Clock.Now())
 	if snap.Declaration == nil {
 		return port.StoredDeclaration{}, ErrNoDeclaration
 	}
--- a/internal/app/directory/members.go
+++ b/internal/app/directory/members.go
@@ -15,8 +15,8 @@
 
 // memberList is an answer of Members.
 type memberList struct {
-	records []port.MemberRecord
-	createdAt    time.Time
+	records   []port.MemberRecord
+	createdAt time.Time
 }
 
 // Members implements port.Directory. The slice and the records are shared and
--- a/internal/app/directory/reader.go
+++ b/internal/app/directory/reader.go
@@ -63,8 +63,8 @@
 	d *Directory
 	// rev is the platform's revision that was seen last, doc the revision in
 	// that document.
-	platformRevision  int64
-	declarationRevision  uint64
+	rev         int64
+	declRev     uint64
 	idleWatches int
 }
 
@@ -77,17 +77,17 @@
 		}
 		return ignoreNotFound(err)
 	}
-	e, err := w.d.deps.KV.Watch(ctx, w.d.cfg.Key, w.platformRevision, w.d.cfg.WatchTimeout)
+	e, err := w.d.deps.KV.Watch(ctx, w.d.cfg.Key, w.rev, w.d.cfg.WatchTimeout)
 	switch {
 	case err == nil:
 		w.acceptEntry(e)
 	case errors.Is(err, port.ErrNotFound):
 		// A watch may end at once if the key is absent.
 		w.idleWatches++
-		if w.platformRevision == 0 && !w.d.sleep(ctx, platformRetryDelay) {
+		if w.rev == 0 && !w.d.sleep(ctx, platformRetryDelay) {
 			return nil
 		}
-		w.d.current.Confirm(w.declarationRevision, 0, w.d.deps.Clock.Now())
+		w.d.rev.Confirm(w.declRev, 0, w.d.deps.Clock.Now())
 	default:
 		return err
 	}
@@ -104,13 +104,13 @@
 // take accepts a document of the platform. One that is older than the newest
 // known is counted; it does not move the age of the newest.
 func (w *watcher) acceptEntry(e port.KVEntry) {
-	w.platformRevision = e.Rev
-	rev, err := w.d.accept(e.Value, 0)
+	w.rev = e.Rev
+	declRev, err := w.d.accept(e.Value, 0)
 	if err != nil {
 		return
 	}
-	w.declarationRevision = rev
-	if rev < w.d.current.Revision() {
+	w.declRev = declRev
+	if declRev < w.d.rev.Revision() {
 		w.d.deps.Metrics.Count("directory_platform_stale_total", 1)
 	}
 }
--- a/internal/app/directory/reader_test.go
+++ b/internal/app/directory/reader_test.go
@@ -71,7 +71,7 @@
 	for range maxIdleWatches + 1 {
 		step()
 	}
-	if got := w.d.current.Revision(); got != 5 {
+	if got := w.d.rev.Revision(); got != 5 {
 		t.Errorf("revision %d, want 5", got)
 	}
 }
--- a/internal/app/directory/record.go
+++ b/internal/app/directory/record.go
@@ -32,10 +32,10 @@
 
 // Sizes of a record in a message, without its strings.
 const (
-	stateOnlyBytes   = 24
-	recordBytes = 40
-	statusBytes = 40
-	labelBytes  = 6
+	stateOnlyBytes = 24
+	recordBytes    = 40
+	statusBytes    = 40
+	labelBytes     = 6
 )
 
 // recordSize estimates the bytes of a record in a message.
@@ -77,7 +77,7 @@
 
 // fromMessage adds the revision.
 func (d *Directory) fromCoreMessage(m membership.Message[port.MemberRecord]) port.ExchangeMessage {
-	snap, age := d.current.Snapshot(d.deps.Clock.Now())
+	snap, age := d.rev.Snapshot(d.deps.Clock.Now())
 	out := port.ExchangeMessage{
 		From: m.From, Age: age, Digest: m.Digest, Compare: m.Compare, Group: uint32(m.Group), Digests: m.Digests, Want: m.Want,
 	}
@@ -108,9 +108,9 @@
 // that was published last. One lock covers the record and its publication, so
 // that two changes cannot be published in the wrong order.
 type selfRecord struct {
-	mu        sync.Mutex
-	record       port.MemberRecord
-	unpublished     bool
+	mu          sync.Mutex
+	rec         port.MemberRecord
+	unpublished bool
 	publishedAt time.Time
 }
 
@@ -120,10 +120,10 @@
 func (d *Directory) UpdateSelf(change func(*port.MemberRecord)) {
 	now := d.deps.Clock.Now()
 	d.self.mu.Lock()
-	old := d.self.record
+	old := d.self.rec
 	rec := cloneRecord(old)
 	change(&rec)
-	d.self.record, d.self.unpublished = rec, true
+	d.self.rec, d.self.unpublished = rec, true
 	urgent := isUrgentChange(old, rec)
 	if urgent || now.Sub(d.self.publishedAt) >= d.minStatusInterval() {
 		d.publishLocked(now)
@@ -153,9 +153,9 @@
 // holder of own.mu takes one shard lock of the table; no code takes own.mu
 // under a shard lock.
 func (d *Directory) publishLocked(now time.Time) {
-	d.self.record.Revision = max(d.self.record.Revision, d.current.Revision())
+	d.self.rec.Revision = max(d.self.rec.Revision, d.rev.Revision())
 	d.self.unpublished, d.self.publishedAt = false, now
-	rec := cloneRecord(d.self.record)
+	rec := cloneRecord(d.self.rec)
 	d.table.UpdateSelf(now, func(r *membership.Record[port.MemberRecord]) {
 		inc, ver := r.Incarnation, r.Version
 		*r = toCore(rec)
@@ -174,7 +174,7 @@
 func (d *Directory) publishFirstRevision() {
 	d.self.mu.Lock()
 	defer d.self.mu.Unlock()
-	if d.self.record.Revision == 0 {
+	if d.self.rec.Revision == 0 {
 		d.publishLocked(d.deps.Clock.Now())
 	}
 }
--- a/internal/app/directory/startup.go
+++ b/internal/app/directory/startup.go
@@ -15,10 +15,10 @@
 
 // Reasons why a process is not ready.
 var (
-	reasonStarting  = "waiting for the platform and the seeds"
-	reasonUnreachable  = "the platform does not answer and no reachable process holds a declaration"
+	reasonStarting      = "waiting for the platform and the seeds"
+	reasonUnreachable   = "the platform does not answer and no reachable process holds a declaration"
 	reasonNoDeclaration = "the platform holds no declaration yet"
-	reasonReady     = ""
+	reasonReady         = ""
 )
 
 // startup tracks what a process has heard since it started.
@@ -27,9 +27,9 @@
 	once   sync.Once
 	reason atomic.Pointer[string]
 
-	platformResponded    atomic.Bool
-	seedsResponded atomic.Int32
-	seedsQueried  atomic.Int32
+	platformResponded atomic.Bool
+	seedsResponded    atomic.Int32
+	seedsQueried      atomic.Int32
 }
 
 // Ready returns a channel that is closed once the process may serve.
@@ -68,7 +68,7 @@
 // rule's time is enough by itself.
 func (d *Directory) updateReadiness(elapsed time.Duration) bool {
 	s := &d.start
-	hasDeclaration := d.current.Revision() > 0
+	hasDeclaration := d.rev.Revision() > 0
 	timedOut := elapsed >= d.cfg.StartTimeout
 	seedsDone := s.seedsResponded.Load() > 0 || int(s.seedsQueried.Load()) == len(d.seedPartners())
 	switch {
@@ -124,7 +124,7 @@
 	for d.sleep(ctx, metricsInterval) {
 		now := d.deps.Clock.Now()
 		d.deps.Metrics.Gauge("directory_members", float64(len(d.table.LiveMembers(now))))
-		if _, age := d.current.Snapshot(now); age >= 0 {
+		if _, age := d.rev.Snapshot(now); age >= 0 {
 			d.deps.Metrics.Gauge("directory_age_seconds", age.Seconds())
 		}
 		for _, t := range d.Traffic() {
