--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -1,5 +1,6 @@
-// Package agent is the process beside a target. It admits requests, gives all
-// orders to its model engine or plain service, and reports their state.
+// Package agent implements masticwing-agent, which runs next to one target: a
+// model engine or a plain service. It admits requests for the target, orders the
+// engine to load and unload weights, and reports the state of both.
 package agent
 
 import (
@@ -19,7 +20,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Identity is what an agent knows of itself from its settings.
+// Identity identifies an agent and its place in the fleet.
 type Identity struct {
 	VM     fleet.VM
 	Domain fleet.Domain
@@ -29,13 +30,13 @@
 	BootID uint64
 }
 
-// machine returns what a declaration assigns to.
+// machine returns the attributes by which a declaration selects this VM.
 func (i Identity) machine() declare.Machine {
 	return declare.Machine{VM: i.VM, Domain: i.Domain, Labels: i.Labels}
 }
 
-// Deps is everything an agent meets outside of itself. Engine or Service is
-// nil if there is none beside the agent.
+// Deps are the ports that an agent uses. Engine or Service is nil if the agent
+// has no such target.
 type Deps struct {
 	Clock     port.Clock
 	KV        port.KV
@@ -48,79 +49,81 @@
 	Log       *logging.Logger
 }
 
-// view is what the agent has to do and what its target can do. It is replaced
-// as a whole.
-type view struct {
+// snapshot holds the assignment of the agent and the state of its target. It is
+// replaced as a whole.
+type snapshot struct {
 	declaration *declare.Declaration
-	assign      declare.Assignment
+	assignment  declare.Assignment
 	serving     rollout.Ref
-	// up means that the engine or the service answers.
-	up       bool
-	ready    bool
-	leaving  bool
-	progress port.Progress
+	// reachable means that the last probe of the engine or service succeeded.
+	reachable bool
+	ready     bool
+	leaving   bool
+	progress  port.Progress
 }
 
-// self is the key of the only view of an agent.
-const self = "self"
+// singleKey is the key of a map that holds one value.
+const singleKey = "self"
 
 // Agent implements port.AgentHandler.
 type Agent struct {
-	id       Identity
-	d        Deps
-	target   string
-	adm      *admission.Table
-	roll     *rollout.Table
-	views    *shard.Map[string, view]
-	watchers *shard.Map[uint64, chan struct{}]
-	watches  atomic.Uint64
-	// serving counts the requests inside Serve, admitted or not.
-	serving *inflight.Counter
-	kicks   chan struct{}
-	probes  chan struct{}
-	// rounds holds the round of confirmations that requests have joined, and
-	// asks wakes the goroutine that asks for them.
-	rounds *shard.Map[string, chan struct{}]
-	asks   chan struct{}
+	id             Identity
+	deps           Deps
+	targetKey      string
+	admissions     *admission.Table
+	rollouts       *rollout.Table
+	snapshots      *shard.Map[string, snapshot]
+	statusWatchers *shard.Map[uint64, chan struct{}]
+	lastWatcherID  atomic.Uint64
+	// requests counts the requests inside Serve, admitted or not.
+	requests  *inflight.Counter
+	replanNow chan struct{}
+	probeNow  chan struct{}
+	// pendingQuery holds a channel that is closed after the next identity query,
+	// if requests wait for one. queryNow wakes the goroutine that sends it.
+	pendingQuery *shard.Map[string, chan struct{}]
+	queryNow     chan struct{}
 }
 
 var _ port.AgentHandler = (*Agent)(nil)
 
-// New returns an agent that refuses everything until Run knows a declaration.
-func New(id Identity, d Deps) *Agent {
+// New returns an agent that refuses all requests until Run has received a
+// declaration.
+func New(id Identity, deps Deps) *Agent {
 	return &Agent{
-		id:       id,
-		d:        d,
-		target:   string(id.VM),
-		adm:      admission.New(),
-		roll:     rollout.NewTable(),
-		views:    shard.New[string, view](1),
-		watchers: shard.New[uint64, chan struct{}](0),
-		serving:  inflight.New(),
-		kicks:    make(chan struct{}, 1),
-		probes:   make(chan struct{}, 1),
-		rounds:   shard.New[string, chan struct{}](1),
-		asks:     make(chan struct{}, 1),
+		id:             id,
+		deps:           deps,
+		targetKey:      string(id.VM),
+		admissions:     admission.New(),
+		rollouts:       rollout.NewTable(),
+		snapshots:      shard.New[string, snapshot](1),
+		statusWatchers: shard.New[uint64, chan struct{}](0),
+		requests:       inflight.New(),
+		replanNow:      make(chan struct{}, 1),
+		probeNow:       make(chan struct{}, 1),
+		pendingQuery:   shard.New[string, chan struct{}](1),
+		queryNow:       make(chan struct{}, 1),
 	}
 }
 
-func (a *Agent) view() view {
-	v, _ := a.views.Get(self)
+func (a *Agent) snapshot() snapshot {
+	v, _ := a.snapshots.Get(singleKey)
 	return v
 }
 
-// change replaces the view and returns the new one.
-func (a *Agent) change(f func(v *view)) view {
-	var out view
-	a.views.Update(self, func(v view, _ bool) (view, bool) {
-		f(&v)
-		out = v
+// updateSnapshot applies update to a copy of the snapshot, stores the copy and
+// returns it.
+func (a *Agent) updateSnapshot(update func(v *snapshot)) snapshot {
+	var updated snapshot
+	a.snapshots.Update(singleKey, func(v snapshot, _ bool) (snapshot, bool) {
+		update(&v)
+		updated = v
 		return v, true
 	})
-	return out
+	return updated
 }
 
-// signal wakes the receiver of a channel of one slot.
+// signal wakes the receiver of a channel with capacity one without blocking.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -128,38 +131,39 @@
 	}
 }
 
-// Run monitors the target, follows the declaration and gives orders until ctx
-// ends.
+// Run probes the target, applies new declarations, sends orders to the engine
+// and publishes the agent's status until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	c := newController(a)
 	var wg conc.WaitGroup
-	wg.Go(func() { a.monitor(ctx, c.reports) })
-	wg.Go(func() { newOrderer(a).run(ctx, c.orders, c.ended) })
-	wg.Go(func() { a.confirm(ctx) })
-	wg.Go(func() { a.publish(ctx) })
+	wg.Go(func() { a.monitor(ctx, c.probeResults) })
+	wg.Go(func() { newOrderer(a).run(ctx, c.orders, c.orderResults) })
+	wg.Go(func() { a.runIdentityQueries(ctx) })
+	wg.Go(func() { a.publishStatus(ctx) })
 	wg.Go(func() { c.run(ctx) })
 	wg.Wait()
 }
 
-// drainNotice is the least time between the announcement of leaving and the
-// stop. Entries learn of it from their status streams within it, so that none
-// opens a request on a connection that is about to close. It is a timer because
-// no entry confirms that it has learned of it.
-const drainNotice = 300 * time.Millisecond
+// drainNoticeTime is the minimum time between the announcement that the agent
+// is leaving and its stop. Entries receive the announcement on their status
+// streams within this time and send no more requests on a connection that is
+// about to close. A timer is needed because entries do not acknowledge the
+// announcement.
+const drainNoticeTime = 300 * time.Millisecond
 
-// Drain refuses new work and returns once no request is in progress, or after
+// Drain refuses new requests and returns once none is in progress, or after
 // timeout. It reports whether all requests finished.
 func (a *Agent) Drain(timeout time.Duration) bool {
-	a.adm.SetLeaving(a.target)
-	a.change(func(v *view) { v.leaving = true })
-	a.notify()
-	end := a.d.Clock.After(timeout)
-	<-a.d.Clock.After(min(drainNotice, timeout))
-	for !a.serving.Idle() {
+	a.admissions.SetLeaving(a.targetKey)
+	a.updateSnapshot(func(v *snapshot) { v.leaving = true })
+	a.notifyWatchers()
+	expired := a.deps.Clock.After(timeout)
+	<-a.deps.Clock.After(min(drainNoticeTime, timeout))
+	for !a.requests.Idle() {
 		select {
-		case <-a.serving.IdleSignal():
-		case <-end:
-			return a.serving.Idle()
+		case <-a.requests.IdleSignal():
+		case <-expired:
+			return a.requests.Idle()
 		}
 	}
 	return true
--- a/internal/app/agent/controller.go
+++ b/internal/app/agent/controller.go
@@ -13,284 +13,289 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// report is the result of one probe of the target.
-type report struct {
-	// asked is the time before the probe was sent.
-	asked  time.Time
+type probeResult struct {
+	// sentAt is the time just before the probe was sent.
+	sentAt time.Time
 	engine port.EngineStatus
 	err    error
 }
 
-// orderResult says how an order ended. An order that was not given yet is
-// planned again at once.
+// orderResult is the outcome of an order. A deferred order was not sent, and
+// the controller plans again without delay.
 type orderResult struct {
-	action rollout.Action
-	held   bool
-	err    error
+	action   rollout.Action
+	deferred bool
+	err      error
 }
 
-// orderBackoff is the pause after an order that failed.
+// orderBackoff is the delay after a failed order.
 const orderBackoff = time.Second
 
-// controller is the one goroutine that turns events into plans.
+// controller plans the next step of the rollout on each event. Its fields belong
+// to the goroutine of run.
 type controller struct {
-	a       *Agent
-	reports chan report
-	orders  chan rollout.Action
-	ended   chan orderResult
+	a            *Agent
+	probeResults chan probeResult
+	orders       chan rollout.Action
+	orderResults chan orderResult
 
-	// group names the machine of the present assignment.
+	// group is the assigned group. It is the key of the rollout state machine.
 	group  fleet.Group
 	loaded []fleet.Version
-	want   []rollout.Ref
-	// ordering is true while the orderer has an order for the machine of
-	// orderGroup, which may differ from group after a new assignment.
-	ordering   bool
-	orderGroup fleet.Group
-	// orderDone is the end of the last order. A report that was asked for
-	// before it may not show what the order did; until a later one arrives,
-	// stale is true and no order is given.
-	orderDone time.Time
-	stale     bool
-	failed    time.Time
-	// reason says why the last order had no effect, or is empty.
+	wanted []rollout.Ref
+	// orderInProgress is true while the orderer works on an order of orderGroup,
+	// which may differ from group after a new assignment.
+	orderInProgress bool
+	orderGroup      fleet.Group
+	// lastOrderEnded is the time at which the last order ended. The result of a
+	// probe sent before then may not show the effect of the order. Until a later
+	// result arrives, awaitingProbe is true and no order is sent.
+	lastOrderEnded  time.Time
+	awaitingProbe   bool
+	lastOrderFailed time.Time
+	// reason says why the last order was deferred or failed, or is empty.
 	reason string
-	// waitingAt is the time at which the version waitingFor became complete.
-	waitingFor fleet.Version
-	waitingAt  time.Time
+	// pendingSince is the time at which the weights of pendingVersion, the
+	// assigned version, were complete; zero until then.
+	pendingVersion fleet.Version
+	pendingSince   time.Time
 }
 
 func newController(a *Agent) *controller {
 	return &controller{
-		a:       a,
-		reports: make(chan report),
-		orders:  make(chan rollout.Action, 1),
-		ended:   make(chan orderResult, 1),
+		a:            a,
+		probeResults: make(chan probeResult),
+		orders:       make(chan rollout.Action, 1),
+		orderResults: make(chan orderResult, 1),
 	}
 }
 
 func (c *controller) run(ctx context.Context) {
-	changed, stop := c.a.d.Directory.Subscribe()
+	changed, stop := c.a.deps.Directory.Subscribe()
 	defer stop()
 	for {
-		c.assign()
-		c.step()
+		c.applyDeclaration()
+		c.reconcile()
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-c.a.d.Weights.Changed():
-		case <-c.a.kicks:
-		case r := <-c.reports:
-			c.observe(r)
-		case r := <-c.ended:
-			c.orderEnded(r)
+		case <-c.a.deps.Weights.Changed():
+		case <-c.a.replanNow:
+		case r := <-c.probeResults:
+			c.applyProbe(r)
+		case r := <-c.orderResults:
+			c.applyOrderResult(r)
 		}
 	}
 }
 
-// assign applies the newest declaration.
-func (c *controller) assign() {
+// applyDeclaration applies the newest declaration if it has changed.
+func (c *controller) applyDeclaration() {
 	a := c.a
-	d, _ := a.d.Directory.Declaration()
-	if d == nil || d == a.view().declaration {
+	d, _ := a.deps.Directory.Declaration()
+	if d == nil || d == a.snapshot().declaration {
 		return
 	}
-	as := d.Assign(a.id.machine())
-	a.adm.Configure(a.target, as.Limits, a.d.Clock.Now())
-	a.adm.SetCordoned(a.target, as.Cordoned)
-	old := a.view().assign
-	a.change(func(v *view) { v.declaration, v.assign = d, as })
-	c.group = as.Group
-	if old.Group != as.Group || old.Service != as.Service || old.Version != as.Version || old.Cordoned != as.Cordoned {
-		a.d.Log.State("assignment changed", logging.F("revision", d.Revision), logging.F("group", as.Group),
-			logging.F("service", as.Service), logging.F("version", as.Version), logging.F("cordoned", as.Cordoned))
+	assigned := d.Assign(a.id.machine())
+	a.admissions.Configure(a.targetKey, assigned.Limits, a.deps.Clock.Now())
+	a.admissions.SetCordoned(a.targetKey, assigned.Cordoned)
+	old := a.snapshot().assignment
+	a.updateSnapshot(func(v *snapshot) { v.declaration, v.assignment = d, assigned })
+	c.group = assigned.Group
+	if old.Group != assigned.Group || old.Service != assigned.Service || old.Version != assigned.Version || old.Cordoned != assigned.Cordoned {
+		a.deps.Log.State("assignment changed", logging.F("revision", d.Revision), logging.F("group", assigned.Group),
+			logging.F("service", assigned.Service), logging.F("version", assigned.Version), logging.F("cordoned", assigned.Cordoned))
 	}
-	a.notify()
+	a.notifyWatchers()
 }
 
-// observe applies a report of the target.
-func (c *controller) observe(r report) {
+// applyProbe updates the state of the target from the result of a probe.
+func (c *controller) applyProbe(r probeResult) {
 	a := c.a
-	if r.asked.Before(c.orderDone) {
+	if r.sentAt.Before(c.lastOrderEnded) {
 		return
 	}
-	c.stale = false
-	up := a.view().up
+	c.awaitingProbe = false
+	reachable := a.snapshot().reachable
 	if r.err != nil {
-		if up {
-			a.d.Log.Fault("target does not answer", r.err)
+		if reachable {
+			a.deps.Log.Fault("target does not answer", r.err)
 		}
 		c.loaded = nil
-		a.roll.Apply(c.group, rollout.EngineLost())
-		a.change(func(v *view) { v.up = false })
+		a.rollouts.Apply(c.group, rollout.EngineLost())
+		a.updateSnapshot(func(v *snapshot) { v.reachable = false })
 		return
 	}
-	if !up {
-		a.d.Log.State("target answers", logging.F("boot", r.engine.BootID))
+	if !reachable {
+		a.deps.Log.State("target answers", logging.F("boot", r.engine.BootID))
 	}
-	if a.d.Engine != nil && a.adm.ObserveEngine(a.target, observation(r.engine, r.asked), a.d.Clock.Now()) {
-		a.d.Metrics.Count("agent_cold_restarts", 1)
+	if a.deps.Engine != nil && a.admissions.ObserveEngine(a.targetKey, observation(r.engine, r.sentAt), a.deps.Clock.Now()) {
+		a.deps.Metrics.Count("agent_cold_restarts", 1)
 	}
 	c.loaded = r.engine.Loaded
-	a.change(func(v *view) { v.up = true })
+	a.updateSnapshot(func(v *snapshot) { v.reachable = true })
 }
 
-func (c *controller) orderEnded(r orderResult) {
+func (c *controller) applyOrderResult(r orderResult) {
 	a := c.a
-	c.ordering = false
-	a.roll.Apply(c.orderGroup, rollout.OrderEnded())
-	if r.held {
+	c.orderInProgress = false
+	a.rollouts.Apply(c.orderGroup, rollout.OrderEnded())
+	if r.deferred {
 		c.reason = "waiting for the order lease"
 		return
 	}
 	c.reason = ""
-	c.stale, c.orderDone = true, a.d.Clock.Now()
+	c.awaitingProbe, c.lastOrderEnded = true, a.deps.Clock.Now()
 	if r.err != nil {
-		c.failed = a.d.Clock.Now()
+		c.lastOrderFailed = a.deps.Clock.Now()
 		c.reason = "order failed: " + r.err.Error()
-		a.d.Metrics.Count("agent_orders_failed", 1)
-		a.d.Log.Fault("order failed", r.err, logging.F("version", r.action.Ref.Version))
+		a.deps.Metrics.Count("agent_orders_failed", 1)
+		a.deps.Log.Fault("order failed", r.err, logging.F("version", r.action.Ref.Version))
 	} else {
-		a.d.Log.State("order done", logging.F("kind", orderName(r.action)), logging.F("version", r.action.Ref.Version))
+		a.deps.Log.State("order done", logging.F("kind", orderKind(r.action)), logging.F("version", r.action.Ref.Version))
 	}
-	signal(a.probes)
+	signal(a.probeNow)
 }
 
-func orderName(x rollout.Action) string {
-	if x.Kind == rollout.Unload {
+func orderKind(action rollout.Action) string {
+	if action.Kind == rollout.Unload {
 		return "unload"
 	}
 	return "load"
 }
 
-// step plans, applies the plan to admission and gives at most one order.
-func (c *controller) step() {
+// reconcile plans the next step, applies the plan to the weights and to
+// admission, and starts at most one order.
+func (c *controller) reconcile() {
 	a := c.a
-	if a.view().declaration == nil {
+	if a.snapshot().declaration == nil {
 		return
 	}
-	if a.d.Engine == nil {
-		c.serveService()
+	if a.deps.Engine == nil {
+		c.reconcileService()
 		return
 	}
-	p := a.roll.Apply(c.group, c.events()...)
-	c.hold(p)
-	c.rotate(p)
-	// Requests are counted again after the rotation changed: from here on none
-	// is pinned to a version that left it.
-	p = a.roll.Apply(c.group, c.busy()...)
-	if p.Next.Kind == rollout.Wait || c.ordering || c.stale || a.d.Clock.Now().Sub(c.failed) < orderBackoff {
+	plan := a.rollouts.Apply(c.group, c.rolloutEvents()...)
+	c.setWantedVersions(plan)
+	c.applyRotation(plan)
+	// Requests are counted again after the rotation has changed. From here on no
+	// new request is pinned to a version that has left rotation.
+	plan = a.rollouts.Apply(c.group, c.busyEvents()...)
+	if plan.Next.Kind == rollout.Wait || c.orderInProgress || c.awaitingProbe || a.deps.Clock.Now().Sub(c.lastOrderFailed) < orderBackoff {
 		return
 	}
-	c.ordering, c.orderGroup = true, c.group
-	a.roll.Apply(c.group, rollout.OrderStarted(p.Next))
-	c.orders <- p.Next
+	c.orderInProgress, c.orderGroup = true, c.group
+	a.rollouts.Apply(c.group, rollout.OrderStarted(plan.Next))
+	c.orders <- plan.Next
 }
 
-func (c *controller) events() []rollout.Event {
+func (c *controller) rolloutEvents() []rollout.Event {
 	a := c.a
-	v := a.view()
-	target := rollout.Ref{Model: v.assign.Model, Version: v.assign.Version}
-	es := []rollout.Event{
-		rollout.Assigned(target, v.assign.Overlap, knownVersions(v)...),
-		rollout.Stays(!c.mayLeave(v)),
+	v := a.snapshot()
+	target := rollout.Ref{Model: v.assignment.Model, Version: v.assignment.Version}
+	events := []rollout.Event{
+		rollout.Assigned(target, v.assignment.Overlap, declaredVersions(v)...),
+		rollout.Stays(!c.mayLeaveRotation(v)),
 		rollout.EngineLost(),
 	}
-	if v.up {
-		es = append(es, rollout.EngineReported(c.loaded))
+	if v.reachable {
+		events = append(events, rollout.EngineReported(c.loaded))
 	}
 	var complete []fleet.Version
-	for _, r := range append([]rollout.Ref{target}, c.want...) {
-		if _, _, ok := a.d.Weights.Open(r.Version); ok && r.Version != "" {
+	for _, r := range append([]rollout.Ref{target}, c.wanted...) {
+		if _, _, ok := a.deps.Weights.Open(r.Version); ok && r.Version != "" {
 			complete = append(complete, r.Version)
 		}
 	}
-	return append(append(es, rollout.HeldComplete(complete)), c.busy()...)
+	return append(append(events, rollout.HeldComplete(complete)), c.busyEvents()...)
 }
 
-// knownVersions lists the declared versions of the assigned model in order.
-func knownVersions(v view) []fleet.Version {
-	return slices.Sorted(maps.Values(v.declaration.Models[v.assign.Model].Versions))
+// declaredVersions returns the declared versions of the assigned model, sorted.
+func declaredVersions(v snapshot) []fleet.Version {
+	return slices.Sorted(maps.Values(v.declaration.Models[v.assignment.Model].Versions))
 }
 
-// mayLeave reports whether this agent may leave rotation for a change with
-// overlap drain-first.
-func (c *controller) mayLeave(v view) bool {
+// mayLeaveRotation reports whether this agent may stop serving in order to
+// change versions. The overlap mode drain-first limits how many agents do so at
+// a time.
+func (c *controller) mayLeaveRotation(v snapshot) bool {
 	a := c.a
-	if v.assign.Overlap != declare.DrainFirst {
+	if v.assignment.Overlap != declare.DrainFirst {
 		return true
 	}
-	now := a.d.Clock.Now()
-	if c.waitingFor != v.assign.Version {
-		c.waitingFor, c.waitingAt = v.assign.Version, time.Time{}
+	now := a.deps.Clock.Now()
+	if c.pendingVersion != v.assignment.Version {
+		c.pendingVersion, c.pendingSince = v.assignment.Version, time.Time{}
 	}
-	if _, _, ok := a.d.Weights.Open(v.assign.Version); ok && c.waitingAt.IsZero() {
-		c.waitingAt = now
+	if _, _, ok := a.deps.Weights.Open(v.assignment.Version); ok && c.pendingSince.IsZero() {
+		c.pendingSince = now
 	}
 	if !v.ready {
 		return true
 	}
-	peers := []rollout.Peer{{VM: a.id.VM, Serving: true, Updated: v.serving.Version == v.assign.Version}}
-	for _, m := range a.d.Directory.Members(fleet.KindAgent) {
-		if st := m.Status; st != nil && st.Group == v.assign.Group && st.VM != a.id.VM {
+	peers := []rollout.Peer{{VM: a.id.VM, Serving: true, Updated: v.serving.Version == v.assignment.Version}}
+	for _, m := range a.deps.Directory.Members(fleet.KindAgent) {
+		if st := m.Status; st != nil && st.Group == v.assignment.Group && st.VM != a.id.VM {
 			serving := st.Ready && !st.Leaving && !st.Cordoned
-			peers = append(peers, rollout.Peer{VM: st.VM, Serving: serving, Updated: st.Version == v.assign.Version})
+			peers = append(peers, rollout.Peer{VM: st.VM, Serving: serving, Updated: st.Version == v.assignment.Version})
 		}
 	}
 	var waited time.Duration
-	if !c.waitingAt.IsZero() {
-		waited = now.Sub(c.waitingAt)
+	if !c.pendingSince.IsZero() {
+		waited = now.Sub(c.pendingSince)
 	}
-	return rollout.MayLeave(a.id.VM, v.assign.Version, peers, waited)
+	return rollout.MayLeave(a.id.VM, v.assignment.Version, peers, waited)
 }
 
-func (c *controller) busy() []rollout.Event {
-	var es []rollout.Event
+func (c *controller) busyEvents() []rollout.Event {
+	var events []rollout.Event
 	for _, v := range c.loaded {
-		es = append(es, rollout.Busy(v, c.a.adm.PinnedRequests(c.a.target, v)))
+		events = append(events, rollout.Busy(v, c.a.admissions.PinnedRequests(c.a.targetKey, v)))
 	}
-	return es
+	return events
 }
 
-// hold tells the store of weights which versions to keep.
-func (c *controller) hold(p rollout.Plan) {
-	if slices.Equal(c.want, p.Want) {
+// setWantedVersions tells the weights component which versions to fetch and
+// keep.
+func (c *controller) setWantedVersions(plan rollout.Plan) {
+	if slices.Equal(c.wanted, plan.Want) {
 		return
 	}
-	c.want = p.Want
-	var ts []port.WantedVersion
-	for _, r := range p.Want {
-		ts = append(ts, port.WantedVersion{Model: r.Model, Version: r.Version})
+	c.wanted = plan.Want
+	var versions []port.WantedVersion
+	for _, r := range plan.Want {
+		versions = append(versions, port.WantedVersion{Model: r.Model, Version: r.Version})
 	}
-	c.a.d.Weights.Want(ts)
+	c.a.deps.Weights.Want(versions)
 }
 
-// rotate lets admission pin the planned version.
-func (c *controller) rotate(p rollout.Plan) {
+// applyRotation makes admission pin new requests to the planned version, and
+// updates the snapshot.
+func (c *controller) applyRotation(plan rollout.Plan) {
 	a := c.a
-	ready := p.Serving.Version != ""
-	old := a.view()
-	a.adm.SetServing(a.target, ready, p.Serving.Version, a.d.Clock.Now())
-	progress := a.d.Weights.Progress()
-	if s := a.roll.State(c.group, old.assign.Version); s >= rollout.Loading {
+	ready := plan.Serving.Version != ""
+	old := a.snapshot()
+	a.admissions.SetServing(a.targetKey, ready, plan.Serving.Version, a.deps.Clock.Now())
+	progress := a.deps.Weights.Progress()
+	if s := a.rollouts.State(c.group, old.assignment.Version); s >= rollout.Loading {
 		progress.State = s.String()
 	}
-	if progress.Reason == "" && p.Serving.Version != old.assign.Version {
+	if progress.Reason == "" && plan.Serving.Version != old.assignment.Version {
 		progress.Reason = c.reason
 	}
-	a.change(func(v *view) { v.serving, v.ready, v.progress = p.Serving, ready, progress })
-	if old.serving != p.Serving {
-		a.d.Log.State("rotation changed", logging.F("version", p.Serving.Version))
+	a.updateSnapshot(func(v *snapshot) { v.serving, v.ready, v.progress = plan.Serving, ready, progress })
+	if old.serving != plan.Serving {
+		a.deps.Log.State("rotation changed", logging.F("version", plan.Serving.Version))
 	}
-	a.notify()
+	a.notifyWatchers()
 }
 
-func (c *controller) serveService() {
+func (c *controller) reconcileService() {
 	a := c.a
-	v := a.view()
-	ready := a.d.Service != nil && v.assign.Service != "" && v.up
-	a.adm.SetServing(a.target, ready, "", a.d.Clock.Now())
-	a.change(func(v *view) { v.ready = ready })
-	a.notify()
+	v := a.snapshot()
+	ready := a.deps.Service != nil && v.assignment.Service != "" && v.reachable
+	a.admissions.SetServing(a.targetKey, ready, "", a.deps.Clock.Now())
+	a.updateSnapshot(func(v *snapshot) { v.ready = ready })
+	a.notifyWatchers()
 }
--- a/internal/app/agent/harness_test.go
+++ b/internal/app/agent/harness_test.go
@@ -28,95 +28,98 @@
 	"github.com/masticwing/masticwing/internal/standin/service"
 )
 
-// fakeDirectory is a fake of port.Directory with one subscriber.
+// fakeDirectory implements port.Directory for one subscriber.
 type fakeDirectory struct {
-	state   *shard.Map[string, dirState]
+	state   *shard.Map[string, directoryState]
 	changed chan struct{}
 }
 
-type dirState struct {
+type directoryState struct {
 	d      *declare.Declaration
 	self   port.MemberRecord
 	writes int
 }
 
-func newDirectory() *fakeDirectory {
-	return &fakeDirectory{shard.New[string, dirState](1), make(chan struct{}, 1)}
+func newFakeDirectory() *fakeDirectory {
+	return &fakeDirectory{shard.New[string, directoryState](1), make(chan struct{}, 1)}
 }
 
-func (d *fakeDirectory) get() dirState {
+func (d *fakeDirectory) get() directoryState {
 	s, _ := d.state.Get("")
 	return s
 }
 
-func (d *fakeDirectory) update(f func(s *dirState)) {
-	d.state.Update("", func(s dirState, _ bool) (dirState, bool) { f(&s); return s, true })
+func (d *fakeDirectory) update(f func(s *directoryState)) {
+	d.state.Update("", func(s directoryState, _ bool) (directoryState, bool) { f(&s); return s, true })
 }
 
-func (d *fakeDirectory) set(dec *declare.Declaration) {
-	d.update(func(s *dirState) { s.d = dec })
+func (d *fakeDirectory) setDeclaration(dec *declare.Declaration) {
+	d.update(func(s *directoryState) { s.d = dec })
 	signal(d.changed)
 }
 
-func (d *fakeDirectory) Declaration() (*declare.Declaration, time.Duration) { return d.get().d, 0 }
-func (d *fakeDirectory) Members(fleet.Kind) []port.MemberRecord             { return nil }
-func (d *fakeDirectory) Subscribe() (<-chan struct{}, func())               { return d.changed, func() {} }
+func (d *fakeDirectory) Declaration() (*declare.Declaration, time.Duration) {
+	return d.get().d, 0
+}
+func (d *fakeDirectory) Members(fleet.Kind) []port.MemberRecord { return nil }
+func (d *fakeDirectory) Subscribe() (<-chan struct{}, func())   { return d.changed, func() {} }
 func (d *fakeDirectory) UpdateSelf(change func(*port.MemberRecord)) {
-	d.update(func(s *dirState) { change(&s.self); s.writes++ })
+	d.update(func(s *directoryState) { change(&s.self); s.writes++ })
 }
 
-// bed is an agent behind the real protocol with stand-ins behind it.
-type bed struct {
+// testbed runs an agent that serves the real RPC protocol, with a stand-in as
+// its target.
+type testbed struct {
 	*testing.T
-	agent   *Agent
-	client  *rpc.Client
-	addr    fleet.Address
-	dir     *fakeDirectory
-	weights *porttest.Weights
-	ledger  *porttest.Ledger
-	kv      *porttest.KV
-	metrics *otelmetrics.Metrics
-	target  string
+	agent     *Agent
+	client    *rpc.Client
+	address   fleet.Address
+	directory *fakeDirectory
+	weights   *porttest.Weights
+	ledger    *porttest.Ledger
+	kv        *porttest.KV
+	metrics   *otelmetrics.Metrics
+	targetURL string
 }
 
-var bedLimits = declare.Limits{MaxRequests: 8, MaxBytes: 1 << 20, ColdRequests: 2, RampStep: 10 * time.Millisecond}
+var testLimits = declare.Limits{MaxRequests: 8, MaxBytes: 1 << 20, ColdRequests: 2, RampStep: 10 * time.Millisecond}
 
-func declaration(rev uint64, v fleet.Version, o declare.Overlap) *declare.Declaration {
+func declaration(revision uint64, version fleet.Version, overlap declare.Overlap) *declare.Declaration {
 	vm := declare.Selector{{Key: "kind", Op: declare.In, Values: []string{"engine"}}}
 	svc := declare.Selector{{Key: "kind", Op: declare.In, Values: []string{"service"}}}
 	return &declare.Declaration{
-		Revision: rev,
-		Groups:   map[fleet.Group]declare.Group{"g": {VMs: vm, Limits: bedLimits, Overlap: o}},
-		Models:   map[fleet.Model]declare.Model{"m": {Versions: map[string]fleet.Version{"now": v}}},
+		Revision: revision,
+		Groups:   map[fleet.Group]declare.Group{"g": {VMs: vm, Limits: testLimits, Overlap: overlap}},
+		Models:   map[fleet.Model]declare.Model{"m": {Versions: map[string]fleet.Version{"now": version}}},
 		Rules:    []declare.Rule{{Name: "r", Version: "now"}},
-		Services: map[fleet.Service]declare.Service{"s": {VMs: svc, Limits: bedLimits, Calls: map[string]declare.Call{
+		Services: map[fleet.Service]declare.Service{"s": {VMs: svc, Limits: testLimits, Calls: map[string]declare.Call{
 			"read": {}, "log": {AtMostOnce: true},
 		}}},
 	}
 }
 
-// newBed starts an agent. kind is "engine" or "service".
-func newBed(t *testing.T, kind string, o engine.Options) *bed {
+// newTestbed starts an agent. kind is "engine" or "service".
+func newTestbed(t *testing.T, kind string, o engine.Options) *testbed {
 	t.Helper()
-	b := buildBed(t, kind, o)
+	b := buildTestbed(t, kind, o)
 	b.start()
 	return b
 }
 
-// buildBed makes an agent that does not run yet.
-func buildBed(t *testing.T, kind string, o engine.Options) *bed {
+// buildTestbed creates an agent without starting it.
+func buildTestbed(t *testing.T, kind string, o engine.Options) *testbed {
 	t.Helper()
 	metrics, err := otelmetrics.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{
-		T: t, client: rpc.NewClient(), dir: newDirectory(), weights: porttest.NewWeights(),
+	b := &testbed{
+		T: t, client: rpc.NewClient(), directory: newFakeDirectory(), weights: porttest.NewWeights(),
 		ledger: porttest.NewLedger(), kv: porttest.NewKV(time.Now), metrics: metrics,
 	}
 	d := Deps{
-		Clock: sysclock.Clock{}, KV: b.kv, Weights: b.weights, Ledger: b.ledger, Directory: b.dir,
-		Metrics: metrics, Log: logging.New(testLog{t}, "agent", "vm1"),
+		Clock: sysclock.Clock{}, KV: b.kv, Weights: b.weights, Ledger: b.ledger, Directory: b.directory,
+		Metrics: metrics, Log: logging.New(testLogWriter{t}, "agent", "vm1"),
 	}
 	var h *httptest.Server
 	if kind == "engine" {
@@ -126,13 +129,13 @@
 		h = httptest.NewServer(service.New().Handler())
 		d.Service = servicehttp.New(fleet.Address(h.Listener.Addr().String()))
 	}
-	b.target = h.URL
+	b.targetURL = h.URL
 	t.Cleanup(h.Close)
 	b.agent = New(Identity{VM: "vm1", Domain: "a", BootID: 7, Labels: declare.Labels{"kind": kind}}, d)
 	return b
 }
 
-func (b *bed) start() {
+func (b *testbed) start() {
 	srv, err := rpc.NewServer(rpc.Handlers{Agent: b.agent})
 	if err != nil {
 		b.Fatal(err)
@@ -141,7 +144,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.addr = fleet.Address(lis.Addr().String())
+	b.address = fleet.Address(lis.Addr().String())
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	wg.Go(func() { _ = srv.Serve(ctx, lis) })
@@ -153,40 +156,40 @@
 	})
 }
 
-// testLog writes log lines to the test.
-type testLog struct{ t *testing.T }
+// testLogWriter writes log lines to the test's log.
+type testLogWriter struct{ t *testing.T }
 
-func (l testLog) Write(b []byte) (int, error) {
+func (l testLogWriter) Write(b []byte) (int, error) {
 	l.t.Log(strings.TrimSpace(string(b)))
 	return len(b), nil
 }
 
-func (b *bed) eventually(what string, f func() bool) {
+func (b *testbed) eventually(what string, f func() bool) {
 	b.Helper()
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if f() {
 			return
 		}
 	}
-	b.Fatalf("not reached: %s; status %+v", what, b.agent.Status())
+	b.Fatalf("timeout waiting for: %s; status %+v", what, b.agent.Status())
 }
 
-// admin calls an admin path of the stand-in.
-func (b *bed) admin(path, body string) {
+// postToTarget sends a POST request to the stand-in.
+func (b *testbed) postToTarget(path, body string) {
 	b.Helper()
-	resp, err := httptestClient.Post(b.target+path, "application/json", strings.NewReader(body))
+	resp, err := targetClient.Post(b.targetURL+path, "application/json", strings.NewReader(body))
 	if err != nil {
 		b.Fatal(err)
 	}
 	_ = resp.Body.Close()
 }
 
-func (b *bed) request(id string, body string) port.ServeRequest {
+func (b *testbed) request(id string, body string) port.ServeRequest {
 	return port.ServeRequest{ID: fleet.RequestID(id), Group: "g", Customer: "c", Class: fleet.ClassSummary, Body: []byte(body), Timeout: 20 * time.Second}
 }
 
-func (b *bed) serve(r port.ServeRequest) (port.AnswerHead, string, error) {
-	ans, err := b.client.Serve(context.Background(), b.addr, r, nil)
+func (b *testbed) serve(r port.ServeRequest) (port.AnswerHead, string, error) {
+	ans, err := b.client.Serve(context.Background(), b.address, r, nil)
 	if err != nil {
 		return port.AnswerHead{}, "", err
 	}
@@ -204,8 +207,9 @@
 	}
 }
 
-// want returns the answer that the whole weights give.
-func want(id, version, weights, body string) string {
+// expectedResponse returns the response that the stand-in engine computes from
+// complete weights.
+func expectedResponse(id, version, weights, body string) string {
 	var out strings.Builder
 	for i := range engine.Tokens([]byte(body)) {
 		fmt.Fprintf(&out, "{\"request_id\":%q,\"version\":%q,\"seq\":%d,\"text\":%q}\n",
@@ -214,10 +218,11 @@
 	return out.String()
 }
 
-// checkEffects compares the effects that the stand-in service counted.
-func (b *bed) checkEffects(want map[string]int64) {
+// checkEffects checks how often the stand-in service ran the call of each
+// idempotency key.
+func (b *testbed) checkEffects(want map[string]int64) {
 	b.Helper()
-	resp, err := httptestClient.Get(b.target + "/effects")
+	resp, err := targetClient.Get(b.targetURL + "/effects")
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/app/agent/confirm_test.go
+++ b/internal/app/agent/identity_test.go
@@ -20,8 +20,8 @@
 	"github.com/masticwing/masticwing/internal/port/porttest"
 )
 
-// hookedEngine calls functions before the engine gets a call. They are set
-// before the calls start.
+// hookedEngine runs hooks around calls to the engine and counts the calls. The
+// hooks must be set before the calls start.
 type hookedEngine struct {
 	*porttest.Engine
 	beforeGenerate func()
@@ -40,8 +40,8 @@
 	return ans, err
 }
 
-// Status calls the hook after the status was taken, as if its answer were on
-// the way.
+// Status runs the hook after it has read the status, as if the response were
+// delayed on its way.
 func (e *hookedEngine) Status(ctx context.Context) (port.EngineStatus, error) {
 	e.statuses.Add(1)
 	st, _ := e.Engine.Status(ctx)
@@ -53,40 +53,42 @@
 	return st, nil
 }
 
-// discard is an answer's sink that counts its pieces.
-type discard struct{ pieces int }
+// discardSink discards a response and counts its frames.
+type discardSink struct{ frames int }
 
-func (d *discard) Head(port.AnswerHead, port.Load) error { return nil }
-func (d *discard) Data([]byte) error                     { d.pieces++; return nil }
+func (d *discardSink) Head(port.AnswerHead, port.Load) error { return nil }
+func (d *discardSink) Data([]byte) error                     { d.frames++; return nil }
 
-// patientClock never ends a wait, so that a slow machine does not either.
-type patientClock struct{ sysclock.Clock }
+// noTimerClock never fires a timer, so that no timeout passes on a slow machine.
+type noTimerClock struct{ sysclock.Clock }
 
-func (patientClock) After(time.Duration) <-chan time.Time { return nil }
+func (noTimerClock) After(time.Duration) <-chan time.Time { return nil }
 
-// warmAgent is an agent without its probes, warmed to the full limit, so that
-// only requests can find out that the target has changed.
+// warmAgent is an agent that has reached its full limit and sends no probes, so
+// that only requests can detect that the target has changed.
 type warmAgent struct {
 	*testing.T
 	*Agent
 	engine *hookedEngine
 }
 
-func newWarmAgent(t *testing.T, d Deps, kind string) warmAgent {
+func newWarmAgent(t *testing.T, deps Deps, kind string) warmAgent {
 	t.Helper()
 	metrics, err := otelmetrics.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Clock, d.Metrics, d.Weights = patientClock{}, metrics, porttest.NewWeights()
-	d.Ledger, d.Log = porttest.NewLedger(), logging.New(io.Discard, "agent", "vm1")
-	a := New(Identity{VM: "vm1", Labels: declare.Labels{"kind": kind}}, d)
+	deps.Clock, deps.Metrics, deps.Weights = noTimerClock{}, metrics, porttest.NewWeights()
+	deps.Ledger, deps.Log = porttest.NewLedger(), logging.New(io.Discard, "agent", "vm1")
+	a := New(Identity{VM: "vm1", Labels: declare.Labels{"kind": kind}}, deps)
 	dec := declaration(1, "v1", declare.KeepOld)
-	as := dec.Assign(a.id.machine())
-	as.Limits.RampStep = 0
-	a.change(func(v *view) { v.declaration, v.assign, v.up, v.ready = dec, as, true, true })
-	a.adm.Configure(a.target, as.Limits, a.d.Clock.Now())
-	a.adm.SetServing(a.target, true, as.Version, a.d.Clock.Now())
+	assigned := dec.Assign(a.id.machine())
+	assigned.Limits.RampStep = 0
+	a.updateSnapshot(func(v *snapshot) {
+		v.declaration, v.assignment, v.reachable, v.ready = dec, assigned, true, true
+	})
+	a.admissions.Configure(a.targetKey, assigned.Limits, a.deps.Clock.Now())
+	a.admissions.SetServing(a.targetKey, true, assigned.Version, a.deps.Clock.Now())
 	return warmAgent{T: t, Agent: a}
 }
 
@@ -102,13 +104,13 @@
 	}
 	w := newWarmAgent(t, Deps{Engine: e}, "engine")
 	w.engine = e
-	asked := w.d.Clock.Now()
+	asked := w.deps.Clock.Now()
 	st, _ := e.Engine.Status(t.Context())
-	w.adm.ObserveEngine(w.target, observation(st, asked), asked)
+	w.admissions.ObserveEngine(w.targetKey, observation(st, asked), asked)
 	w.warm()
 	var wg conc.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
-	wg.Go(func() { w.confirm(ctx) })
+	wg.Go(func() { w.runIdentityQueries(ctx) })
 	t.Cleanup(func() { cancel(); wg.Wait() })
 	return w
 }
@@ -116,17 +118,17 @@
 func (w warmAgent) warm() {
 	w.Helper()
 	for range 16 {
-		w.hold(1)()
+		w.admitRequests(1)()
 	}
-	w.wantLimit(bedLimits.MaxRequests)
+	w.wantLimit(testLimits.MaxRequests)
 }
 
-// hold counts n requests into the target and returns what releases them.
-func (w warmAgent) hold(n int) (release func()) {
+// admitRequests admits n requests and returns a function that releases them.
+func (w warmAgent) admitRequests(n int) (release func()) {
 	w.Helper()
 	var ps []*admission.Permit
 	for range n {
-		p, err := w.adm.Admit(w.target, 1, w.d.Clock.Now())
+		p, err := w.admissions.Admit(w.targetKey, 1, w.deps.Clock.Now())
 		if err != nil {
 			w.Fatal(err)
 		}
@@ -134,7 +136,7 @@
 	}
 	return func() {
 		for _, p := range ps {
-			p.Release(admission.Succeeded, w.d.Clock.Now())
+			p.Release(admission.Succeeded, w.deps.Clock.Now())
 		}
 	}
 }
@@ -146,14 +148,15 @@
 	}
 }
 
-func (w warmAgent) ask(id string) error {
+func (w warmAgent) serveRequest(id string) error {
 	r := port.ServeRequest{ID: "r", Group: "g", Body: []byte(id), Timeout: 10 * time.Second}
-	return w.Serve(context.Background(), r, &discard{})
+	return w.Serve(context.Background(), r, &discardSink{})
 }
 
-// TestChangeBetweenDecisionAndCall guards against a request that is admitted
-// for a warm engine and runs at the one that takes its place before the call
-// arrives: with other requests in progress, it overloads it.
+// TestChangeBetweenDecisionAndCall guards against a request that is admitted for
+// a warm engine but runs on the cold one that replaced it before the call
+// arrived. Together with the other requests in progress it would overload the
+// cold engine.
 func TestChangeBetweenDecisionAndCall(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(e *porttest.Engine)
@@ -164,20 +167,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newEngineAgent(t, true)
-			release := w.hold(5)
+			release := w.admitRequests(5)
 			w.engine.beforeGenerate = func() { c.change(w.engine.Engine) }
-			wantError(t, w.ask("r1"), verdict.NotRun, verdict.CodeTargetWarming)
-			w.wantLimit(bedLimits.ColdRequests)
+			wantError(t, w.serveRequest("r1"), verdict.NotRun, verdict.CodeTargetWarming)
+			w.wantLimit(testLimits.ColdRequests)
 			if l := w.Load(); l.InFlight != 5 {
-				t.Fatalf("the refused request kept its place: %+v", l)
+				t.Fatalf("the refused request kept its slot: %+v", l)
 			}
 			w.engine.beforeGenerate = nil
-			wantError(t, w.ask("r2"), verdict.NotRun, verdict.CodeTargetWarming)
+			wantError(t, w.serveRequest("r2"), verdict.NotRun, verdict.CodeTargetWarming)
 			release()
-			w.wantLimit(bedLimits.ColdRequests)
-			err := w.ask("r3")
+			w.wantLimit(testLimits.ColdRequests)
+			err := w.serveRequest("r3")
 			if c.then == "" && err != nil {
-				t.Fatalf("the cold engine is not used: %v", err)
+				t.Fatalf("the cold engine did not get a request within its limit: %v", err)
 			}
 			if c.then != "" {
 				wantError(t, err, verdict.NotRun, c.then)
@@ -186,16 +189,17 @@
 				t.Errorf("%d status calls to an engine that checks the identity itself", n)
 			}
 			select {
-			case <-w.probes:
+			case <-w.probeNow:
 			default:
-				t.Error("the controller is not told to look")
+				t.Error("no probe was triggered")
 			}
 		})
 	}
 }
 
-// TestUncheckedEngine guards against a request beyond the cold limit in an
-// engine that changed since its last report and does not check the identity.
+// TestUncheckedEngine guards against a request beyond the cold limit on an
+// engine that does not check the identity and has restarted or lost its caches
+// since its last report.
 func TestUncheckedEngine(t *testing.T) {
 	for name, change := range map[string]func(e *porttest.Engine){
 		"caches lost": (*porttest.Engine).Cold,
@@ -203,13 +207,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newEngineAgent(t, false)
-			defer w.hold(bedLimits.ColdRequests)()
-			if err := w.ask("r1"); err != nil {
+			defer w.admitRequests(testLimits.ColdRequests)()
+			if err := w.serveRequest("r1"); err != nil {
 				t.Fatal(err)
 			}
 			change(w.engine.Engine)
-			wantError(t, w.ask("r2"), verdict.NotRun, verdict.CodeTargetWarming)
-			w.wantLimit(bedLimits.ColdRequests)
+			wantError(t, w.serveRequest("r2"), verdict.NotRun, verdict.CodeTargetWarming)
+			w.wantLimit(testLimits.ColdRequests)
 			if s, r := w.engine.statuses.Load(), w.engine.runs.Load(); s != 2 || r != 1 {
 				t.Errorf("%d status calls and %d requests at the engine, want 2 and 1", s, r)
 			}
@@ -217,11 +221,12 @@
 	}
 }
 
-// TestOneStatusCallForAll guards against a status call for each request, and
-// against one that was under way before the change and decides after it.
+// TestOneStatusCallForAll guards against a status call for each waiting request,
+// and against a request admitted by a status call that was in progress before
+// the request arrived.
 func TestOneStatusCallForAll(t *testing.T) {
 	w := newEngineAgent(t, false)
-	defer w.hold(bedLimits.ColdRequests)()
+	defer w.admitRequests(testLimits.ColdRequests)()
 	taken, goOn := make(chan struct{}, 8), make(chan struct{})
 	w.engine.beforeStatus = func(context.Context) error {
 		taken <- struct{}{}
@@ -230,28 +235,28 @@
 	}
 	before := make(chan error, 1)
 	var wg conc.WaitGroup
-	wg.Go(func() { before <- w.ask("before") })
+	wg.Go(func() { before <- w.serveRequest("before") })
 	select {
 	case <-taken:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the engine is not asked")
+		t.Fatal("the engine's status was not queried")
 	}
 	w.engine.Cold()
 	const waiting = 4
 	for i := range waiting {
 		wg.Go(func() {
-			if e := verdict.FromError(w.ask(fmt.Sprint("after", i))); e.Code != verdict.CodeTargetWarming {
+			if e := verdict.FromError(w.serveRequest(fmt.Sprint("after", i))); e.Code != verdict.CodeTargetWarming {
 				t.Errorf("after the change: %v", e)
 			}
 		})
 	}
-	for w.serving.Count() != waiting+1 {
+	for w.requests.Count() != waiting+1 {
 		time.Sleep(100 * time.Microsecond)
 	}
-	time.Sleep(50 * time.Millisecond) // the requests join the round
+	time.Sleep(50 * time.Millisecond) // lets the requests join the identity query
 	goOn <- struct{}{}
 	if err := <-before; err != nil {
-		t.Errorf("came before the change, got %v", err)
+		t.Errorf("request from before the change failed: %v", err)
 	}
 	close(goOn)
 	wg.Wait()
@@ -260,18 +265,18 @@
 	}
 }
 
-// TestSlowStatus guards against requests that wait for an engine whose status
-// takes long; they start on its last report.
+// TestSlowStatus guards against requests that wait for a slow status call. After
+// a timeout they start on the engine's last report.
 func TestSlowStatus(t *testing.T) {
 	w := newEngineAgent(t, false)
-	w.d.Clock = sysclock.Clock{}
-	defer w.hold(bedLimits.ColdRequests)()
+	w.deps.Clock = sysclock.Clock{}
+	defer w.admitRequests(testLimits.ColdRequests)()
 	w.engine.beforeStatus = func(ctx context.Context) error {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	start := time.Now()
-	if err := w.ask("r1"); err != nil {
+	if err := w.serveRequest("r1"); err != nil {
 		t.Fatal(err)
 	}
 	if d := time.Since(start); d < confirmTimeout || d > time.Second {
--- a/internal/app/agent/life_test.go
+++ b/internal/app/agent/lifecycle_test.go
@@ -23,15 +23,15 @@
 	"github.com/masticwing/masticwing/internal/standin/engine"
 )
 
-// TestStatusStream guards against an entry that learns late of a change of
-// state, against a stream without heartbeats, and against a member record that
-// changes with every request.
+// TestStatusStream guards against a change of state that reaches an entry late,
+// against a stream without heartbeats, and against a member record that is
+// updated on every request.
 func TestStatusStream(t *testing.T) {
-	b := newBed(t, "engine", engine.Options{})
+	b := newTestbed(t, "engine", engine.Options{})
 	b.weights.Put("v1", []byte("w"))
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
-	b.serving("v1")
-	st, err := b.client.WatchStatus(context.Background(), b.addr, "e1", "a")
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
+	b.waitServing("v1")
+	st, err := b.client.WatchStatus(context.Background(), b.address, "e1", "a")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 	if err != nil || first.Version != "v1" || first.Revision != 1 || first.BootID != 7 || first.Load.Limit != 2 {
 		t.Fatalf("first status %+v, %v", first, err)
 	}
-	writes := b.dir.get().writes
+	writes := b.directory.get().writes
 	for range 3 {
 		if _, _, err := b.serve(b.request("r", "x")); err != nil {
 			t.Fatal(err)
@@ -51,13 +51,13 @@
 	if d := time.Since(start); err != nil || d > 1500*time.Millisecond || d < 500*time.Millisecond {
 		t.Fatalf("heartbeat after %v: %+v, %v", d, beat, err)
 	}
-	if n := b.dir.get().writes - writes; n > 1 {
+	if n := b.directory.get().writes - writes; n > 1 {
 		t.Errorf("%d changes of the member record without a change of state", n)
 	}
 	d := declaration(2, "v1", declare.KeepOld)
 	d.Cordons.VMs = map[fleet.VM]bool{"vm1": true}
 	start = time.Now()
-	b.dir.set(d)
+	b.directory.setDeclaration(d)
 	for {
 		got, err := st.Next()
 		if err != nil {
@@ -72,22 +72,22 @@
 	}
 }
 
-// TestDrainFirst guards against two versions in an engine that has the memory
-// for one, and against an unload under a request in progress.
+// TestDrainFirst guards against two loaded versions in an engine that has memory
+// for one, and against an unload while a request uses the version.
 func TestDrainFirst(t *testing.T) {
-	b := newBed(t, "engine", engine.Options{CheckFence: true, MemoryBytes: 8, TokenDelay: 5 * time.Millisecond})
+	b := newTestbed(t, "engine", engine.Options{CheckFence: true, MemoryBytes: 8, TokenDelay: 5 * time.Millisecond})
 	b.weights.Put("v1", []byte("weights1"))
-	b.dir.set(declaration(1, "v1", declare.DrainFirst))
-	b.serving("v1")
+	b.directory.setDeclaration(declaration(1, "v1", declare.DrainFirst))
+	b.waitServing("v1")
 	var wg conc.WaitGroup
 	wg.Go(func() {
 		_, got, err := b.serve(b.request("r1", `{"max_tokens":60}`))
-		if err != nil || got != want("r1", "v1", "weights1", `{"max_tokens":60}`) {
+		if err != nil || got != expectedResponse("r1", "v1", "weights1", `{"max_tokens":60}`) {
 			t.Errorf("request in progress during the change: %v", err)
 		}
 	})
 	b.eventually("request in progress", func() bool { return b.agent.Load().InFlight == 1 })
-	b.dir.set(declaration(2, "v2", declare.DrainFirst))
+	b.directory.setDeclaration(declaration(2, "v2", declare.DrainFirst))
 	time.Sleep(20 * time.Millisecond)
 	if st := b.agent.Status(); st.Version != "v1" {
 		t.Errorf("left rotation before the new version was complete: %+v", st)
@@ -96,19 +96,19 @@
 	b.eventually("out of rotation", func() bool { return !b.agent.Status().Ready })
 	_, _, err := b.serve(b.request("r2", "x"))
 	wantError(t, err, verdict.NotRun, verdict.CodeVersionNotServing)
-	b.serving("v2")
+	b.waitServing("v2")
 	wg.Wait()
-	if _, got, err := b.serve(b.request("r3", "x")); err != nil || got != want("r3", "v2", "weights2", "x") {
-		t.Fatalf("answer %q, error %v", got, err)
+	if _, got, err := b.serve(b.request("r3", "x")); err != nil || got != expectedResponse("r3", "v2", "weights2", "x") {
+		t.Fatalf("response %q, error %v", got, err)
 	}
 }
 
-// TestOrderEndsWithItsLease guards against a long load that goes on after the
-// platform gave the right to orders to somebody else.
-func TestOrderEndsWithItsLease(t *testing.T) {
-	b := newBed(t, "engine", engine.Options{LoadPerMiB: 4 * time.Second})
+// TestOrderEndsWithLease guards against a long load that continues after the
+// order lease was revoked, when another agent may hold it.
+func TestOrderEndsWithLease(t *testing.T) {
+	b := newTestbed(t, "engine", engine.Options{LoadPerMiB: 4 * time.Second})
 	b.weights.Put("v1", make([]byte, 1<<20))
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
 	var lease port.LeaseID
 	b.eventually("order lease taken", func() bool {
 		e, err := b.kv.Get(context.Background(), "order/vm1")
@@ -121,58 +121,58 @@
 	b.eventually("order ended", func() bool {
 		return strings.Contains(b.agent.Status().Progress.Reason, errLeaseLost.Error())
 	})
-	b.serving("v1")
+	b.waitServing("v1")
 }
 
-// TestOrderWithoutPlatformEndsForSuccessor guards against an agent that is cut
-// off from the platform and goes on with an order while another agent of the VM
-// gives orders.
-func TestOrderWithoutPlatformEndsForSuccessor(t *testing.T) {
-	b := newBed(t, "engine", engine.Options{LoadPerMiB: 4 * time.Second})
+// TestOrderWithoutPlatformSuperseded guards against an agent that cannot reach
+// the platform and continues an order after another agent of the VM has sent
+// one.
+func TestOrderWithoutPlatformSuperseded(t *testing.T) {
+	b := newTestbed(t, "engine", engine.Options{LoadPerMiB: 4 * time.Second})
 	b.kv.SetDown(true)
 	b.weights.Put("v1", make([]byte, 4<<20))
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
 	time.Sleep(rollout.LeaseTime + time.Second)
 	b.eventually("order given", func() bool { return b.agent.Status().Progress.State == "loading" })
-	b.admin("/v1/unload?version=v0&fence=99", "")
+	b.postToTarget("/v1/unload?version=v0&fence=99", "")
 	b.eventually("order ended", func() bool {
-		return strings.Contains(b.agent.Status().Progress.Reason, errSucceeded.Error())
+		return strings.Contains(b.agent.Status().Progress.Reason, errSuperseded.Error())
 	})
 	time.Sleep(2 * rollout.LeaseTime)
 	if st := b.agent.Status(); st.Progress.Reason != "waiting for the order lease" {
-		t.Fatalf("an order was given after that of another agent: %+v", st.Progress)
+		t.Fatalf("an order was sent after that of another agent: %+v", st.Progress)
 	}
 	b.kv.SetDown(false)
 	b.eventually("order given with the lease", func() bool { return b.agent.Status().Progress.State == "loading" })
 }
 
-// TestOnceSurvivesItsCaller guards against a call that is cut, and so left with
-// an unknown outcome, because its caller went away.
-func TestOnceSurvivesItsCaller(t *testing.T) {
-	b := newBed(t, "service", engine.Options{})
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
+// TestAtMostOnceCallOutlivesCaller guards against a call that is canceled when
+// its caller disconnects, which would leave its outcome unknown.
+func TestAtMostOnceCallOutlivesCaller(t *testing.T) {
+	b := newTestbed(t, "service", engine.Options{})
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
 	b.eventually("ready", func() bool { return b.agent.Status().Ready })
-	b.admin("/faults", `{"delay_ms":200}`)
+	b.postToTarget("/faults", `{"delay_ms":200}`)
 	r := port.ServeRequest{ID: "r1", Service: "s", Call: "log", Customer: "c", Body: []byte("x"), IdempotencyKey: "k1", Timeout: 5 * time.Second}
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := b.client.Serve(ctx, b.addr, r, nil); verdict.FromError(err).Verdict != verdict.MayHaveRun {
+	if _, err := b.client.Serve(ctx, b.address, r, nil); verdict.FromError(err).Verdict != verdict.MayHaveRun {
 		t.Fatalf("got %v for a caller that gave up", err)
 	}
 	b.eventually("call done", func() bool { return b.ledger.Settled.Load() == 1 })
 	h, got, err := b.serve(r)
 	if err != nil || !h.Replayed || got != "log ok: x\n" {
-		t.Fatalf("repeat: head %+v, answer %q, error %v", h, got, err)
+		t.Fatalf("retry: head %+v, response %q, error %v", h, got, err)
 	}
 	b.checkEffects(map[string]int64{"k1": 1})
 }
 
-// TestPlannedStop guards against a stop that cuts an answer, or that does not
-// end.
+// TestPlannedStop guards against a stop that interrupts a response, or that does
+// not end.
 func TestPlannedStop(t *testing.T) {
-	b := buildBed(t, "engine", engine.Options{TokenDelay: 10 * time.Millisecond})
+	b := buildTestbed(t, "engine", engine.Options{TokenDelay: 10 * time.Millisecond})
 	b.weights.Put("v1", []byte("w"))
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
 	srv, err := rpc.NewServer(rpc.Handlers{Agent: b.agent})
 	if err != nil {
 		t.Fatal(err)
@@ -187,13 +187,13 @@
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	st := stores{Run: func(ctx context.Context) { <-ctx.Done() }, NotReady: func() string { return "" }}
-	env := daemon.Env{Log: b.agent.d.Log, Admin: &daemon.Admin{}}
+	st := components{Run: func(ctx context.Context) { <-ctx.Done() }, NotReady: func() string { return "" }}
+	env := daemon.Env{Log: b.agent.deps.Log, Admin: &daemon.Admin{}}
 	wg.Go(func() { done <- serve(ctx, b.agent, srv, lis, st, Settings{DrainTimeout: 10 * time.Second}, env) })
-	b.serving("v1")
-	b.addr = fleet.Address(lis.Addr().String())
+	b.waitServing("v1")
+	b.address = fleet.Address(lis.Addr().String())
 	wg.Go(func() {
-		if _, got, err := b.serve(b.request("r1", `{"max_tokens":60}`)); err != nil || got != want("r1", "v1", "w", `{"max_tokens":60}`) {
+		if _, got, err := b.serve(b.request("r1", `{"max_tokens":60}`)); err != nil || got != expectedResponse("r1", "v1", "w", `{"max_tokens":60}`) {
 			t.Errorf("the stop interrupted a request: %v", err)
 		}
 	})
@@ -209,8 +209,8 @@
 	}
 }
 
-// TestSettings guards against an example that does not load, and against
-// settings that contradict each other.
+// TestSettings guards against an example configuration that does not load, and
+// against contradictory settings that are accepted.
 func TestSettings(t *testing.T) {
 	var c Settings
 	s := settings.New("masticwing-agent")
--- a/internal/app/agent/monitor.go
+++ b/internal/app/agent/monitor.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// probeEvery is the time between two probes of the target. It bounds how
-	// long a cold restart goes unnoticed while no request finds out.
-	probeEvery = 250 * time.Millisecond
-	// probePause is the least time between two probes, however many requests
-	// fail meanwhile.
-	probePause = 10 * time.Millisecond
-	// probeFailures is the number of failed probes after which a target counts
-	// as lost; a single one may be late under load.
-	probeFailures = 2
+	// probeInterval is the time between two probes of the target. It bounds how
+	// long a cold restart goes unnoticed while no request detects it.
+	probeInterval = 250 * time.Millisecond
+	// minProbeInterval is the minimum time between two probes, however many
+	// requests fail meanwhile.
+	minProbeInterval = 10 * time.Millisecond
+	// lostAfterFailures is the number of consecutive failed probes after which a
+	// target is considered lost. A single probe may be late under load.
+	lostAfterFailures = 2
 )
 
-// monitor probes the target and passes on what it reports.
-func (a *Agent) monitor(ctx context.Context, out chan<- report) {
+// monitor probes the target periodically and on demand, and sends the results.
+func (a *Agent) monitor(ctx context.Context, results chan<- probeResult) {
 	failures := 0
 	for ctx.Err() == nil {
 		r := a.probe(ctx)
@@ -27,33 +27,33 @@
 		} else {
 			failures = 0
 		}
-		if failures == 0 || failures >= probeFailures {
+		if failures == 0 || failures >= lostAfterFailures {
 			select {
-			case out <- r:
+			case results <- r:
 			case <-ctx.Done():
 				return
 			}
 		}
 		select {
-		case <-a.d.Clock.After(probePause):
+		case <-a.deps.Clock.After(minProbeInterval):
 		case <-ctx.Done():
 			return
 		}
 		select {
-		case <-a.d.Clock.After(probeEvery - probePause):
-		case <-a.probes:
+		case <-a.deps.Clock.After(probeInterval - minProbeInterval):
+		case <-a.probeNow:
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (a *Agent) probe(ctx context.Context) report {
-	r := report{asked: a.d.Clock.Now()}
+func (a *Agent) probe(ctx context.Context) probeResult {
+	r := probeResult{sentAt: a.deps.Clock.Now()}
 	switch {
-	case a.d.Engine != nil:
-		r.engine, r.err = a.d.Engine.Status(ctx)
-	case a.d.Service != nil:
-		r.err = a.d.Service.Healthy(ctx)
+	case a.deps.Engine != nil:
+		r.engine, r.err = a.deps.Engine.Status(ctx)
+	case a.deps.Service != nil:
+		r.err = a.deps.Service.Healthy(ctx)
 	}
 	return r
 }
--- a/internal/app/agent/orders.go
+++ b/internal/app/agent/orders.go
@@ -11,74 +11,77 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// errIncomplete means that the weights of an order were released meanwhile.
-var errIncomplete = errors.New("version is not complete in memory")
+// errWeightsIncomplete means that the weights were released after the order to
+// load them was planned.
+var errWeightsIncomplete = errors.New("version is not complete in memory")
 
-// orderer gives orders to the engine, one at a time, under the order lease.
+// orderer sends orders to the engine, one at a time. They are sent under the
+// order lease, or without it while the platform is unreachable (see
+// rollout.Gate).
 type orderer struct {
-	a     *Agent
-	gate  rollout.Gate
-	key   string
-	owner string
-	lease port.LeaseID
-	valid rollout.Validity
+	a        *Agent
+	gate     rollout.Gate
+	key      string
+	owner    string
+	lease    port.LeaseID
+	validity rollout.Validity
 }
 
 func newOrderer(a *Agent) *orderer {
 	return &orderer{
 		a:     a,
-		gate:  rollout.NewGate(a.d.Clock.Now()),
+		gate:  rollout.NewGate(a.deps.Clock.Now()),
 		key:   "order/" + string(a.id.VM),
 		owner: fmt.Sprintf("%s/%016x", a.id.VM, a.id.BootID),
 	}
 }
 
-func (o *orderer) run(ctx context.Context, in <-chan rollout.Action, out chan<- orderResult) {
+func (o *orderer) run(ctx context.Context, actions <-chan rollout.Action, results chan<- orderResult) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case x := <-in:
-			held, err := o.give(ctx, x)
-			out <- orderResult{action: x, held: held, err: err}
+		case next := <-actions:
+			deferred, err := o.execute(ctx, next)
+			results <- orderResult{action: next, deferred: deferred, err: err}
 		}
 	}
 }
 
-// give gives one order, or reports that it has to be planned again because the
-// time for it has not come.
-func (o *orderer) give(ctx context.Context, x rollout.Action) (held bool, err error) {
-	st, err := o.a.d.Engine.Status(ctx)
+// execute carries out one order. It reports deferred if the order may not be
+// sent yet and has to be planned again.
+func (o *orderer) execute(ctx context.Context, action rollout.Action) (deferred bool, err error) {
+	status, err := o.a.deps.Engine.Status(ctx)
 	if err != nil {
 		return false, err
 	}
-	o.gate.EngineFence(st.Fence)
-	d := o.gate.Next(o.a.d.Clock.Now())
-	if d.Step == rollout.Acquire {
-		o.acquire(ctx)
-		d = o.gate.Next(o.a.d.Clock.Now())
+	o.gate.EngineFence(status.Fence)
+	decision := o.gate.Next(o.a.deps.Clock.Now())
+	if decision.Step == rollout.Acquire {
+		o.acquireLease(ctx)
+		decision = o.gate.Next(o.a.deps.Clock.Now())
 	}
-	switch d.Step {
+	switch decision.Step {
 	case rollout.Give:
-		return false, o.order(ctx, x, d)
+		return false, o.runOrder(ctx, action, decision)
 	case rollout.Hold:
 		select {
-		case <-o.a.d.Clock.After(d.Wait):
+		case <-o.a.deps.Clock.After(decision.Wait):
 		case <-ctx.Done():
 		}
 	}
 	return true, nil
 }
 
-// acquire takes the order lease. The revision of the key under the lease is
+// acquireLease takes the order lease. The revision of the key under the lease is
 // the fencing number.
-func (o *orderer) acquire(ctx context.Context) {
-	sent := o.a.d.Clock.Now()
-	rev, err := o.take(ctx)
-	now := o.a.d.Clock.Now()
+func (o *orderer) acquireLease(ctx context.Context) {
+	sentAt := o.a.deps.Clock.Now()
+	revision, err := o.writeLease(ctx)
+	now := o.a.deps.Clock.Now()
 	switch {
 	case err == nil:
-		o.gate.Acquired(rev, sent)
+		o.gate.Acquired(revision, sentAt)
 	case errors.Is(err, port.ErrConflict) || errors.Is(err, port.ErrNotFound):
 		o.gate.Refused(now)
 	default:
@@ -86,59 +89,63 @@
 	}
 }
 
-func (o *orderer) take(ctx context.Context) (int64, error) {
-	id, err := o.a.d.KV.Grant(ctx, rollout.LeaseTime)
+func (o *orderer) writeLease(ctx context.Context) (int64, error) {
+	leaseID, err := o.a.deps.KV.Grant(ctx, rollout.LeaseTime)
 	if err != nil {
 		return 0, err
 	}
-	o.lease = id
-	// The lease's id makes the value of each attempt unique.
-	value := o.owner + "/" + string(id)
-	rev, err := o.a.d.KV.CompareAndSwap(ctx, o.key, 0, []byte(value), id)
+	o.lease = leaseID
+	// The lease ID makes the value of each attempt unique.
+	value := o.owner + "/" + string(leaseID)
+	revision, err := o.a.deps.KV.CompareAndSwap(ctx, o.key, 0, []byte(value), leaseID)
 	if errors.Is(err, port.ErrConflict) {
-		rev, err = o.retake(ctx, value, id)
+		revision, err = o.replaceOwnLease(ctx, value, leaseID)
 	}
 	if errors.Is(err, port.ErrUnknownOutcome) {
-		return o.confirm(ctx, value)
+		return o.confirmWrite(ctx, value)
 	}
-	return rev, err
+	return revision, err
 }
 
-// retake replaces an earlier lease of this same agent.
-func (o *orderer) retake(ctx context.Context, value string, id port.LeaseID) (int64, error) {
-	e, err := o.a.d.KV.Get(ctx, o.key)
+// replaceOwnLease overwrites the key if it is held under an earlier lease of
+// this agent process.
+func (o *orderer) replaceOwnLease(ctx context.Context, value string, leaseID port.LeaseID) (int64, error) {
+	current, err := o.a.deps.KV.Get(ctx, o.key)
 	if err != nil {
 		return 0, err
 	}
-	if len(e.Value) <= len(o.owner) || string(e.Value[:len(o.owner)]) != o.owner {
+	if len(current.Value) <= len(o.owner) || string(current.Value[:len(o.owner)]) != o.owner {
 		return 0, port.ErrConflict
 	}
-	return o.a.d.KV.CompareAndSwap(ctx, o.key, e.Rev, []byte(value), id)
+	return o.a.deps.KV.CompareAndSwap(ctx, o.key, current.Rev, []byte(value), leaseID)
 }
 
-// confirm finds out whether a write whose answer was lost took effect.
-func (o *orderer) confirm(ctx context.Context, value string) (int64, error) {
-	e, err := o.a.d.KV.Get(ctx, o.key)
+// confirmWrite reads the key to find out whether a write with an unknown outcome
+// took effect.
+func (o *orderer) confirmWrite(ctx context.Context, value string) (int64, error) {
+	current, err := o.a.deps.KV.Get(ctx, o.key)
 	switch {
 	case errors.Is(err, port.ErrNotFound):
 		return 0, port.ErrConflict
 	case err != nil:
 		return 0, err
-	case string(e.Value) != value:
+	case string(current.Value) != value:
 		return 0, port.ErrConflict
 	}
-	return e.Rev, nil
+	return current.Rev, nil
 }
 
-// order carries out x and keeps the lease alive meanwhile. It ends the order
-// with the lease, and an order without a lease after a pause of this process.
-func (o *orderer) order(ctx context.Context, x rollout.Action, d rollout.Decision) error {
+// runOrder sends an order and keeps the lease alive until it ends. It cancels
+// the order when the lease is lost. An order without a lease is canceled after a
+// pause of this process that outlasts the order's validity, or when another
+// agent has sent the engine an order.
+func (o *orderer) runOrder(ctx context.Context, action rollout.Action, decision rollout.Decision) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var wg conc.WaitGroup
-	o.valid.Start(d)
-	wg.Go(func() { o.keep(ctx, cancel, d) })
-	err := o.call(ctx, x, d.Fence)
+	o.validity.Start(decision)
+	wg.Go(func() { o.keepLeaseAlive(ctx, cancel, decision) })
+	err := o.sendOrder(ctx, action, decision.Fence)
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
 	}
@@ -147,72 +154,74 @@
 	return err
 }
 
-func (o *orderer) call(ctx context.Context, x rollout.Action, fence int64) error {
-	if x.Kind == rollout.Unload {
-		return o.a.d.Engine.Unload(ctx, port.UnloadOrder{Version: x.Ref.Version, Fence: fence, Check: o.check})
+func (o *orderer) sendOrder(ctx context.Context, action rollout.Action, fence int64) error {
+	if action.Kind == rollout.Unload {
+		return o.a.deps.Engine.Unload(ctx, port.UnloadOrder{Version: action.Ref.Version, Fence: fence, Check: o.checkValidity})
 	}
-	r, n, ok := o.a.d.Weights.Open(x.Ref.Version)
+	weights, size, ok := o.a.deps.Weights.Open(action.Ref.Version)
 	if !ok {
-		return errIncomplete
+		return errWeightsIncomplete
 	}
-	return o.a.d.Engine.Load(ctx, port.LoadOrder{
-		Model: x.Ref.Model, Version: x.Ref.Version, Fence: fence, Bytes: n, Weights: r, Check: o.check,
+	return o.a.deps.Engine.Load(ctx, port.LoadOrder{
+		Model: action.Ref.Model, Version: action.Ref.Version, Fence: fence, Bytes: size, Weights: weights, Check: o.checkValidity,
 	})
 }
 
-// check returns an error once the order in progress may not be sent any more.
-func (o *orderer) check() error {
-	if o.valid.Lapsed(o.a.d.Clock.Now()) {
+// checkValidity returns an error once the order in progress may not be sent any
+// more.
+func (o *orderer) checkValidity() error {
+	if o.validity.Lapsed(o.a.deps.Clock.Now()) {
 		return errLeaseLost
 	}
 	return nil
 }
 
-const keepEvery = rollout.LeaseTime / 3
+const keepAliveInterval = rollout.LeaseTime / 3
 
-// keep extends the lease, or the time of an order without one, until ctx ends.
-// The gate is not used by anything else during an order.
-func (o *orderer) keep(ctx context.Context, cancel context.CancelCauseFunc, d rollout.Decision) {
+// keepLeaseAlive extends the lease, or the validity of an order without a lease,
+// until ctx ends. Nothing else uses the gate during an order.
+func (o *orderer) keepLeaseAlive(ctx context.Context, cancel context.CancelCauseFunc, decision rollout.Decision) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-o.a.d.Clock.After(keepEvery):
+		case <-o.a.deps.Clock.After(keepAliveInterval):
 		}
-		if err := o.extend(ctx, d); err != nil {
+		if err := o.extendLease(ctx, decision); err != nil {
 			cancel(err)
 			return
 		}
 	}
 }
 
-// extend returns an error once the order may not go on. Without a lease, the
-// engine is what shows that another agent gives orders.
-func (o *orderer) extend(ctx context.Context, d rollout.Decision) error {
-	sent := o.a.d.Clock.Now()
-	if !d.Leased {
-		if st, err := o.a.d.Engine.Status(ctx); err == nil && st.Fence > d.Fence {
-			return errSucceeded
+// extendLease extends the validity of an order. It returns an error if the order
+// must be canceled. Without a lease, only the fencing number that the engine
+// reports shows that another agent has sent an order.
+func (o *orderer) extendLease(ctx context.Context, decision rollout.Decision) error {
+	sentAt := o.a.deps.Clock.Now()
+	if !decision.Leased {
+		if st, err := o.a.deps.Engine.Status(ctx); err == nil && st.Fence > decision.Fence {
+			return errSuperseded
 		}
-		o.valid.Alive(sent)
-		return o.check()
+		o.validity.Alive(sentAt)
+		return o.checkValidity()
 	}
-	err := o.a.d.KV.KeepAlive(ctx, o.lease)
+	err := o.a.deps.KV.KeepAlive(ctx, o.lease)
 	switch {
 	case err == nil:
-		o.gate.Extended(sent)
-		o.valid.Extended(sent)
+		o.gate.Extended(sentAt)
+		o.validity.Extended(sentAt)
 	case errors.Is(err, port.ErrNotFound):
 		return errLeaseLost
 	case ctx.Err() == nil:
-		o.gate.Unreachable(o.a.d.Clock.Now())
+		o.gate.Unreachable(o.a.deps.Clock.Now())
 	}
-	return o.check()
+	return o.checkValidity()
 }
 
-// errSucceeded means that another agent gave an order during one that was given
-// without the platform.
-var errSucceeded = errors.New("another agent gave the engine an order")
+// errSuperseded means that another agent sent the engine an order while an order
+// without a lease was in progress.
+var errSuperseded = errors.New("another agent gave the engine an order")
 
 // errLeaseLost means that the order lease expired during an order.
 var errLeaseLost = errors.New("order lease expired during the order")
--- a/internal/app/agent/orders_test.go
+++ b/internal/app/agent/orders_test.go
@@ -12,14 +12,14 @@
 	"github.com/masticwing/masticwing/internal/port/porttest"
 )
 
-// skipClock is a clock on which waiting takes no time, but for the wait between
-// two keep-alives, which never ends: the orders of this test take no time.
+// skipClock advances by the duration of each wait at once. The wait between two
+// keep-alives never ends, since the orders of these tests take no time.
 type skipClock struct{ now time.Time }
 
 func (c *skipClock) Now() time.Time { return c.now }
 
 func (c *skipClock) After(d time.Duration) <-chan time.Time {
-	if d == keepEvery {
+	if d == keepAliveInterval {
 		return nil
 	}
 	c.now = c.now.Add(d)
@@ -36,26 +36,27 @@
 
 var unload = rollout.Action{Kind: rollout.Unload, Ref: rollout.Ref{Version: "v0"}}
 
-// until gives an order again and again until it was given, and returns the
-// time that it took.
-func until(t *rapid.T, o *orderer, c *skipClock) time.Duration {
+// executeUntilDone repeats an order until it is no longer deferred, and returns
+// the time that this took.
+func executeUntilDone(t *rapid.T, o *orderer, c *skipClock) time.Duration {
 	start := c.now
 	for range 1000 {
-		held, err := o.give(context.Background(), unload)
+		deferred, err := o.execute(context.Background(), unload)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !held {
+		if !deferred {
 			return c.now.Sub(start)
 		}
 	}
-	t.Fatal("order never given")
+	t.Fatal("order is still deferred after 1000 attempts")
 	return 0
 }
 
-// TestOrdersAreFenced guards against an order of a paused or replaced agent
-// that the engine takes after a newer one, against an order before an unknown
-// lease has lapsed, and against a lost answer that stops all orders.
+// TestOrdersAreFenced guards against an engine that accepts an order of a paused
+// or replaced agent after a newer one, against an order sent while another agent
+// may still hold a lease, and against a lost response of the store that stops
+// all orders.
 func TestOrdersAreFenced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &skipClock{time.Unix(1000, 0)}
@@ -65,9 +66,9 @@
 		started := c.now
 		t.Repeat(map[string]func(*rapid.T){
 			"order": func(t *rapid.T) {
-				took := until(t, o, c)
+				took := executeUntilDone(t, o, c)
 				if down && !o.gate.Held(c.now) && c.now.Sub(started) < rollout.LeaseTime {
-					t.Fatalf("order without the platform %v after the start, took %v", c.now.Sub(started), took)
+					t.Fatalf("order sent without the platform %v after the start; it took %v", c.now.Sub(started), took)
 				}
 			},
 			"pause":   func(*rapid.T) { c.now = c.now.Add(2 * rollout.LeaseTime) },
@@ -78,7 +79,7 @@
 				fences := e.Orders()
 				for i := 1; i < len(fences); i++ {
 					if fences[i] < fences[i-1] {
-						t.Fatalf("fencing numbers went back: %v", fences)
+						t.Fatalf("fencing numbers decreased: %v", fences)
 					}
 				}
 			},
@@ -86,21 +87,21 @@
 	})
 }
 
-// TestOrderNeedsCompleteWeights guards against an engine that is ordered to
-// load a version that was released meanwhile.
+// TestOrderNeedsCompleteWeights guards against an order to load a version whose
+// weights were released after the order was planned.
 func TestOrderNeedsCompleteWeights(t *testing.T) {
 	c := &skipClock{time.Unix(1000, 0)}
 	e := porttest.NewEngine()
 	o := newTestOrderer(c, porttest.NewKV(c.Now), e, 1)
 	x := rollout.Action{Kind: rollout.Load, Ref: rollout.Ref{Version: "v9"}}
-	if err := o.call(context.Background(), x, 1); !errors.Is(err, errIncomplete) || len(e.Orders()) != 0 {
+	if err := o.sendOrder(context.Background(), x, 1); !errors.Is(err, errWeightsIncomplete) || len(e.Orders()) != 0 {
 		t.Fatalf("got %v, orders %v", err, e.Orders())
 	}
 }
 
-// TestPausedBeforeOrder guards against an order that is sent although the agent
-// was paused past its time after it had decided to give it.
-func TestPausedBeforeOrder(t *testing.T) {
+// TestPauseBeforeOrderIsSent guards against an order that is sent although the
+// agent was paused beyond the order's validity after it had decided to send it.
+func TestPauseBeforeOrderIsSent(t *testing.T) {
 	for _, leased := range []bool{true, false} {
 		c := &skipClock{time.Unix(1000, 0)}
 		e := porttest.NewEngine()
@@ -108,7 +109,7 @@
 		d := rollout.Decision{Step: rollout.Give, Fence: 5, Until: c.now.Add(time.Second), Leased: leased}
 		c.now = d.Until
 		for _, x := range []rollout.Action{unload, {Kind: rollout.Load, Ref: rollout.Ref{Version: "v1"}}} {
-			if err := o.order(context.Background(), x, d); !errors.Is(err, errLeaseLost) || len(e.Orders()) > 0 {
+			if err := o.runOrder(context.Background(), x, d); !errors.Is(err, errLeaseLost) || len(e.Orders()) > 0 {
 				t.Fatalf("leased %v: got %v, orders %v", leased, err, e.Orders())
 			}
 		}
--- a/internal/app/agent/run.go
+++ b/internal/app/agent/run.go
@@ -20,7 +20,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Role returns the description of masticwing-agent for daemon.Main.
+// Role describes masticwing-agent for daemon.Main.
 func Role() daemon.Role {
 	var c Settings
 	return daemon.Role{
@@ -34,8 +34,8 @@
 	}
 }
 
-// statusValue is the value of /status.
-type statusValue struct {
+// statusResponse is the body of /status.
+type statusResponse struct {
 	port.AgentStatus
 	Traffic []port.Traffic
 }
@@ -47,23 +47,23 @@
 	cl := newClients(c.Source)
 	defer cl.close()
 	kv := kvhttp.New(c.Platform)
-	st := connectStores(c, id, env, kv, cl)
-	a := New(id, deps(c, env, kv, st))
-	srv, err := rpc.NewServer(rpc.Handlers{Agent: a, Peer: st.Peer, Member: st.Member, Meter: cl.control.Meter})
+	parts := newComponents(c, id, env, kv, cl)
+	a := New(id, newDeps(c, env, kv, parts))
+	server, err := rpc.NewServer(rpc.Handlers{Agent: a, Peer: parts.Peer, Member: parts.Member, Meter: cl.control.Meter})
 	if err != nil {
 		return err
 	}
-	lis, err := net.Listen("tcp", string(c.RPC))
+	listener, err := net.Listen("tcp", string(c.RPC))
 	if err != nil {
 		return errors.Wrap(err, "listening on the rpc address")
 	}
-	env.Admin.SetStatus(func() any { return statusValue{a.Status(), st.Traffic()} })
-	return serve(ctx, a, srv, lis, st, c, env)
+	env.Admin.SetStatus(func() any { return statusResponse{a.Status(), parts.Traffic()} })
+	return serve(ctx, a, server, listener, parts, c, env)
 }
 
-func deps(c Settings, env daemon.Env, kv port.KV, st stores) Deps {
+func newDeps(c Settings, env daemon.Env, kv port.KV, parts components) Deps {
 	d := Deps{
-		Clock: sysclock.Clock{}, KV: kv, Weights: st.Weights, Ledger: st.Ledger, Directory: st.Directory,
+		Clock: sysclock.Clock{}, KV: kv, Weights: parts.Weights, Ledger: parts.Ledger, Directory: parts.Directory,
 		Metrics: env.Metrics, Log: env.Log,
 	}
 	if c.Engine != "" {
@@ -75,24 +75,25 @@
 	return d
 }
 
-// serve runs until ctx ends and then finishes the requests in progress.
-func serve(ctx context.Context, a *Agent, srv *rpc.Server, lis net.Listener, st stores, c Settings, env daemon.Env) error {
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+// serve runs the agent until ctx ends or the RPC server fails. When ctx ends, it
+// drains the agent before it stops.
+func serve(ctx context.Context, a *Agent, server *rpc.Server, listener net.Listener, parts components, c Settings, env daemon.Env) error {
+	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	failed := make(chan error, 1)
 	var wg conc.WaitGroup
 	wg.Go(func() {
-		if err := srv.Serve(work, lis); err != nil {
+		if err := server.Serve(workCtx, listener); err != nil {
 			failed <- err
 		}
 	})
-	wg.Go(func() { st.Run(work) })
-	wg.Go(func() { a.Run(work) })
-	wg.Go(func() { a.reportReady(work, env.Admin, st.NotReady) })
+	wg.Go(func() { parts.Run(workCtx) })
+	wg.Go(func() { a.Run(workCtx) })
+	wg.Go(func() { a.reportReadiness(workCtx, env.Admin, parts.NotReady) })
 	var err error
 	select {
 	case <-ctx.Done():
-		drain(ctx, a, srv, c, env)
+		drain(ctx, a, server, c, env)
 	case err = <-failed:
 	}
 	stop()
@@ -100,26 +101,28 @@
 	return err
 }
 
-// drain ends the work in progress within the drain timeout.
-func drain(ctx context.Context, a *Agent, srv *rpc.Server, c Settings, env daemon.Env) {
+// drain announces that the agent is leaving and waits for the requests in
+// progress, for at most the drain timeout.
+func drain(ctx context.Context, a *Agent, server *rpc.Server, c Settings, env daemon.Env) {
 	env.Admin.NotReady("leaving")
 	env.Log.State("leaving")
-	bound, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.DrainTimeout)
+	drainCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.DrainTimeout)
 	defer cancel()
-	whole := a.Drain(c.DrainTimeout)
-	if err := srv.Drain(bound); err != nil || !whole {
+	finished := a.Drain(c.DrainTimeout)
+	if err := server.Drain(drainCtx); err != nil || !finished {
 		env.Log.Fault("drain timeout passed with requests in progress", err, logging.F("timeout", c.DrainTimeout.String()))
 	}
 }
 
-// reportReady keeps /readyz up to date; why tells why no declaration is known.
-func (a *Agent) reportReady(ctx context.Context, admin *daemon.Admin, why func() string) {
-	_ = a.follow(ctx, heartbeatEvery, func(st port.AgentStatus) error {
+// reportReadiness keeps /readyz up to date. notReadyReason returns why no
+// declaration is known, or "".
+func (a *Agent) reportReadiness(ctx context.Context, admin *daemon.Admin, notReadyReason func() string) {
+	_ = a.followStatus(ctx, heartbeatInterval, func(st port.AgentStatus) error {
 		switch {
 		case st.Leaving:
 			admin.NotReady("leaving")
 		case st.Revision == 0:
-			admin.NotReady(cmp.Or(why(), "no declaration known"))
+			admin.NotReady(cmp.Or(notReadyReason(), "no declaration known"))
 		case !st.Ready:
 			admin.NotReady("target serves nothing")
 		default:
--- a/internal/app/agent/serve.go
+++ b/internal/app/agent/serve.go
@@ -13,68 +13,69 @@
 )
 
 const (
-	// frameBytes is the largest piece of an answer sent to an entry, which
-	// holds one piece per request.
-	frameBytes = 16 << 10
-	// cancelHold is the time for which a request that was cut short keeps its
-	// place in the engine. The engine learns of a cancel from the closed
-	// connection and says nothing when it has stopped; until then it holds the
-	// request, and one more in its place may be more than it bears.
-	cancelHold = 100 * time.Millisecond
-	// longestRequest bounds a request without a deadline of its own.
-	longestRequest = 10 * time.Minute
-	// maxResumes bounds how often the stream of one answer is resumed.
+	// maxFrameBytes is the maximum size of a response frame sent to an entry,
+	// which buffers one frame per request.
+	maxFrameBytes = 16 << 10
+	// cancelHoldTime is the time for which a canceled request keeps its slot. The
+	// engine detects the cancellation by the closed connection and does not report
+	// when it has stopped. Until then it still holds the request, and another one
+	// in the same slot could overload it.
+	cancelHoldTime = 100 * time.Millisecond
+	// maxRequestTime is the timeout of a request that has none, and the maximum
+	// for one that has.
+	maxRequestTime = 10 * time.Minute
+	// maxResumes bounds how often the stream of one response is resumed.
 	maxResumes = 3
-	// resumePause is the time before a broken stream is resumed.
-	resumePause = 50 * time.Millisecond
+	// resumeDelay is the delay before a broken stream is resumed.
+	resumeDelay = 50 * time.Millisecond
 )
 
 // Serve implements port.AgentHandler.
 func (a *Agent) Serve(ctx context.Context, r port.ServeRequest, sink port.AnswerSink) error {
-	a.serving.Start()
-	defer a.serving.Done()
-	if r.Timeout <= 0 || r.Timeout > longestRequest {
-		r.Timeout = longestRequest
+	a.requests.Start()
+	defer a.requests.Done()
+	if r.Timeout <= 0 || r.Timeout > maxRequestTime {
+		r.Timeout = maxRequestTime
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
-	s := &serving{a: a, r: r, sink: sink, start: a.d.Clock.Now()}
+	s := &servedRequest{a: a, req: r, sink: sink, receivedAt: a.deps.Clock.Now()}
 	err := s.run(ctx)
-	s.record(err)
+	s.recordOutcome(err)
 	return err
 }
 
-// serving is one request inside Serve.
-type serving struct {
-	a      *Agent
-	r      port.ServeRequest
-	sink   port.AnswerSink
-	start  time.Time
-	permit *admission.Permit
-	// sent is the time at which the request went to the target.
-	sent     time.Time
-	headed   bool
-	first    bool
-	replayed bool
+// servedRequest is one request inside Serve.
+type servedRequest struct {
+	a          *Agent
+	req        port.ServeRequest
+	sink       port.AnswerSink
+	receivedAt time.Time
+	permit     *admission.Permit
+	// sentAt is the time at which the request was sent to the target.
+	sentAt        time.Time
+	headSent      bool
+	firstByteSent bool
+	replayed      bool
 }
 
-func (s *serving) run(ctx context.Context) error {
-	v := s.a.view()
+func (s *servedRequest) run(ctx context.Context) error {
+	v := s.a.snapshot()
 	if v.declaration == nil {
 		return verdict.New(verdict.NotRun, verdict.CodeNoConfiguration, "agent knows no declaration yet")
 	}
-	if s.r.Service != "" {
-		return s.callService(ctx, v)
+	if s.req.Service != "" {
+		return s.serveCall(ctx, v)
 	}
-	if s.a.d.Engine == nil || s.r.Group != v.assign.Group {
-		return verdict.New(verdict.NotRun, verdict.CodeVersionNotServing, "target does not serve group %q", s.r.Group)
+	if s.a.deps.Engine == nil || s.req.Group != v.assignment.Group {
+		return verdict.New(verdict.NotRun, verdict.CodeVersionNotServing, "target does not serve group %q", s.req.Group)
 	}
 	return s.generate(ctx, v)
 }
 
-// admit takes a permit or returns the refusal.
-func (s *serving) admit(ctx context.Context) error {
-	p, refusal := s.a.admit(ctx, int64(len(s.r.Body)), s.start)
+// admit acquires a permit or returns the refusal.
+func (s *servedRequest) admit(ctx context.Context) error {
+	p, refusal := s.a.admit(ctx, int64(len(s.req.Body)), s.receivedAt)
 	if refusal != nil {
 		return refusal
 	}
@@ -82,113 +83,116 @@
 	return nil
 }
 
-func (s *serving) release(err error) {
-	o := admission.Failed
+func (s *servedRequest) release(err error) {
+	outcome := admission.Failed
 	switch {
 	case err == nil && !s.replayed:
-		o = admission.Succeeded
+		outcome = admission.Succeeded
 	case s.replayed || verdict.FromError(err).Verdict == verdict.NotRun:
-		o = admission.Unused
+		outcome = admission.Unused
 	}
-	s.permit.Release(o, s.a.d.Clock.Now())
-	if s.permit.Version() != s.a.view().serving.Version {
-		// The version may have been waiting for its last request to retire.
-		signal(s.a.kicks)
+	s.permit.Release(outcome, s.a.deps.Clock.Now())
+	if s.permit.Version() != s.a.snapshot().serving.Version {
+		// The controller may be waiting for the last request of this version in
+		// order to unload it.
+		signal(s.a.replanNow)
 	}
 }
 
-func (s *serving) generate(ctx context.Context, v view) (err error) {
-	// A refused request has used the link as well.
-	s.a.d.Weights.ChargeLiveTraffic(len(s.r.Body), 0)
+func (s *servedRequest) generate(ctx context.Context, v snapshot) (err error) {
+	// The body of a refused request has used the link, too.
+	s.a.deps.Weights.ChargeLiveTraffic(len(s.req.Body), 0)
 	if err := s.admit(ctx); err != nil {
 		return err
 	}
 	defer func() {
-		if cutShort(err) {
-			<-s.a.d.Clock.After(cancelHold)
+		if mayStillRun(err) {
+			<-s.a.deps.Clock.After(cancelHoldTime)
 		}
 		s.release(err)
 	}()
-	if s.r.Version != "" && s.r.Version != s.permit.Version() {
-		return verdict.New(verdict.NotRun, verdict.CodeVersionNotServing, "target does not serve version %q", s.r.Version)
+	if s.req.Version != "" && s.req.Version != s.permit.Version() {
+		return verdict.New(verdict.NotRun, verdict.CodeVersionNotServing, "target does not serve version %q", s.req.Version)
 	}
-	s.sent = s.a.d.Clock.Now()
-	r := port.EngineRequest{
-		ID:       s.r.ID,
+	s.sentAt = s.a.deps.Clock.Now()
+	engineReq := port.EngineRequest{
+		ID:       s.req.ID,
 		Model:    v.serving.Model,
 		Version:  s.permit.Version(),
-		Class:    s.r.Class,
-		Body:     s.r.Body,
-		Priority: int(s.r.Class),
-		Resume:   s.r.Resume,
+		Class:    s.req.Class,
+		Body:     s.req.Body,
+		Priority: int(s.req.Class),
+		Resume:   s.req.Resume,
 		Expect:   s.permit.ExpectedIdentity(),
 	}
-	var broke error
-	for n := 0; ; n++ {
-		err := s.stream(ctx, &r)
+	var resumeCause error
+	for resumes := 0; ; resumes++ {
+		err := s.stream(ctx, &engineReq)
 		if err == nil {
 			return nil
 		}
 		var changed *port.EngineChangedError
-		if n > 0 && errors.As(err, &changed) {
-			return broke
+		if resumes > 0 && errors.As(err, &changed) {
+			return resumeCause
 		}
-		if n > 0 && verdict.FromError(err).Verdict == verdict.NotRun {
-			// An engine that refuses to resume has already run a part.
+		if resumes > 0 && verdict.FromError(err).Verdict == verdict.NotRun {
+			// The engine refuses to resume, but it has already run part of the
+			// request.
 			err = verdict.FromError(err).WithVerdict(verdict.MayHaveRun)
 		}
-		if n == maxResumes || !s.resumable(ctx, err) {
+		if resumes == maxResumes || !s.waitToResume(ctx, err) {
 			return err
 		}
-		s.a.d.Metrics.Count("agent_resumes", 1)
-		broke = err
+		s.a.deps.Metrics.Count("agent_resumes", 1)
+		resumeCause = err
 	}
 }
 
-// resumable reports whether the engine may continue the answer after err, and
-// waits before it does. A stream that broke before its head is not resumed:
-// nothing has reached the entry, which tries another target. Nor is one resumed
-// at an engine that has restarted meanwhile: all requests of the warm engine
-// would start at a cold one at once.
-func (s *serving) resumable(ctx context.Context, err error) bool {
-	if !s.headed || verdict.FromError(err).Code != verdict.CodeTargetError {
+// waitToResume reports whether the engine may continue the response after err.
+// It waits for resumeDelay before it checks the engine. A stream that broke
+// before its head is not resumed: nothing has reached the entry, which can try
+// another target. A stream is not resumed on an engine that has restarted
+// either, since all requests of the warm engine would start on the cold one at
+// once.
+func (s *servedRequest) waitToResume(ctx context.Context, err error) bool {
+	if !s.headSent || verdict.FromError(err).Code != verdict.CodeTargetError {
 		return false
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-s.a.d.Clock.After(resumePause):
+	case <-s.a.deps.Clock.After(resumeDelay):
 	}
-	asked := s.a.d.Clock.Now()
-	st, err := s.a.d.Engine.Status(ctx)
+	askedAt := s.a.deps.Clock.Now()
+	st, err := s.a.deps.Engine.Status(ctx)
 	if err != nil {
 		return false
 	}
-	s.a.observeEngine(observation(st, asked))
+	s.a.observeEngine(observation(st, askedAt))
 	return s.permit.IsCurrent()
 }
 
-// stream passes one stream of the engine on, from the frame that r.Resume
-// names, and counts the frames passed there.
-func (s *serving) stream(ctx context.Context, r *port.EngineRequest) error {
-	asked := s.a.d.Clock.Now()
-	ans, err := s.a.d.Engine.Generate(ctx, *r)
+// stream forwards one stream of the engine, starting at the frame
+// engineReq.Resume, and increments Resume for each forwarded frame.
+func (s *servedRequest) stream(ctx context.Context, engineReq *port.EngineRequest) error {
+	askedAt := s.a.deps.Clock.Now()
+	ans, err := s.a.deps.Engine.Generate(ctx, *engineReq)
 	if err != nil {
-		s.a.refused(err, s.permit, asked)
-		signal(s.a.probes)
+		s.a.handleEngineChange(err, s.permit, askedAt)
+		signal(s.a.probeNow)
 		return err
 	}
 	defer func() { _ = ans.Close() }()
 	if err := s.checkHead(ans.Head()); err != nil {
 		return err
 	}
-	return s.copyAnswer(ctx, ans, func() { r.Resume++ })
+	return s.forwardResponse(ctx, ans, func() { engineReq.Resume++ })
 }
 
-// cutShort reports whether the engine may still work on a request that ended
-// with err, because this side closed the answer. With CodeTargetError the
-// engine ended it itself.
-func cutShort(err error) bool {
+// mayStillRun reports whether the engine may still be working on a request that
+// ended with err, because this side closed the response. With CodeTargetError
+// the engine ended the request itself.
+func mayStillRun(err error) bool {
 	if err == nil {
 		return false
 	}
@@ -196,10 +200,10 @@
 	return v.Verdict == verdict.MayHaveRun && v.Code != verdict.CodeTargetError
 }
 
-// checkHead refuses an answer that belongs to another request or comes from
-// another version than the one pinned. Nothing of it reaches the entry.
-func (s *serving) checkHead(h port.AnswerHead) error {
-	if h.ID != s.r.ID {
+// checkHead rejects a response that belongs to another request or comes from
+// another version than the pinned one. No part of it reaches the entry.
+func (s *servedRequest) checkHead(h port.AnswerHead) error {
+	if h.ID != s.req.ID {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBrokenAnswer, "engine answered request %q", h.ID)
 	}
 	if h.Version != s.permit.Version() {
@@ -209,11 +213,12 @@
 	return nil
 }
 
-// copyAnswer passes the answer on piece by piece. It reads the next piece only
-// after the entry took the last one, and calls passed after each.
-func (s *serving) copyAnswer(ctx context.Context, ans port.Answer, passed func()) error {
-	if !s.headed {
-		if err := s.head(ctx, ans.Head()); err != nil {
+// forwardResponse forwards the response frame by frame. It reads the next frame
+// only after the entry has accepted the previous one, and calls onFrame after
+// each.
+func (s *servedRequest) forwardResponse(ctx context.Context, ans port.Answer, onFrame func()) error {
+	if !s.headSent {
+		if err := s.sendHead(ctx, ans.Head()); err != nil {
 			return err
 		}
 	}
@@ -225,24 +230,24 @@
 		if err != nil {
 			return err
 		}
-		if err := s.data(ctx, b); err != nil {
+		if err := s.sendData(ctx, b); err != nil {
 			return err
 		}
-		passed()
+		onFrame()
 	}
 }
 
-func (s *serving) head(ctx context.Context, h port.AnswerHead) error {
-	s.headed = true
-	return gone(ctx, s.sink.Head(h, s.a.Load()))
+func (s *servedRequest) sendHead(ctx context.Context, h port.AnswerHead) error {
+	s.headSent = true
+	return entryError(ctx, s.sink.Head(h, s.a.Load()))
 }
 
-func (s *serving) data(ctx context.Context, b []byte) error {
-	s.firstByte()
-	s.a.d.Weights.ChargeLiveTraffic(0, len(b))
+func (s *servedRequest) sendData(ctx context.Context, b []byte) error {
+	s.recordFirstByte()
+	s.a.deps.Weights.ChargeLiveTraffic(0, len(b))
 	for len(b) > 0 {
-		n := min(frameBytes, len(b))
-		if err := gone(ctx, s.sink.Data(b[:n])); err != nil {
+		n := min(maxFrameBytes, len(b))
+		if err := entryError(ctx, s.sink.Data(b[:n])); err != nil {
 			return err
 		}
 		b = b[n:]
@@ -250,8 +255,8 @@
 	return nil
 }
 
-// gone gives an error of the entry's side its verdict.
-func gone(ctx context.Context, err error) error {
+// entryError adds a verdict to an error of sending to the entry.
+func entryError(ctx context.Context, err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -262,32 +267,32 @@
 	}
 }
 
-func (s *serving) firstByte() {
-	if s.first {
+func (s *servedRequest) recordFirstByte() {
+	if s.firstByteSent {
 		return
 	}
-	s.first = true
-	now := s.a.d.Clock.Now()
-	s.a.d.Metrics.Seconds("agent_first_byte_seconds", now.Sub(s.start), s.attrs()...)
-	if !s.sent.IsZero() && s.permit.RecordFirstToken(now.Sub(s.sent), now) {
-		s.a.d.Metrics.Count("agent_cold_restarts", 1)
+	s.firstByteSent = true
+	now := s.a.deps.Clock.Now()
+	s.a.deps.Metrics.Seconds("agent_first_byte_seconds", now.Sub(s.receivedAt), s.metricAttrs()...)
+	if !s.sentAt.IsZero() && s.permit.RecordFirstToken(now.Sub(s.sentAt), now) {
+		s.a.deps.Metrics.Count("agent_cold_restarts", 1)
 	}
 }
 
-func (s *serving) attrs() []port.Attr {
-	return []port.Attr{{Key: "class", Value: s.r.Class.String()}, {Key: "customer", Value: string(s.r.Customer)}}
+func (s *servedRequest) metricAttrs() []port.Attr {
+	return []port.Attr{{Key: "class", Value: s.req.Class.String()}, {Key: "customer", Value: string(s.req.Customer)}}
 }
 
-func (s *serving) record(err error) {
-	m := s.a.d.Metrics
+func (s *servedRequest) recordOutcome(err error) {
+	m := s.a.deps.Metrics
 	if err == nil {
-		m.Seconds("agent_serve_seconds", s.a.d.Clock.Now().Sub(s.start), s.attrs()...)
+		m.Seconds("agent_serve_seconds", s.a.deps.Clock.Now().Sub(s.receivedAt), s.metricAttrs()...)
 		m.Count("agent_verdicts", 1, port.Attr{Key: "verdict", Value: verdict.Ran.String()})
 		return
 	}
 	e := verdict.FromError(err)
 	m.Count("agent_verdicts", 1, port.Attr{Key: "verdict", Value: e.Verdict.String()})
-	if !s.headed && e.Verdict == verdict.NotRun {
+	if !s.headSent && e.Verdict == verdict.NotRun {
 		m.Count("agent_refusals", 1, port.Attr{Key: "code", Value: string(e.Code)})
 	}
 }
--- a/internal/app/agent/serve_test.go
+++ b/internal/app/agent/serve_test.go
@@ -20,7 +20,7 @@
 	"github.com/masticwing/masticwing/internal/standin/engine"
 )
 
-var httptestClient = &http.Client{Timeout: 5 * time.Second}
+var targetClient = &http.Client{Timeout: 5 * time.Second}
 
 func wantError(t *testing.T, err error, v verdict.Verdict, c verdict.Code) {
 	t.Helper()
@@ -29,35 +29,35 @@
 	}
 }
 
-// serving waits until the agent serves version v.
-func (b *bed) serving(v string) {
+// waitServing waits until the agent serves version v.
+func (b *testbed) waitServing(v string) {
 	b.Helper()
 	b.eventually("serving "+v, func() bool { st := b.agent.Status(); return st.Ready && string(st.Version) == v })
 }
 
-// TestServeWholeAnswer guards against an answer that is not whole or not from
-// the pinned version, and against orders before a version is complete.
-func TestServeWholeAnswer(t *testing.T) {
-	b := newBed(t, "engine", engine.Options{CheckFence: true})
+// TestServeCompleteResponse guards against a response that is incomplete or not
+// from the pinned version, and against serving before a version is complete.
+func TestServeCompleteResponse(t *testing.T) {
+	b := newTestbed(t, "engine", engine.Options{CheckFence: true})
 	_, _, err := b.serve(b.request("r0", "x"))
 	wantError(t, err, verdict.NotRun, verdict.CodeNoConfiguration)
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
 	b.eventually("fetching", func() bool { return b.agent.Status().Progress.State == "fetching" })
 	_, _, err = b.serve(b.request("r1", "x"))
 	wantError(t, err, verdict.NotRun, verdict.CodeVersionNotServing)
 	b.weights.Put("v1", []byte("weights one"))
-	b.serving("v1")
+	b.waitServing("v1")
 	h, got, err := b.serve(b.request("r2", "hello"))
 	if err != nil || h.Version != "v1" || h.ID != "r2" {
 		t.Fatalf("head %+v, error %v", h, err)
 	}
-	if w := want("r2", "v1", "weights one", "hello"); got != w {
-		t.Fatalf("answer %q, want %q", got, w)
+	if w := expectedResponse("r2", "v1", "weights one", "hello"); got != w {
+		t.Fatalf("response %q, want %q", got, w)
 	}
 	if n := b.weights.Live.Load(); n != int64(len(got)) {
 		t.Errorf("%d bytes charged to the link, want %d", n, len(got))
 	}
-	// The body of the refused r1 used the link too.
+	// The body of the refused request r1 used the link, too.
 	if n := b.weights.LiveIn.Load(); n != int64(len("x")+len("hello")) {
 		t.Errorf("%d bytes charged to the link in, want those of two bodies", n)
 	}
@@ -79,28 +79,28 @@
 	}
 }
 
-// TestVersionChangeUnderLoad guards against an answer mixed from two versions,
-// and against requests refused by a change with overlap keep-old.
+// TestVersionChangeUnderLoad guards against a response mixed from two versions,
+// and against requests refused during a change with overlap keep-old.
 func TestVersionChangeUnderLoad(t *testing.T) {
-	b := newBed(t, "engine", engine.Options{CheckFence: true, TokenDelay: 2 * time.Millisecond})
+	b := newTestbed(t, "engine", engine.Options{CheckFence: true, TokenDelay: 2 * time.Millisecond})
 	weights := map[string]string{"v1": "weights one", "v2": "weights two"}
 	b.weights.Put("v1", []byte(weights["v1"]))
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
-	b.serving("v1")
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
+	b.waitServing("v1")
 	var stop, sawNew atomic.Bool
 	var wg conc.WaitGroup
-	for w := range 2 {
+	for worker := range 2 {
 		wg.Go(func() {
 			for i := 0; !stop.Load(); i++ {
-				id, body := fmt.Sprint("w", w, "-", i), fmt.Sprint("body", i)
+				id, body := fmt.Sprint("w", worker, "-", i), fmt.Sprint("body", i)
 				h, got, err := b.serve(b.request(id, body))
 				if err != nil {
 					t.Errorf("request refused during the change: %v", err)
 					return
 				}
 				v := string(h.Version)
-				if got != want(id, v, weights[v], body) {
-					t.Errorf("answer of %s is not wholly from %s", id, v)
+				if got != expectedResponse(id, v, weights[v], body) {
+					t.Errorf("response of %s is not entirely from %s", id, v)
 				}
 				if v == "v2" {
 					sawNew.Store(true)
@@ -108,26 +108,27 @@
 			}
 		})
 	}
-	b.dir.set(declaration(2, "v2", declare.KeepOld))
+	b.directory.setDeclaration(declaration(2, "v2", declare.KeepOld))
 	time.Sleep(50 * time.Millisecond)
 	b.weights.Put("v2", []byte(weights["v2"]))
-	b.serving("v2")
-	b.eventually("an answer from v2", sawNew.Load)
+	b.waitServing("v2")
+	b.eventually("a response from v2", sawNew.Load)
 	b.eventually("v1 unloaded", func() bool {
-		st, err := b.agent.d.Engine.Status(context.Background())
+		st, err := b.agent.deps.Engine.Status(context.Background())
 		return err == nil && len(st.Loaded) == 1 && st.Loaded[0] == "v2"
 	})
 	stop.Store(true)
 	wg.Wait()
 }
 
-// TestWrongAnswers guards against answers of another version or of another
-// request that reach the entry, and against a cut answer that looks whole.
-func TestWrongAnswers(t *testing.T) {
-	b := newBed(t, "engine", engine.Options{})
+// TestInvalidResponsesFail guards against responses of another version or of
+// another request that reach the entry, and against a truncated response that
+// looks complete.
+func TestInvalidResponsesFail(t *testing.T) {
+	b := newTestbed(t, "engine", engine.Options{})
 	b.weights.Put("v1", []byte("w"))
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
-	b.serving("v1")
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
+	b.waitServing("v1")
 	for _, c := range []struct {
 		fault string
 		code  verdict.Code
@@ -136,7 +137,7 @@
 		{`{"wrong_id":"r9"}`, verdict.CodeBrokenAnswer},
 		{`{"cut_after":3}`, verdict.CodeTargetError},
 	} {
-		b.admin("/faults", c.fault)
+		b.postToTarget("/faults", c.fault)
 		_, _, err := b.serve(b.request("r1", "x"))
 		wantError(t, err, verdict.MayHaveRun, c.code)
 	}
@@ -145,48 +146,48 @@
 	}
 }
 
-// TestBrokenStreamIsResumed guards against an answer that is cut, repeated or
-// joined wrongly when the engine's stream breaks in the middle.
+// TestBrokenStreamIsResumed guards against a response with missing or repeated
+// parts after the engine's stream broke in the middle and was resumed.
 func TestBrokenStreamIsResumed(t *testing.T) {
-	b := newBed(t, "engine", engine.Options{})
+	b := newTestbed(t, "engine", engine.Options{})
 	b.weights.Put("v1", []byte("w"))
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
-	b.serving("v1")
-	b.admin("/faults", `{"cut_after":3,"cut_once":true}`)
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
+	b.waitServing("v1")
+	b.postToTarget("/faults", `{"cut_after":3,"cut_once":true}`)
 	_, got, err := b.serve(b.request("r1", "x"))
-	if w := want("r1", "v1", "w", "x"); err != nil || got != w {
-		t.Fatalf("answer %q, error %v, want %q", got, err, w)
+	if w := expectedResponse("r1", "v1", "w", "x"); err != nil || got != w {
+		t.Fatalf("response %q, error %v, want %q", got, err, w)
 	}
 }
 
 // TestNoResumeAtRestartedEngine guards against a broken stream that is resumed
-// at an engine that restarted, which bears less than the one before.
+// on an engine that has restarted, whose limit is lower than before.
 func TestNoResumeAtRestartedEngine(t *testing.T) {
-	b := newBed(t, "engine", engine.Options{TokenDelay: 20 * time.Millisecond})
+	b := newTestbed(t, "engine", engine.Options{TokenDelay: 20 * time.Millisecond})
 	b.weights.Put("v1", []byte("w"))
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
-	b.serving("v1")
-	b.admin("/faults", `{"cut_after":3,"cut_once":true}`)
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
+	b.waitServing("v1")
+	b.postToTarget("/faults", `{"cut_after":3,"cut_once":true}`)
 	var wg conc.WaitGroup
 	wg.Go(func() {
 		b.eventually("a request runs", func() bool { return b.agent.Load().InFlight == 1 })
-		b.admin("/cold", "")
+		b.postToTarget("/cold", "")
 	})
 	_, _, err := b.serve(b.request("r1", "x"))
 	wg.Wait()
 	wantError(t, err, verdict.MayHaveRun, verdict.CodeTargetError)
-	b.serving("v1")
+	b.waitServing("v1")
 }
 
-// TestCancelReachesEngine guards against an engine that goes on producing
-// tokens for a caller that has gone, and against a deadline that is ignored.
+// TestCancelReachesEngine guards against an engine that continues to produce
+// tokens after the caller has disconnected, and against an ignored deadline.
 func TestCancelReachesEngine(t *testing.T) {
-	b := newBed(t, "engine", engine.Options{TokenDelay: 20 * time.Millisecond})
+	b := newTestbed(t, "engine", engine.Options{TokenDelay: 20 * time.Millisecond})
 	b.weights.Put("v1", []byte("w"))
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
-	b.serving("v1")
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
+	b.waitServing("v1")
 	ctx, cancel := context.WithCancel(context.Background())
-	ans, err := b.client.Serve(ctx, b.addr, b.request("r1", `{"max_tokens":100000}`), nil)
+	ans, err := b.client.Serve(ctx, b.address, b.request("r1", `{"max_tokens":100000}`), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,20 +202,20 @@
 	wantError(t, err, verdict.MayHaveRun, verdict.CodeDeadline)
 }
 
-// TestEngineRestart guards against more load than a cold engine bears, and
-// against an engine without weights that stays so.
+// TestEngineRestart guards against overload of a cold engine, and against an
+// engine that stays without weights after a restart.
 func TestEngineRestart(t *testing.T) {
-	b := newBed(t, "engine", engine.Options{CheckFence: true, MaxRequests: 8, ColdRequests: 2, TokenDelay: time.Millisecond})
+	b := newTestbed(t, "engine", engine.Options{CheckFence: true, MaxRequests: 8, ColdRequests: 2, TokenDelay: time.Millisecond})
 	b.weights.Put("v1", []byte("w"))
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
-	b.serving("v1")
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
+	b.waitServing("v1")
 	flood := func() {
 		var wg conc.WaitGroup
 		var done atomic.Int64
-		for w := range 16 {
+		for worker := range 16 {
 			wg.Go(func() {
 				for i := range 40 {
-					_, _, err := b.serve(b.request(fmt.Sprint(w, "-", i), "x"))
+					_, _, err := b.serve(b.request(fmt.Sprint(worker, "-", i), "x"))
 					if err == nil {
 						done.Add(1)
 					} else if verdict.FromError(err).Verdict != verdict.NotRun {
@@ -230,76 +231,76 @@
 	}
 	flood()
 	b.eventually("warm", func() bool { return b.agent.Load().Limit == 8 })
-	b.admin("/restart", "")
+	b.postToTarget("/restart", "")
 	b.eventually("cold", func() bool { st := b.agent.Status(); return st.Ready && st.Load.Limit == 2 })
 	flood()
-	st, err := b.agent.d.Engine.Status(context.Background())
+	st, err := b.agent.deps.Engine.Status(context.Background())
 	if err != nil || !strings.HasSuffix(st.BootID, "-2") {
-		t.Fatalf("engine fell over: status %+v, %v", st, err)
+		t.Fatalf("engine crashed under the load: status %+v, %v", st, err)
 	}
 }
 
-// TestServeRest guards against an answer that another target continues with the
-// wrong line or with another version.
-func TestServeRest(t *testing.T) {
-	b := newBed(t, "engine", engine.Options{})
+// TestServeFromResumePoint guards against a target that continues the response
+// of another target at the wrong line or from another version.
+func TestServeFromResumePoint(t *testing.T) {
+	b := newTestbed(t, "engine", engine.Options{})
 	b.weights.Put("v1", []byte("w"))
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
-	b.serving("v1")
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
+	b.waitServing("v1")
 	r := b.request("r1", "hello")
 	r.Resume, r.Version = 3, "v1"
-	_, tail, err := b.serve(r)
-	whole := want("r1", "v1", "w", "hello")
-	if err != nil || !strings.HasSuffix(whole, tail) || strings.Count(tail, "\n") != 5 {
-		t.Fatalf("rest %q, error %v, want the last 5 lines of %q", tail, err, whole)
+	_, rest, err := b.serve(r)
+	complete := expectedResponse("r1", "v1", "w", "hello")
+	if err != nil || !strings.HasSuffix(complete, rest) || strings.Count(rest, "\n") != 5 {
+		t.Fatalf("rest %q, error %v, want the last 5 lines of %q", rest, err, complete)
 	}
 	r.Version = "v0"
 	_, _, err = b.serve(r)
 	wantError(t, err, verdict.NotRun, verdict.CodeVersionNotServing)
 }
 
-// TestCanceledKeepsItsPlace guards against a request that takes the place of a
-// canceled one which the engine has not noticed yet; the engine would hold one
-// more than it bears and fail.
-func TestCanceledKeepsItsPlace(t *testing.T) {
-	b := newBed(t, "engine", engine.Options{TokenDelay: 30 * time.Millisecond})
+// TestCanceledRequestKeepsSlot guards against a request that gets the slot of a
+// canceled one before the engine has noticed the cancellation. The engine would
+// hold one request more than its limit and fail.
+func TestCanceledRequestKeepsSlot(t *testing.T) {
+	b := newTestbed(t, "engine", engine.Options{TokenDelay: 30 * time.Millisecond})
 	b.weights.Put("v1", []byte("w"))
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
-	b.serving("v1")
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
+	b.waitServing("v1")
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	ans, err := b.client.Serve(ctx, b.addr, b.request("r1", "x"), nil)
+	ans, err := b.client.Serve(ctx, b.address, b.request("r1", "x"), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	start := time.Now()
 	_ = ans.Close()
-	b.eventually("the place is free", func() bool { return b.agent.Load().InFlight == 0 })
-	if d := time.Since(start); d < cancelHold {
-		t.Errorf("place was free %v after the cancel, want at least %v", d, cancelHold)
+	b.eventually("the slot is free", func() bool { return b.agent.Load().InFlight == 0 })
+	if d := time.Since(start); d < cancelHoldTime {
+		t.Errorf("slot was free %v after the cancel, want at least %v", d, cancelHoldTime)
 	}
 }
 
-// TestCordonAndDrain guards against new work in a cordoned or leaving agent
+// TestCordonAndDrain guards against new requests on a cordoned or leaving agent,
 // and against a planned stop that interrupts a request.
 func TestCordonAndDrain(t *testing.T) {
-	b := newBed(t, "engine", engine.Options{TokenDelay: 10 * time.Millisecond})
+	b := newTestbed(t, "engine", engine.Options{TokenDelay: 10 * time.Millisecond})
 	b.weights.Put("v1", []byte("w"))
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
-	b.serving("v1")
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
+	b.waitServing("v1")
 	d := declaration(2, "v1", declare.KeepOld)
 	d.Cordons.Domains = map[fleet.Domain]bool{"a": true}
-	b.dir.set(d)
-	b.eventually("cordon announced", func() bool { s := b.dir.get().self.Status; return s != nil && s.Cordoned })
+	b.directory.setDeclaration(d)
+	b.eventually("cordon announced", func() bool { s := b.directory.get().self.Status; return s != nil && s.Cordoned })
 	_, _, err := b.serve(b.request("r1", "x"))
 	wantError(t, err, verdict.NotRun, verdict.CodeTargetCordoned)
-	b.dir.set(declaration(3, "v1", declare.KeepOld))
+	b.directory.setDeclaration(declaration(3, "v1", declare.KeepOld))
 	b.eventually("cordon lifted", func() bool { return !b.agent.Status().Cordoned })
 
 	var wg conc.WaitGroup
 	wg.Go(func() {
 		_, got, err := b.serve(b.request("r2", `{"max_tokens":60}`))
-		if err != nil || got != want("r2", "v1", "w", `{"max_tokens":60}`) {
+		if err != nil || got != expectedResponse("r2", "v1", "w", `{"max_tokens":60}`) {
 			t.Errorf("a request in progress was interrupted: %v", err)
 		}
 	})
@@ -309,42 +310,42 @@
 			t.Error("drain did not wait for the request")
 		}
 	})
-	b.eventually("leaving announced", func() bool { return b.dir.get().self.State == port.MemberLeaving })
+	b.eventually("leaving announced", func() bool { return b.directory.get().self.State == port.MemberLeaving })
 	_, _, err = b.serve(b.request("r3", "x"))
 	wantError(t, err, verdict.NotRun, verdict.CodeTargetLeaving)
 	wg.Wait()
 }
 
-// heldClock fires no timer but that of the drain notice.
-type heldClock struct{ port.Clock }
+// drainNoticeClock fires only the timer of the drain notice.
+type drainNoticeClock struct{ port.Clock }
 
-func (c heldClock) After(d time.Duration) <-chan time.Time {
-	if d != drainNotice {
+func (c drainNoticeClock) After(d time.Duration) <-chan time.Time {
+	if d != drainNoticeTime {
 		return nil
 	}
 	return c.Clock.After(d)
 }
 
-// TestDrainNeedsNoTimer guards against a drain that polls for the end of the
-// last request instead of being woken by it.
-func TestDrainNeedsNoTimer(t *testing.T) {
-	b := newBed(t, "engine", engine.Options{})
-	a := New(b.agent.id, b.agent.d)
-	a.d.Clock = heldClock{a.d.Clock}
-	a.serving.Start()
+// TestDrainWokenByLastRequest guards against a drain that polls for the end of
+// the last request instead of being woken by it.
+func TestDrainWokenByLastRequest(t *testing.T) {
+	b := newTestbed(t, "engine", engine.Options{})
+	a := New(b.agent.id, b.agent.deps)
+	a.deps.Clock = drainNoticeClock{a.deps.Clock}
+	a.requests.Start()
 	drained := make(chan bool, 1)
 	var wg conc.WaitGroup
 	wg.Go(func() { drained <- a.Drain(time.Minute) })
 	select {
 	case <-drained:
 		t.Fatal("drain did not wait for the request")
-	case <-time.After(2 * drainNotice):
+	case <-time.After(2 * drainNoticeTime):
 	}
-	a.serving.Done()
+	a.requests.Done()
 	select {
-	case whole := <-drained:
-		if !whole {
-			t.Error("drain says that a request did not finish")
+	case finished := <-drained:
+		if !finished {
+			t.Error("drain reported unfinished requests")
 		}
 	case <-time.After(10 * time.Second):
 		t.Fatal("the end of the last request did not end the drain")
@@ -352,11 +353,12 @@
 	wg.Wait()
 }
 
-// TestCallsRunAtMostOnce guards against a second effect for one key, against a
-// lost answer reported as not run, and against a call without a key.
+// TestCallsRunAtMostOnce guards against a call that runs twice for one key,
+// against a lost response reported as not run, and against a call that runs
+// without a key.
 func TestCallsRunAtMostOnce(t *testing.T) {
-	b := newBed(t, "service", engine.Options{})
-	b.dir.set(declaration(1, "v1", declare.KeepOld))
+	b := newTestbed(t, "service", engine.Options{})
+	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
 	b.eventually("ready", func() bool { return b.agent.Status().Ready })
 	call := func(name, key string) port.ServeRequest {
 		return port.ServeRequest{
@@ -369,7 +371,7 @@
 	_, _, err = b.serve(call("nope", ""))
 	wantError(t, err, verdict.NotRun, verdict.CodeBadRequest)
 	if _, got, err := b.serve(call("read", "")); err != nil || got != "read ok: station 4\n" {
-		t.Fatalf("answer %q, error %v", got, err)
+		t.Fatalf("response %q, error %v", got, err)
 	}
 	h, first, err := b.serve(call("log", "k1"))
 	if err != nil || h.Replayed {
@@ -377,19 +379,19 @@
 	}
 	h, second, err := b.serve(call("log", "k1"))
 	if err != nil || !h.Replayed || second != first {
-		t.Fatalf("replay: head %+v, answer %q, error %v", h, second, err)
+		t.Fatalf("replay: head %+v, response %q, error %v", h, second, err)
 	}
 	reused := call("log", "k1")
 	reused.Body = []byte("station 5")
 	_, _, err = b.serve(reused)
 	wantError(t, err, verdict.NotRun, verdict.CodeKeyReused)
-	b.admin("/faults", `{"lose_answers":true}`)
+	b.postToTarget("/faults", `{"lose_answers":true}`)
 	_, _, err = b.serve(call("log", "k2"))
 	wantError(t, err, verdict.MayHaveRun, verdict.CodeTargetLost)
-	b.admin("/faults", `{"refuse":true}`)
+	b.postToTarget("/faults", `{"refuse":true}`)
 	_, _, err = b.serve(call("log", "k3"))
 	wantError(t, err, verdict.NotRun, verdict.CodeTargetError)
-	b.admin("/faults", `{}`)
+	b.postToTarget("/faults", `{}`)
 	_, _, err = b.serve(call("log", "k2"))
 	wantError(t, err, verdict.MayHaveRun, verdict.CodeDuplicate)
 	if _, _, err = b.serve(call("log", "k3")); err != nil {
@@ -401,6 +403,6 @@
 	b.ledger.Down.Store(false)
 	b.checkEffects(map[string]int64{"k1": 1, "k2": 1, "k3": 1, "k4": 0})
 	if got := b.ledger.State(port.LedgerKey{Service: "s", Customer: "c", Key: "k2"}); got != porttest.LedgerUnknown {
-		t.Fatalf("record of a lost answer is %q", got)
+		t.Fatalf("record of a lost response is %q", got)
 	}
 }
--- a/internal/app/agent/service.go
+++ b/internal/app/agent/service.go
@@ -12,75 +12,78 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// keptAnswerBytes is the largest answer kept for repeats of a call.
-const keptAnswerBytes = 64 << 10
+// maxStoredBodyBytes is the maximum size of a response body that is stored for
+// retries of a call.
+const maxStoredBodyBytes = 64 << 10
 
-func (s *serving) callService(ctx context.Context, v view) error {
-	if s.a.d.Service == nil || s.r.Service != v.assign.Service {
-		return verdict.New(verdict.NotRun, verdict.CodeVersionNotServing, "target does not run service %q", s.r.Service)
+func (s *servedRequest) serveCall(ctx context.Context, v snapshot) error {
+	if s.a.deps.Service == nil || s.req.Service != v.assignment.Service {
+		return verdict.New(verdict.NotRun, verdict.CodeVersionNotServing, "target does not run service %q", s.req.Service)
 	}
-	call, ok := v.declaration.Services[s.r.Service].Calls[s.r.Call]
+	call, ok := v.declaration.Services[s.req.Service].Calls[s.req.Call]
 	switch {
 	case !ok:
-		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, "service %q has no call %q", s.r.Service, s.r.Call)
-	case call.AtMostOnce && s.r.IdempotencyKey == "":
-		return verdict.New(verdict.NotRun, verdict.CodeKeyRequired, "call %q needs an idempotency key", s.r.Call)
+		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, "service %q has no call %q", s.req.Service, s.req.Call)
+	case call.AtMostOnce && s.req.IdempotencyKey == "":
+		return verdict.New(verdict.NotRun, verdict.CodeKeyRequired, "call %q needs an idempotency key", s.req.Call)
 	}
 	if err := s.admit(ctx); err != nil {
 		return err
 	}
 	var err error
 	if call.AtMostOnce {
-		err = s.callOnce(ctx)
+		err = s.callAtMostOnce(ctx)
 	} else {
-		err = s.callRepeatable(ctx)
+		err = s.callRetryable(ctx)
 	}
 	if err != nil {
-		s.lost(err)
+		s.handleCallError(err)
 	}
 	s.release(err)
 	return err
 }
 
-func (s *serving) open(ctx context.Context) (port.Answer, error) {
-	s.sent = s.a.d.Clock.Now()
-	return s.a.d.Service.Call(ctx, port.ServiceRequest{
-		ID:             s.r.ID,
-		Service:        s.r.Service,
-		Call:           s.r.Call,
-		Customer:       s.r.Customer,
-		Body:           s.r.Body,
-		ContentType:    s.r.ContentType,
-		IdempotencyKey: s.r.IdempotencyKey,
+func (s *servedRequest) callTarget(ctx context.Context) (port.Answer, error) {
+	s.sentAt = s.a.deps.Clock.Now()
+	return s.a.deps.Service.Call(ctx, port.ServiceRequest{
+		ID:             s.req.ID,
+		Service:        s.req.Service,
+		Call:           s.req.Call,
+		Customer:       s.req.Customer,
+		Body:           s.req.Body,
+		ContentType:    s.req.ContentType,
+		IdempotencyKey: s.req.IdempotencyKey,
 	})
 }
 
-// lost takes a connection lost before or within the answer as a sign that the
-// service restarted, since a plain service reports no boot identity.
-func (s *serving) lost(err error) {
+// handleCallError resets admission to the cold limit if the connection was lost
+// before or during the response. A plain service reports no boot identity, so
+// this is the only sign that it may have restarted.
+func (s *servedRequest) handleCallError(err error) {
 	switch verdict.FromError(err).Code {
 	case verdict.CodeTargetLost:
-		s.a.adm.ResetToCold(s.a.target, s.a.d.Clock.Now())
-		signal(s.a.probes)
+		s.a.admissions.ResetToCold(s.a.targetKey, s.a.deps.Clock.Now())
+		signal(s.a.probeNow)
 	case verdict.CodeTargetError:
-		signal(s.a.probes)
+		signal(s.a.probeNow)
 	}
 }
 
-func (s *serving) callRepeatable(ctx context.Context) error {
-	ans, err := s.open(ctx)
+func (s *servedRequest) callRetryable(ctx context.Context) error {
+	ans, err := s.callTarget(ctx)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = ans.Close() }()
-	return s.copyAnswer(ctx, ans, func() {})
+	return s.forwardResponse(ctx, ans, func() {})
 }
 
-// callOnce runs a call that may run at most once for its key.
-func (s *serving) callOnce(ctx context.Context) error {
-	t, stored, err := s.a.d.Ledger.Begin(ctx, port.LedgerKey{
-		Service: s.r.Service, Customer: s.r.Customer, Key: s.r.IdempotencyKey,
-	}, contentOf(s.r))
+// callAtMostOnce runs a call that may run at most once for its idempotency key,
+// or replays its stored response.
+func (s *servedRequest) callAtMostOnce(ctx context.Context) error {
+	claim, stored, err := s.a.deps.Ledger.Begin(ctx, port.LedgerKey{
+		Service: s.req.Service, Customer: s.req.Customer, Key: s.req.IdempotencyKey,
+	}, contentDigest(s.req))
 	if err != nil {
 		return err
 	}
@@ -88,72 +91,73 @@
 		return s.replay(ctx, stored)
 	}
 	if ctx.Err() != nil {
-		t.NotRun()
+		claim.NotRun()
 		return verdict.Wrap(ctx.Err(), verdict.NotRun, verdict.CodeDeadline, "request ended before the call started")
 	}
-	return s.runOnce(ctx, t)
+	return s.runClaimed(ctx, claim)
 }
 
-// contentOf returns the digest of what a call asks for.
-func contentOf(r port.ServeRequest) (c port.ContentDigest) {
+// contentDigest returns the digest of a call's name, content type and body.
+func contentDigest(r port.ServeRequest) (digest port.ContentDigest) {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(r.Call), []byte(r.ContentType), r.Body} {
 		_ = binary.Write(h, binary.BigEndian, uint64(len(part)))
 		_, _ = h.Write(part)
 	}
-	copy(c[:], h.Sum(nil))
-	return c
+	copy(digest[:], h.Sum(nil))
+	return digest
 }
 
-func (s *serving) replay(ctx context.Context, a *port.StoredAnswer) error {
+func (s *servedRequest) replay(ctx context.Context, stored *port.StoredAnswer) error {
 	s.replayed = true
-	h := a.Head
-	h.ID, h.Replayed = s.r.ID, true
-	if err := s.head(ctx, h); err != nil {
+	h := stored.Head
+	h.ID, h.Replayed = s.req.ID, true
+	if err := s.sendHead(ctx, h); err != nil {
 		return err
 	}
-	return s.data(ctx, a.Body)
+	return s.sendData(ctx, stored.Body)
 }
 
-// runOnce runs the call and settles the ticket exactly once. A caller that
-// goes away does not end the call, only its deadline does: a call that was cut
-// could no longer be told from one that ran.
-func (s *serving) runOnce(ctx context.Context, t port.LedgerClaim) error {
+// runClaimed runs the call and records its outcome in the claim exactly once.
+// The call ends at its deadline, but not when the caller disconnects: it would
+// then be unknown whether a canceled call ran.
+func (s *servedRequest) runClaimed(ctx context.Context, claim port.LedgerClaim) error {
 	settled := false
 	defer func() {
 		if !settled {
-			t.Unknown()
+			claim.Unknown()
 		}
 	}()
-	run := context.WithoutCancel(ctx)
+	callCtx := context.WithoutCancel(ctx)
 	if deadline, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
-		run, cancel = context.WithDeadline(run, deadline)
+		callCtx, cancel = context.WithDeadline(callCtx, deadline)
 		defer cancel()
 	}
-	ans, err := s.open(run)
+	ans, err := s.callTarget(callCtx)
 	if err != nil {
 		settled = true
-		return settle(t, err)
+		return settleFailure(claim, err)
 	}
 	defer func() { _ = ans.Close() }()
-	kept, whole, err := keep(ans)
+	buffered, complete, err := readStorable(ans)
 	if err != nil {
 		settled = true
-		return settle(t, err)
+		return settleFailure(claim, err)
 	}
-	if whole {
-		// The record does not wait for the caller.
+	if complete {
+		// The outcome is recorded before the response is sent, so that the record
+		// does not wait for the caller.
 		settled = true
-		t.Done(&port.StoredAnswer{Head: ans.Head(), Body: kept})
+		claim.Done(&port.StoredAnswer{Head: ans.Head(), Body: buffered})
 	}
-	sendErr, err := s.sendOnce(ctx, ans, kept, whole)
+	sendErr, err := s.forwardStorable(ctx, ans, buffered, complete)
 	if !settled {
 		settled = true
 		if err != nil {
-			return settle(t, err)
+			return settleFailure(claim, err)
 		}
-		t.Done(nil)
+		claim.Done(nil)
 	}
 	if sendErr != nil {
 		return verdict.FromError(sendErr).WithVerdict(verdict.Ran)
@@ -161,41 +165,43 @@
 	return nil
 }
 
-// settle records a call that failed.
-func settle(t port.LedgerClaim, err error) error {
+// settleFailure records the outcome of a failed call and returns err.
+func settleFailure(claim port.LedgerClaim, err error) error {
 	switch verdict.FromError(err).Verdict {
 	case verdict.NotRun:
-		t.NotRun()
+		claim.NotRun()
 	case verdict.Ran:
-		t.Done(nil)
+		claim.Done(nil)
 	default:
-		t.Unknown()
+		claim.Unknown()
 	}
 	return err
 }
 
-// keep reads an answer until its end, or until it is too large to be kept.
-func keep(ans port.Answer) (kept []byte, whole bool, err error) {
-	for len(kept) <= keptAnswerBytes {
+// readStorable reads a response until its end, or until it is too large to be
+// stored. complete reports whether it reached the end.
+func readStorable(ans port.Answer) (buffered []byte, complete bool, err error) {
+	for len(buffered) <= maxStoredBodyBytes {
 		b, err := ans.Next()
 		if errors.Is(err, io.EOF) {
-			return kept, true, nil
+			return buffered, true, nil
 		}
 		if err != nil {
 			return nil, false, err
 		}
-		kept = append(kept, b...)
+		buffered = append(buffered, b...)
 	}
-	return kept, false, nil
+	return buffered, false, nil
 }
 
-// sendOnce passes the answer on. The rest of an answer that is not whole yet
-// is read to its end even if the entry has gone.
-func (s *serving) sendOnce(ctx context.Context, ans port.Answer, kept []byte, whole bool) (sendErr, err error) {
-	if sendErr = s.head(ctx, ans.Head()); sendErr == nil {
-		sendErr = s.data(ctx, kept)
-	}
-	for !whole {
+// forwardStorable sends the buffered part of a response and then, if it is not
+// complete, the rest. It reads the rest to the end even if the entry has
+// disconnected. sendErr is an error of sending, err one of reading.
+func (s *servedRequest) forwardStorable(ctx context.Context, ans port.Answer, buffered []byte, complete bool) (sendErr, err error) {
+	if sendErr = s.sendHead(ctx, ans.Head()); sendErr == nil {
+		sendErr = s.sendData(ctx, buffered)
+	}
+	for !complete {
 		b, err := ans.Next()
 		if errors.Is(err, io.EOF) {
 			break
@@ -204,7 +210,7 @@
 			return sendErr, err
 		}
 		if sendErr == nil {
-			sendErr = s.data(ctx, b)
+			sendErr = s.sendData(ctx, b)
 		}
 	}
 	return sendErr, nil
--- a/internal/app/agent/service_test.go
+++ b/internal/app/agent/service_test.go
@@ -10,13 +10,14 @@
 	"github.com/masticwing/masticwing/internal/port/porttest"
 )
 
-// TestServiceRestart guards against a warm limit after a plain service, which
-// reports no identity, has cut a call: before its answer, or within it.
+// TestServiceRestart guards against a warm limit after the connection to a plain
+// service was lost before or during a response. The service reports no identity,
+// so it may have restarted.
 func TestServiceRestart(t *testing.T) {
 	lost := verdict.New(verdict.MayHaveRun, verdict.CodeTargetLost, "connection lost")
 	for name, respond := range map[string]func(r port.ServiceRequest) (port.Answer, error){
-		"before the answer": func(port.ServiceRequest) (port.Answer, error) { return nil, lost },
-		"within the answer": func(r port.ServiceRequest) (port.Answer, error) {
+		"before the response": func(port.ServiceRequest) (port.Answer, error) { return nil, lost },
+		"during the response": func(r port.ServiceRequest) (port.Answer, error) {
 			return &porttest.Answer{AnswerHead: port.AnswerHead{ID: r.ID}, Pieces: [][]byte{{1}}, End: lost}, nil
 		},
 	} {
@@ -27,8 +28,8 @@
 				w := newWarmAgent(t, Deps{Service: svc}, "service")
 				w.warm()
 				r := port.ServeRequest{ID: "r", Service: "s", Call: call, Customer: "c", IdempotencyKey: "k", Timeout: time.Second}
-				wantError(t, w.Serve(context.Background(), r, &discard{}), verdict.MayHaveRun, verdict.CodeTargetLost)
-				w.wantLimit(bedLimits.ColdRequests)
+				wantError(t, w.Serve(context.Background(), r, &discardSink{}), verdict.MayHaveRun, verdict.CodeTargetLost)
+				w.wantLimit(testLimits.ColdRequests)
 			})
 		}
 	}
--- a/internal/app/agent/settings.go
+++ b/internal/app/agent/settings.go
@@ -18,10 +18,10 @@
 	Engine  fleet.Address
 	Service fleet.Address
 	Origin  fleet.Address
-	// OriginRegion is empty if the origin stands in none of the regions.
+	// OriginRegion is empty if the origin is in none of the regions.
 	OriginRegion string
 
-	// InRate and OutRate are bytes per second.
+	// InRate and OutRate limit the weight transfers, in bytes per second.
 	InRate, OutRate int64
 	WeightsMemory   int64
 
@@ -38,7 +38,7 @@
 	gib = 1 << 30
 )
 
-// Register registers all keys.
+// Register adds the keys of these settings to s.
 func (c *Settings) Register(s *settings.Set) {
 	c.Common.Register(s)
 	c.Settings.Register(s)
@@ -58,7 +58,8 @@
 	s.Check(c.checkTarget)
 }
 
-// checkTarget refuses settings that contradict each other.
+// checkTarget reports settings of the target and the origin that contradict each
+// other.
 func (c *Settings) checkTarget() []settings.Fault {
 	var out []settings.Fault
 	if c.Engine != "" && c.Service != "" {
--- a/internal/app/agent/status.go
+++ b/internal/app/agent/status.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// heartbeatEvery is the time between two messages of a status stream
-	// without a change of state; they carry the load.
-	heartbeatEvery = time.Second
-	// progressEvery is the least time between two changes of the member record
-	// that only show progress.
-	progressEvery = 2 * time.Second
+	// heartbeatInterval is the time between two messages on a status stream while
+	// the state does not change. They carry the load.
+	heartbeatInterval = time.Second
+	// progressInterval is the minimum time between two updates of the member
+	// record that change only the progress.
+	progressInterval = 2 * time.Second
 )
 
 // Load implements port.AgentHandler.
 func (a *Agent) Load() port.Load {
-	l := a.adm.Load(a.target, a.d.Clock.Now())
+	l := a.admissions.Load(a.targetKey, a.deps.Clock.Now())
 	return port.Load{InFlight: l.InFlight, Limit: l.Limit, BytesHeld: l.Bytes}
 }
 
 // Status returns the state of the agent and its target.
 func (a *Agent) Status() port.AgentStatus {
-	v := a.view()
+	v := a.snapshot()
 	st := port.AgentStatus{
 		VM:       a.id.VM,
 		Domain:   a.id.Domain,
 		BootID:   a.id.BootID,
-		Group:    v.assign.Group,
-		Service:  v.assign.Service,
+		Group:    v.assignment.Group,
+		Service:  v.assignment.Service,
 		Version:  v.serving.Version,
 		Load:     a.Load(),
-		Cordoned: v.assign.Cordoned,
+		Cordoned: v.assignment.Cordoned,
 		Leaving:  v.leaving,
 		Ready:    v.ready,
 		Progress: v.progress,
@@ -44,80 +44,81 @@
 	return st
 }
 
-// stateOf returns the part of a status whose change is announced at once. A
-// revision that changes nothing for this target waits for the next heartbeat.
-func stateOf(st port.AgentStatus) port.AgentStatus {
+// announcedState returns the part of a status whose changes are sent without
+// delay. A new revision that changes nothing for this target waits for the next
+// heartbeat.
+func announcedState(st port.AgentStatus) port.AgentStatus {
 	st.Load, st.Revision = port.Load{}, 0
 	st.Progress = port.Progress{Target: st.Progress.Target, State: st.Progress.State, Reason: st.Progress.Reason}
 	return st
 }
 
-// notify wakes every watcher of the status. They find out by themselves
-// whether the state changed.
-func (a *Agent) notify() {
-	a.watchers.Range(func(_ uint64, c chan struct{}) bool {
+// notifyWatchers wakes all watchers of the status. Each checks itself whether
+// the state has changed.
+func (a *Agent) notifyWatchers() {
+	a.statusWatchers.Range(func(_ uint64, c chan struct{}) bool {
 		signal(c)
 		return true
 	})
 }
 
-func (a *Agent) watch() (<-chan struct{}, func()) {
-	id := a.watches.Add(1)
+func (a *Agent) subscribeStatus() (<-chan struct{}, func()) {
+	id := a.lastWatcherID.Add(1)
 	c := make(chan struct{}, 1)
-	a.watchers.Put(id, c)
-	return c, func() { a.watchers.Delete(id) }
+	a.statusWatchers.Put(id, c)
+	return c, func() { a.statusWatchers.Delete(id) }
 }
 
-// follow calls send with the status: at first, on each change of state, and
-// after every interval in which nothing was sent.
-func (a *Agent) follow(ctx context.Context, every time.Duration, send func(port.AgentStatus) error) error {
-	changed, stop := a.watch()
+// followStatus calls send with the current status, then on each change of state
+// and after each interval in which nothing was sent.
+func (a *Agent) followStatus(ctx context.Context, interval time.Duration, send func(port.AgentStatus) error) error {
+	changed, stop := a.subscribeStatus()
 	defer stop()
 	last := a.Status()
 	if err := send(last); err != nil {
 		return err
 	}
-	beat := a.d.Clock.After(every)
+	heartbeat := a.deps.Clock.After(interval)
 	for {
-		due := false
+		heartbeatDue := false
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-changed:
-		case <-beat:
-			due = true
+		case <-heartbeat:
+			heartbeatDue = true
 		}
 		st := a.Status()
-		if !due && stateOf(st) == stateOf(last) {
+		if !heartbeatDue && announcedState(st) == announcedState(last) {
 			continue
 		}
 		if err := send(st); err != nil {
 			return err
 		}
-		last, beat = st, a.d.Clock.After(every)
+		last, heartbeat = st, a.deps.Clock.After(interval)
 	}
 }
 
 // WatchStatus implements port.AgentHandler.
 func (a *Agent) WatchStatus(ctx context.Context, _ string, send func(port.AgentStatus) error) error {
-	return a.follow(ctx, heartbeatEvery, send)
+	return a.followStatus(ctx, heartbeatInterval, send)
 }
 
-// publish keeps the member record of this agent up to date. Load alone does
-// not change the record, since entries learn it from status streams. A
-// revision alone does not either, since every record of the fleet would change
-// with each declaration.
-func (a *Agent) publish(ctx context.Context) {
+// publishStatus keeps the member record of this agent up to date. A change of
+// the load alone does not change the record, since entries receive the load on
+// status streams. Neither does a new revision alone, since each declaration
+// would change every record of the fleet.
+func (a *Agent) publishStatus(ctx context.Context) {
 	var last port.AgentStatus
-	_ = a.follow(ctx, progressEvery, func(st port.AgentStatus) error {
+	_ = a.followStatus(ctx, progressInterval, func(st port.AgentStatus) error {
 		st.Load = port.Load{Limit: st.Load.Limit}
-		without := st
-		without.Revision = 0
-		if without == last {
+		compared := st
+		compared.Revision = 0
+		if compared == last {
 			return nil
 		}
-		last = without
-		a.d.Directory.UpdateSelf(func(r *port.MemberRecord) {
+		last = compared
+		a.deps.Directory.UpdateSelf(func(r *port.MemberRecord) {
 			r.Status = &st
 			if st.Leaving {
 				r.State = port.MemberLeaving
