--- a/internal/core/routing/choose.go
+++ b/internal/core/routing/choose.go
@@ -42,7 +42,7 @@
 // The entry may use its share of the limit, rounded down, whatever load is reported,
 // so that entries that keep to their shares fill the target without refusals. The
 // fraction that rounding cut off entitles it to one more slot if one appears free.
-// Beyond its share it always leaves one slot free, so that it returns borrowed slots
+// Beyond its share it leaves one slot free, so that it returns borrowed slots
 // to entries that are below their shares.
 func (q *Query) hasSpareCapacity(v *target) bool {
 	share := 0.0
@@ -145,7 +145,7 @@
 // eligible reports whether the target may serve the request, whatever its load.
 func (t *target) eligible(q Query, now time.Time) bool {
 	switch {
-	case t.Pool != q.Pool, !t.Usable, !t.isFresh(now), q.Tried[t.VM]:
+	case t.Pool != q.Pool, !t.Usable, !t.fresh(now), q.Tried[t.VM]:
 		return false
 	case t.Version != q.Version && !q.OlderVersions[t.Version]:
 		return false
@@ -169,7 +169,7 @@
 func affinityTarget(cs []candidate, prefix uint64) (candidate, bool) {
 	best, least := cs[0], cs[0].load
 	for _, c := range cs[1:] {
-		if rendezvousScore(prefix, string(c.VM)) > rendezvousScore(prefix, string(best.VM)) {
+		if score(prefix, string(c.VM)) > score(prefix, string(best.VM)) {
 			best = c
 		}
 		least = min(least, c.load)
