--- a/internal/app/directory/connect.go
+++ b/internal/app/directory/connect.go
@@ -13,25 +13,24 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Settings are the settings by which a process finds the platform and the
-// other processes.
+// Settings configures how a process reaches the platform and other processes.
 type Settings struct {
 	Domain fleet.Domain
 	Region fleet.Region
 	RPC    fleet.Address
-	// Advertise is the address that other processes use. It differs from RPC
-	// where an address translation stands between them.
+	// Advertise is the address at which other processes reach this one. It
+	// differs from RPC behind network address translation.
 	Advertise fleet.Address
-	// Source is the IP that connections to other processes leave from, on a
-	// VM with several. The zero value leaves the choice to the system.
+	// Source is the local IP address of connections to other processes, for a
+	// VM with several addresses. With the zero value the system chooses.
 	Source   netip.Addr
 	Platform fleet.Address
 	Seeds    []fleet.Address
-	// ExchangeBytesPerSecond bounds the exchanges of the member table.
+	// ExchangeBytesPerSecond bounds the traffic of member table exchanges.
 	ExchangeBytesPerSecond int
 }
 
-// Register adds the settings to a set.
+// Register declares the settings in s, with their defaults.
 func (c *Settings) Register(s *settings.Set) {
 	s.Name("node", "domain", func(v string) { c.Domain = fleet.Domain(v) }, settings.Required, "Failure domain of this VM.")
 	s.Name("node", "region", func(v string) { c.Region = fleet.Region(v) }, settings.Required, "Region of the failure domain.")
@@ -44,9 +43,9 @@
 		"Bytes per second for records of members in exchanges, both ways together.")
 }
 
-// Connect returns the directory of a process over the platform's HTTP
-// interface. The meter of the client, which the server of the process shares,
-// shows the cost of control.
+// Connect returns a Directory that uses the platform's HTTP interface and
+// client. The process's RPC server must share the client's meter, so that
+// Traffic covers both directions of control traffic.
 func Connect(c Settings, kind fleet.Kind, common daemon.Common, labels map[string]string, env daemon.Env, client *rpc.Client) *Directory {
 	platform := kvhttp.New(c.Platform)
 	address := c.Advertise
--- a/internal/app/directory/convergence_test.go
+++ b/internal/app/directory/convergence_test.go
@@ -19,69 +19,69 @@
 
 const (
 	fleetSize = 30
-	// inForce is the bound of the design for a change.
+	// changeDeadline is the design's bound for a change to reach all processes.
 	changeDeadline = 7 * time.Second
 )
 
-// TestChangeReachesAll guards against a change that does not reach every
-// process in time: in an ordinary fleet, before and after an outage of the
-// platform, with lost answers, and against members that do not find each other.
+// TestChangeReachesAll guards against changes that do not reach every process in
+// time, with a healthy platform and with outages, lost responses, slow or stale
+// reads and lost writes, and against members that do not find each other.
 func TestChangeReachesAll(t *testing.T) {
-	w := newTestFleet(t, fleetSize)
-	rev := w.writeRevision()
-	w.waitFor("first declaration", changeDeadline, all, hasRevision(rev))
-	w.waitFor("all members known", changeDeadline, all, seesMembers(fleetSize))
+	tf := newTestFleet(t, fleetSize)
+	rev := tf.writeRevision()
+	tf.waitFor("first declaration", changeDeadline, all, hasRevision(rev))
+	tf.waitFor("all members known", changeDeadline, all, seesMembers(fleetSize))
 	for range 3 {
-		w.waitFor("change", changeDeadline, all, hasRevision(w.writeRevision()))
+		tf.waitFor("change", changeDeadline, all, hasRevision(tf.writeRevision()))
 	}
 
-	w.setFaults(platform.Faults{Hang: true})
+	tf.setFaults(platform.Faults{Hang: true})
 	time.Sleep(3 * time.Second)
-	w.waitFor("kept while the platform hangs", time.Second, all, hasRevision(w.doc.Revision))
-	w.setFaults(platform.Faults{Down: true})
+	tf.waitFor("revision kept while the platform hangs", time.Second, all, hasRevision(tf.doc.Revision))
+	tf.setFaults(platform.Faults{Down: true})
 	time.Sleep(time.Second)
-	w.setFaults(platform.Faults{})
-	w.waitFor("change after the outage", changeDeadline, all, hasRevision(w.writeRevision()))
+	tf.setFaults(platform.Faults{})
+	tf.waitFor("change after the outage", changeDeadline, all, hasRevision(tf.writeRevision()))
 
-	rev = w.writeRevision()
-	w.waitForFirst(rev)
-	w.setFaults(platform.Faults{Down: true})
-	w.waitFor("change while the platform goes down", changeDeadline, all, hasRevision(rev))
-	w.setFaults(platform.Faults{LoseWriteAnswers: 1})
-	w.waitFor("change with a lost answer", changeDeadline, all, hasRevision(w.writeRevision()))
-	w.setFaults(platform.Faults{StaleReads: true, DelayMillis: 300})
-	w.waitFor("change with a slow platform that answers from the past", changeDeadline, all, hasRevision(w.writeRevision()))
-	w.setFaults(platform.Faults{})
-	w.restorePreviousRevision()
+	rev = tf.writeRevision()
+	tf.waitForFirst(rev)
+	tf.setFaults(platform.Faults{Down: true})
+	tf.waitFor("change while the platform goes down", changeDeadline, all, hasRevision(rev))
+	tf.setFaults(platform.Faults{LoseWriteAnswers: 1})
+	tf.waitFor("change with a lost write response", changeDeadline, all, hasRevision(tf.writeRevision()))
+	tf.setFaults(platform.Faults{StaleReads: true, DelayMillis: 300})
+	tf.waitFor("change with a slow platform and stale reads", changeDeadline, all, hasRevision(tf.writeRevision()))
+	tf.setFaults(platform.Faults{})
+	tf.restorePreviousRevision()
 	time.Sleep(time.Second)
-	w.waitFor("kept although the platform lost a change", time.Second, all, hasRevision(w.doc.Revision))
-	w.waitFor("change after that", changeDeadline, all, hasRevision(w.writeRevision()))
-	w.waitFor("age confirmed", changeDeadline, all, func(n *node) bool {
+	tf.waitFor("revision kept although the platform lost a change", time.Second, all, hasRevision(tf.doc.Revision))
+	tf.waitFor("change after the loss", changeDeadline, all, hasRevision(tf.writeRevision()))
+	tf.waitFor("age confirmed", changeDeadline, all, func(n *node) bool {
 		_, age := n.Directory.Declaration()
 		return age >= 0 && age < changeDeadline
 	})
 }
 
-// TestPartitionHeals guards against a cut-off domain that goes back or stops,
-// that is not noticed, and that does not join again; and against members of
-// the own side that vanish when it heals.
+// TestPartitionHeals guards against a partitioned domain that reverts its
+// declaration, is not detected or does not rejoin, and against a process that
+// loses members of its own side while the partition heals.
 func TestPartitionHeals(t *testing.T) {
-	w := newTestFleet(t, fleetSize)
-	w.waitFor("first declaration", changeDeadline, all, hasRevision(w.writeRevision()))
-	w.waitFor("all members known", changeDeadline, all, seesMembers(fleetSize))
-	before := w.doc.Revision
+	tf := newTestFleet(t, fleetSize)
+	tf.waitFor("first declaration", changeDeadline, all, hasRevision(tf.writeRevision()))
+	tf.waitFor("all members known", changeDeadline, all, seesMembers(fleetSize))
+	before := tf.doc.Revision
 
-	w.cutDomain.Store(fleet.Domain("b"))
-	rev := w.writeRevision()
-	w.waitFor("change outside of the cut", changeDeadline, outsideDomain("b"), hasRevision(rev))
-	w.waitFor("cut-off members taken out", 30*time.Second, outsideDomain("b"), seesMembers(20))
-	w.waitFor("cut-off domain takes the others out", 30*time.Second, inDomain("b"), seesMembers(10))
-	w.waitFor("cut-off domain keeps its revision", time.Second, inDomain("b"), hasRevision(before))
+	tf.cutDomain.Store(fleet.Domain("b"))
+	rev := tf.writeRevision()
+	tf.waitFor("change outside of the partition", changeDeadline, outsideDomain("b"), hasRevision(rev))
+	tf.waitFor("partitioned members removed", 30*time.Second, outsideDomain("b"), seesMembers(20))
+	tf.waitFor("partitioned domain removes the others", 30*time.Second, inDomain("b"), seesMembers(10))
+	tf.waitFor("partitioned domain keeps its revision", time.Second, inDomain("b"), hasRevision(before))
 
 	least := fleetSize
-	w.cutDomain.Store(fleet.Domain(""))
-	w.waitFor("change after healing", changeDeadline, inDomain("b"), hasRevision(rev))
-	w.waitFor("members join again", 15*time.Second, all, func(n *node) bool {
+	tf.cutDomain.Store(fleet.Domain(""))
+	tf.waitFor("change after healing", changeDeadline, inDomain("b"), hasRevision(rev))
+	tf.waitFor("members join again", 15*time.Second, all, func(n *node) bool {
 		if n.cfg.Self.Domain != "b" {
 			least = min(least, len(n.Directory.Members(fleet.KindEntry))+len(n.Directory.Members(fleet.KindAgent)))
 		}
@@ -91,30 +91,30 @@
 		t.Errorf("a process saw only %d members while the partition healed, want its own side of 20", least)
 	}
 	time.Sleep(4 * time.Second)
-	w.waitFor("members stay", changeDeadline, all, seesMembers(fleetSize))
+	tf.waitFor("members stay joined", changeDeadline, all, seesMembers(fleetSize))
 }
 
-// TestStartWithoutPlatform guards against a process that serves nothing
-// although a seed holds the declaration, or that serves without one.
+// TestStartWithoutPlatform guards against a process that does not become ready
+// although a seed has the declaration, or that becomes ready without one.
 func TestStartWithoutPlatform(t *testing.T) {
-	w := newTestFleet(t, 3)
-	w.waitFor("first declaration", changeDeadline, all, hasRevision(w.writeRevision()))
-	w.setFaults(platform.Faults{Hang: true})
+	tf := newTestFleet(t, 3)
+	tf.waitFor("first declaration", changeDeadline, all, hasRevision(tf.writeRevision()))
+	tf.setFaults(platform.Faults{Hang: true})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 
-	withSeed, lis := w.node(3, []fleet.Address{w.nodes[0].cfg.Self.Address})
-	withoutSeed, _ := w.node(4, nil)
-	w.goUntilEnd(func() { _ = withSeed.server.Serve(ctx, lis) })
-	w.goUntilEnd(func() { withSeed.Run(ctx) })
-	w.goUntilEnd(func() { withoutSeed.Run(ctx) })
+	withSeed, lis := tf.node(3, []fleet.Address{tf.nodes[0].cfg.Self.Address})
+	withoutSeed, _ := tf.node(4, nil)
+	tf.goUntilEnd(func() { _ = withSeed.server.Serve(ctx, lis) })
+	tf.goUntilEnd(func() { withSeed.Run(ctx) })
+	tf.goUntilEnd(func() { withoutSeed.Run(ctx) })
 	select {
 	case <-withSeed.Ready():
 	case <-time.After(4 * time.Second):
 		t.Fatalf("not ready with a seed: %s", withSeed.NotReadyReason())
 	}
-	if !hasRevision(w.doc.Revision)(withSeed) {
-		t.Errorf("ready with revision %d", withSeed.rev.Revision())
+	if !hasRevision(tf.doc.Revision)(withSeed) {
+		t.Errorf("ready with revision %d, want that of the seed", withSeed.rev.Revision())
 	}
 	select {
 	case <-withoutSeed.Ready():
@@ -122,9 +122,9 @@
 	case <-time.After(500 * time.Millisecond):
 	}
 	if withoutSeed.NotReadyReason() == "" {
-		t.Error("no reason is given")
+		t.Error("no reason for not being ready")
 	}
-	w.setFaults(platform.Faults{})
+	tf.setFaults(platform.Faults{})
 	select {
 	case <-withoutSeed.Ready():
 	case <-time.After(5 * time.Second):
@@ -132,13 +132,13 @@
 	}
 }
 
-// TestStateSpreads guards against a leaving or cordoned member that others
-// hear of late, and against load changes that flood the exchanges.
+// TestMemberStateSpreads guards against member state changes that reach others
+// late, and against frequent load changes that flood the exchanges.
 func TestMemberStateSpreads(t *testing.T) {
-	w := newTestFleet(t, 12)
-	w.waitFor("first declaration", changeDeadline, all, hasRevision(w.writeRevision()))
-	w.waitFor("all members known", changeDeadline, all, seesMembers(12))
-	n := w.nodes[5]
+	tf := newTestFleet(t, 12)
+	tf.waitFor("first declaration", changeDeadline, all, hasRevision(tf.writeRevision()))
+	tf.waitFor("all members known", changeDeadline, all, seesMembers(12))
+	n := tf.nodes[5]
 	v0 := n.table.Self().Version
 	for i := range 200 {
 		n.UpdateSelf(func(r *port.MemberRecord) {
@@ -146,10 +146,10 @@
 		})
 	}
 	if v := n.table.Self().Version; v > v0+2 {
-		t.Errorf("200 changes of load made %d versions", v-v0)
+		t.Errorf("200 load changes published %d versions of the record", v-v0)
 	}
 	n.UpdateSelf(func(r *port.MemberRecord) { r.State = port.MemberLeaving })
-	w.waitFor("leaving known", 3*time.Second, all, func(o *node) bool {
+	tf.waitFor("leaving known", 3*time.Second, all, func(o *node) bool {
 		for _, r := range o.Directory.Members(n.cfg.Self.Kind) {
 			if r.ID == n.cfg.Self.ID {
 				return r.State == port.MemberLeaving && r.Status != nil && r.Status.VM == "x"
@@ -159,16 +159,16 @@
 	})
 }
 
-// TestSteadyTraffic guards against exchanges that cost more than the design
-// allows when nothing changes.
+// TestSteadyTraffic guards against exchanges that use more bandwidth than the
+// design allows while nothing changes.
 func TestSteadyTraffic(t *testing.T) {
-	w := newTestFleet(t, fleetSize)
-	w.waitFor("first declaration", changeDeadline, all, hasRevision(w.writeRevision()))
-	w.waitFor("all members known", changeDeadline, all, seesMembers(fleetSize))
+	tf := newTestFleet(t, fleetSize)
+	tf.waitFor("first declaration", changeDeadline, all, hasRevision(tf.writeRevision()))
+	tf.waitFor("all members known", changeDeadline, all, seesMembers(fleetSize))
 	time.Sleep(20 * time.Second)
 	bytes := func() (sum int64) {
-		for _, n := range w.nodes {
-			all := n.client.Meter.Read()[0] // shared with the server; the first kind is the connections'
+		for _, n := range tf.nodes {
+			all := n.client.Meter.Read()[0] // the meter is shared with the server; the first kind counts whole connections
 			sum += all.In + all.Out
 		}
 		return sum
@@ -182,11 +182,11 @@
 	}
 }
 
-// TestCommand guards against a change or cordon that operators make with the
-// command and that is not in force, or not shown to be, within the bounds.
+// TestCtlCommands guards against masticwingctl changes and cordons that are not
+// in force everywhere, or not reported as such, within the bounds.
 func TestCtlCommands(t *testing.T) {
-	w := newTestFleet(t, fleetSize)
-	w.waitFor("all members known", changeDeadline, all, seesMembers(fleetSize))
+	tf := newTestFleet(t, fleetSize)
+	tf.waitFor("all members known", changeDeadline, all, seesMembers(fleetSize))
 	file := filepath.Join(t.TempDir(), "main.ini")
 	text := "[domain a]\nregion=r\n[domain b]\nregion=r\n[service s]\nvms=pool=model\n"
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -194,11 +194,11 @@
 	}
 	ctl := func(args ...string) (int, map[string]any) {
 		var out bytes.Buffer
-		peers := string(w.nodes[0].cfg.Self.Address) + "," + string(w.nodes[29].cfg.Self.Address)
+		peers := string(tf.nodes[0].cfg.Self.Address) + "," + string(tf.nodes[29].cfg.Self.Address)
 		args = append(append([]string{"masticwingctl"}, args...), "--output", "json",
-			"--platform", strings.TrimPrefix(w.url, "http://"), "--peer", peers)
+			"--platform", strings.TrimPrefix(tf.url, "http://"), "--peer", peers)
 		code := ctl.Main(context.Background(), ctl.Deps{
-			KV: func(fleet.Address) port.KV { return w.kv }, Members: w.nodes[0].client,
+			KV: func(fleet.Address) port.KV { return tf.kv }, Members: tf.nodes[0].client,
 			Clock: sysclock.Clock{}, Rand: sysclock.Rand{}, Out: &out, Err: &out,
 		}, args)
 		v := map[string]any{}
@@ -214,12 +214,12 @@
 		}
 		seconds := v["wait"].(map[string]any)["seconds"].(float64)
 		t.Logf("%s shown in force everywhere after %.2f s", args[0], seconds)
-		w.waitFor("in force when the command returns", 0, all, hasRevision(uint64(v["revision"].(float64))))
+		tf.waitFor("in force when the command returns", 0, all, hasRevision(uint64(v["revision"].(float64))))
 		if args[0] == "cordon" && seconds > 3 {
 			t.Errorf("cordon took %v s, want at most 3", seconds)
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range tf.nodes {
 		if d, _ := n.Directory.Declaration(); !d.Cordoned("b", "x") || d.Cordoned("a", "x") {
 			t.Errorf("%s: apply changed the cordons", n.cfg.Self.ID)
 		}
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -1,11 +1,11 @@
-// Package directory keeps a process informed of the deployment: the newest
-// declaration and the members. It reads the platform where this process is a
-// reader of its failure domain, exchanges with neighbours, and answers their
-// exchanges.
+// Package directory keeps the newest declaration and the member table of a
+// process up to date. Elected readers of each failure domain watch the platform;
+// all processes spread what they know by gossip exchanges with their neighbours.
 //
-// What holds across failures: the revision never falls; the newest declaration
-// known stays in force while the platform is down, slow or answers from the
-// past; members on the other side of a partition are tried until it heals.
+// Invariants under failures: the revision in force never decreases; the newest
+// known declaration stays in force while the platform is down, slow or returns
+// stale data; members on the other side of a partition are contacted until the
+// partition heals.
 package directory
 
 import (
@@ -26,38 +26,39 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Config is the configuration of a Directory. Zero durations take defaults.
+// Config configures a Directory. Zero durations are replaced by defaults.
 type Config struct {
-	// Self is the record of this process. Incarnation is taken from the clock
-	// if it is zero.
+	// Self is the member record of this process. A zero Incarnation is set from
+	// the clock.
 	Self port.MemberRecord
-	// Seeds are the addresses to join through.
+	// Seeds are the addresses of the processes contacted at start to join.
 	Seeds []fleet.Address
-	// Key is the platform's key of the declaration.
+	// Key is the key of the declaration in the platform's key-value service.
 	Key string
 	// ExchangeInterval is the time between exchanges with neighbours.
 	ExchangeInterval time.Duration
-	// WatchTimeout is the longest time that one watch waits. A watch whose
-	// connection went silent is noticed after it.
+	// WatchTimeout is the maximum duration of one watch call. It also bounds
+	// the time until a silently broken connection is noticed.
 	WatchTimeout time.Duration
-	// VMListInterval is the time between reads of the list of VMs.
+	// VMListInterval is the minimum time between reads of the VM list.
 	VMListInterval time.Duration
-	// StartTimeout is the time after which a process starts without the platform.
+	// StartTimeout is the time after which a process may become ready without a
+	// response of the platform.
 	StartTimeout time.Duration
-	// StatusInterval is the least time between two versions of the own record
-	// that differ in load and progress only.
+	// StatusInterval is the minimum time between two versions of this process's
+	// record that differ only in load and progress.
 	StatusInterval time.Duration
-	// ProbeInterval is the time between attempts to reach a dead member or a seed
-	// that is not a member.
+	// ProbeInterval is the minimum time between attempts to reach a dead member
+	// or a seed that is not a member.
 	ProbeInterval time.Duration
-	// ExchangeBytesPerSecond is the bound of the bytes per second that records and
-	// digests take in exchanges, both ways together.
+	// ExchangeBytesPerSecond bounds the records and digests in exchanges, sent
+	// and received together.
 	ExchangeBytesPerSecond int
 }
 
-// DefaultExchangeBytesPerSecond is the default of Config.ExchangeBytes. It leaves room in
-// 3 KB/s for the heads of exchanges and their frames, status streams, the
-// document, and at readers the platform.
+// DefaultExchangeBytesPerSecond is the default of Config.ExchangeBytesPerSecond.
+// Of the 3 KB/s allowed per process it leaves the rest for message headers and
+// framing, status streams, the declaration, and the platform calls of readers.
 const DefaultExchangeBytesPerSecond = 800
 
 func (c Config) withDefaults(now time.Time) Config {
@@ -84,60 +85,70 @@
 	return c
 }
 
-// Deps are the ports that a Directory uses.
+// Deps holds the ports and adapters that a Directory uses.
 type Deps struct {
 	KV      port.KV
 	VMs     port.VMList
 	Members port.MemberClient
 	Clock   port.Clock
 	Rand    port.Rand
-	// Decode reads the stored form of a declaration.
+	// Decode parses the stored form of a declaration.
 	Decode func([]byte) (*declare.Declaration, error)
 	// Metrics may be nil.
 	Metrics port.Metrics
 	// Log may be nil.
 	Log *logging.Logger
-	// Traffic returns the bytes that this process sent and received so far, by
-	// kind. It may be nil.
+	// Traffic returns the total bytes sent and received by this process, by
+	// kind of traffic. It may be nil.
 	Traffic func() []port.Traffic
 }
 
-// Directory implements port.Directory. Its Handler serves other processes.
+// Directory implements port.Directory. Its Handler answers the exchanges and
+// queries of other processes.
 type Directory struct {
 	cfg  Config
 	deps Deps
 
+	// rev holds the newest known declaration and its revision.
 	rev              revision.Store
 	table            *membership.Table[port.MemberRecord]
 	self             selfRecord
 	subscribers      *shard.Map[uint64, chan struct{}]
 	lastSubscriberID atomic.Uint64
-	// busy holds the addresses with an exchange in progress, so that a silent
-	// member holds at most one goroutine.
+	// exchanging holds the addresses with an exchange in progress, so that an
+	// unresponsive member blocks at most one goroutine.
 	exchanging *shard.Map[fleet.Address, struct{}]
-	// waiting holds the announcements that wait for busy.
+	// pendingAnnouncements holds the announcements that wait for an exchange in
+	// progress with the same address.
 	pendingAnnouncements *shard.Map[announcement, struct{}]
 	fetchQueue           chan fetchRequest
-	// pulling holds the revisions that are being fetched.
-	fetching    *shard.Map[uint64, struct{}]
+	// fetching holds the revisions that are being fetched.
+	fetching *shard.Map[uint64, struct{}]
+	// selfChanged triggers the announcement of an urgent change or refutation of
+	// this process.
 	selfChanged chan struct{}
-	// revised wakes the announcement of a revision, which carries no records.
-	revisionChanged     chan struct{}
-	peerStateChanged    chan struct{}
+	// revisionChanged triggers the announcement of a revision, which carries no
+	// records.
+	revisionChanged chan struct{}
+	// peerStateChanged triggers the forwarding of changes of other members.
+	peerStateChanged chan struct{}
+	// declarationAccepted wakes startLoop.
 	declarationAccepted chan struct{}
 	gossip              membership.Gossip[port.MemberRecord]
 	intern              interner
 	start               startup
 	nextNeighbour       atomic.Uint64
-	// agreed is the digest of the last exchange if both tables had it, else 0.
+	// agreedDigest is the table digest after the last exchange if both sides had
+	// the same one, else 0.
 	agreedDigest atomic.Uint64
-	// lists holds the answers of Members.
+	// memberLists caches the results of Members.
 	memberLists *shard.Map[fleet.Kind, memberList]
 }
 
 var _ port.Directory = (*Directory)(nil)
 
-// New returns a Directory that knows only its own process. Run starts it.
+// New returns a Directory whose member table holds only this process. Run starts
+// the exchanges.
 func New(cfg Config, deps Deps) *Directory {
 	now := deps.Clock.Now()
 	cfg = cfg.withDefaults(now)
@@ -168,7 +179,7 @@
 	return d
 }
 
-// Run works until ctx ends.
+// Run runs all background loops until ctx ends.
 func (d *Directory) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	for _, loop := range []func(context.Context){
@@ -182,9 +193,9 @@
 	wg.Wait()
 }
 
-// Declaration implements port.Directory. It returns nil until the start-up
-// rule is met, so that a process that has just started does not act on an old
-// revision that one seed still held.
+// Declaration implements port.Directory. It returns nil until the process is
+// ready (see updateReadiness), so that a process that has just started does not
+// act on an old revision received from a single seed.
 func (d *Directory) Declaration() (*declare.Declaration, time.Duration) {
 	select {
 	case <-d.start.ready:
@@ -202,8 +213,8 @@
 	return ch, func() { d.subscribers.Delete(id) }
 }
 
-// notify wakes the subscribers. It never blocks: a channel that is full has
-// a wake-up that was not taken yet.
+// notify wakes the subscribers. It never blocks: a full channel already holds a
+// pending notification.
 func (d *Directory) notify() {
 	d.invalidateMemberLists()
 	d.subscribers.Range(func(_ uint64, ch chan struct{}) bool {
@@ -219,7 +230,7 @@
 	}
 }
 
-// sleep waits for t and reports whether ctx is still alive.
+// sleep waits for t. It returns false if ctx ended first.
 func (d *Directory) sleep(ctx context.Context, t time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -229,9 +240,9 @@
 	}
 }
 
-// accept takes a stored document if its revision is higher than the one held.
-// age is the time since the platform confirmed it, or negative. It returns the
-// revision in the document.
+// accept puts a stored declaration in force if its revision is higher than the
+// current one. age is the time since the platform confirmed the document;
+// negative if unknown. It returns the revision in the document.
 func (d *Directory) accept(stored []byte, age time.Duration) (uint64, error) {
 	decl, err := d.deps.Decode(stored)
 	if err != nil {
--- a/internal/app/directory/exchange.go
+++ b/internal/app/directory/exchange.go
@@ -13,36 +13,37 @@
 )
 
 const (
-	// maxRetries bounds the members that are retried in one round, beside the
-	// neighbour whose turn it is.
+	// maxFailingPerRound bounds the members contacted in one round because they
+	// did not respond before, in addition to the regular neighbour.
 	maxFailingPerRound = 2
-	// maxChecks bounds the members that are contacted in one round because
-	// others hold them for suspect or dead.
+	// maxReportedPerRound bounds the members contacted in one round because
+	// others report them as suspect or dead.
 	maxReportedPerRound = 4
-	// maxComparisons bounds the comparisons of one exchange. More than one is
-	// made only while much of the budget is left, as after a start.
+	// maxComparisonsPerExchange bounds the table comparisons of one exchange.
+	// More than one runs only while the byte budget is at least half full, as
+	// after a start.
 	maxComparisonsPerExchange = 8
-	// smallFleet is the number of members up to which new members are passed on
-	// at once. At 210 processes that start together, 95% of the records that an
-	// entry got in this way were known to it.
+	// smallFleetSize is the number of members up to which new members are
+	// forwarded immediately. With 210 processes that start together, 95% of the
+	// records that an entry received this way were already known to it.
 	smallFleetSize = 64
-	// announceGap is the least time between announcements. Changes within it
-	// share one.
+	// announceInterval is the minimum time between announcements. Changes within
+	// one interval are announced together.
 	announceInterval = 50 * time.Millisecond
-	// relayGap is the pause after new states of others were passed on, which
-	// come in large numbers when a failure domain fails.
+	// relayInterval is the pause after forwarding state changes of other members,
+	// which come in large numbers when a failure domain fails.
 	relayInterval = 250 * time.Millisecond
 )
 
-// target is a process to exchange with; id is empty for a seed that is not
-// known as a member.
+// partner is the process at the other end of an exchange. id is empty for a seed
+// that is not known as a member.
 type partner struct {
 	id   string
 	addr fleet.Address
 }
 
-// exchangeLoop exchanges with one neighbour per round and retries members that
-// did not answer.
+// exchangeLoop runs periodic rounds of exchanges: with one neighbour in turn,
+// with members that failed to respond, and with probed members and seeds.
 func (d *Directory) exchangeLoop(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -66,13 +67,15 @@
 	}
 }
 
-// jitter spreads the rounds of processes that started together.
+// jitter returns t varied at random by up to 10%, so that processes that started
+// together do not act at the same time.
 func (d *Directory) jitter(t time.Duration) time.Duration {
 	return t*9/10 + time.Duration(d.deps.Rand.IntN(int(t/5)+1))
 }
 
-// round returns the neighbour whose turn it is, and members that failed or
-// that others hold for failed.
+// roundPartners returns the partners of one round: the next neighbour, members
+// that failed to respond, members that others report as failed, and live members
+// of failing domains. Without any, it returns the seeds.
 func (d *Directory) roundPartners(now time.Time) []partner {
 	var out []partner
 	if neighbours := d.table.Neighbours(now); len(neighbours) > 0 {
@@ -87,7 +90,8 @@
 	return out
 }
 
-// pick appends at most n of the ids, chosen at random.
+// appendRandom appends the members of at most n ids chosen at random. It
+// reorders ids.
 func (d *Directory) appendRandom(partners []partner, ids []string, n int) []partner {
 	for range min(n, len(ids)) {
 		i := d.deps.Rand.IntN(len(ids))
@@ -98,8 +102,8 @@
 	return partners
 }
 
-// probe returns one dead member and one seed that is not a live member, so
-// that a healed partition joins again.
+// probePartners returns one dead member and one seed that is not a live member,
+// so that the two sides of a healed partition find each other.
 func (d *Directory) probePartners(now time.Time) []partner {
 	var out []partner
 	if dead := d.table.Dead(); len(dead) > 0 {
@@ -139,20 +143,20 @@
 	return append(partners, partner{id, rec.Address})
 }
 
-// extent says how much an exchange is about.
+// exchangeKind determines what an exchange transfers.
 type exchangeKind int
 
 const (
-	// headOnly tells the revision.
+	// headerOnly sends the revision and the table digest.
 	headerOnly exchangeKind = iota
-	// updatesOnly also passes on what changed lately.
+	// updatesOnly also sends recently changed records.
 	updatesOnly
-	// compared also finds out where the tables differ.
+	// withComparison also compares the tables and transfers differing records.
 	withComparison
 )
 
-// exchange swaps facts with t. It reports whether t answered. Exchanges with
-// the same address do not overlap.
+// exchange runs an exchange with p and reports whether p responded. It returns
+// false at once if an exchange with the same address is in progress.
 func (d *Directory) exchange(ctx context.Context, p partner, kind exchangeKind) bool {
 	if !tryClaim(d.exchanging, p.addr) {
 		return false
@@ -161,7 +165,7 @@
 	return d.exchangeClaimed(ctx, p, kind)
 }
 
-// claim takes a key that is free.
+// tryClaim inserts key into m and reports whether it was absent.
 func tryClaim[K comparable](m *shard.Map[K, struct{}], key K) bool {
 	free := false
 	m.Update(key, func(_ struct{}, ok bool) (struct{}, bool) {
@@ -171,12 +175,12 @@
 	return free
 }
 
-// exchangeClaimed is exchange for a caller that has claimed the address.
+// exchangeClaimed is exchange for a caller that holds the claim on the address.
 func (d *Directory) exchangeClaimed(ctx context.Context, p partner, kind exchangeKind) bool {
 	before, known := d.table.Get(p.id, d.deps.Clock.Now())
 	suspected := known && (before.State == membership.Suspect || before.State == membership.Dead)
-	// Tables that agree are compared by their digests alone, which keeps a quiet
-	// fleet quiet, also while records wait to be passed on once more.
+	// Tables that were equal last time are compared by digest only. This keeps an
+	// idle fleet's traffic low even while records are queued for further sends.
 	if !suspected && kind != updatesOnly && (kind == headerOnly || d.agreedDigest.Load() == d.table.Digest()) {
 		if _, _, ok := d.sendMessage(ctx, p, d.gossip.NewMessage()); !ok || kind == headerOnly || d.agreedDigest.Load() != 0 {
 			return ok
@@ -190,14 +194,15 @@
 	if !ok {
 		return false
 	}
-	// A side refutes only after it answered, so the facts are swapped again.
+	// A process refutes a suspicion after it has replied, so a second comparison
+	// transfers the refutation.
 	if refuted || suspected {
 		_, ok = d.compare(ctx, p)
 	}
 	return ok
 }
 
-// sendUpdates sends what changed lately, if anything.
+// sendUpdates sends recently changed records, if there are any.
 func (d *Directory) sendUpdates(ctx context.Context, p partner) bool {
 	m := d.gossip.FirstMessage(p.id, d.deps.Clock.Now())
 	if len(m.Records) == 0 {
@@ -208,7 +213,9 @@
 	return ok
 }
 
-// compare exchanges updates with t and then what else differs, in pieces.
+// compare exchanges updates with p and then compares the tables part by part,
+// transferring the records that differ. It reports whether this process had to
+// refute a suspicion about itself, and whether p responded to every message.
 func (d *Directory) compare(ctx context.Context, p partner) (refuted, ok bool) {
 	for range maxComparisonsPerExchange {
 		reply, refutedNow, ok := d.sendMessage(ctx, p, d.gossip.FirstMessage(p.id, d.deps.Clock.Now()))
@@ -232,8 +239,8 @@
 	return refuted, true
 }
 
-// swap makes one call. It reports whether this process had to refute
-// something, and whether t answered.
+// sendMessage sends one message and merges the reply. It reports whether this
+// process had to refute a suspicion about itself, and whether p responded.
 func (d *Directory) sendMessage(
 	ctx context.Context, p partner, m membership.Message[port.MemberRecord],
 ) (reply membership.Message[port.MemberRecord], refuted, ok bool) {
@@ -260,9 +267,9 @@
 	return reply, res.Refuted, true
 }
 
-// merged wakes those who pass on or use what an exchange changed. New members
-// are passed on at once only in a small fleet and while much of the budget is
-// left.
+// handleMerge wakes the announcements and subscribers concerned by what a
+// message changed in the table. New members are forwarded immediately only in a
+// small fleet and while the byte budget is at least half full.
 func (d *Directory) handleMerge(res membership.MergeResult) {
 	d.deps.Metrics.Count("directory_records_total", int64(res.NewRecords), port.Attr{Key: "known", Value: "false"})
 	d.deps.Metrics.Count("directory_records_total", int64(res.KnownRecords), port.Attr{Key: "known", Value: "true"})
@@ -278,8 +285,9 @@
 	}
 }
 
-// observe takes the revision of a message. from is the address of its sender if
-// known.
+// observeRevision records the revision of a message and fetches the declaration
+// from its sender if the revision is newer. from is the sender's address; if it is
+// empty, the address is looked up in the table.
 func (d *Directory) observeRevision(m port.ExchangeMessage, from fleet.Address) {
 	now := d.deps.Clock.Now()
 	if sender, ok := d.table.Get(m.From, now); ok && from == "" {
@@ -291,14 +299,15 @@
 	}
 }
 
-// announcement is a message to a neighbour that must not wait for its turn.
+// announcement identifies an exchange that does not wait for the neighbour's
+// regular turn.
 type announcement struct {
 	addr fleet.Address
 	kind exchangeKind
 }
 
-// announceLoop tells all neighbours at once of a new revision, a new state of
-// this process or a refutation, and passes on new states of others.
+// announceLoop immediately sends to all neighbours a new revision, a new state of
+// this process, a refutation, or new states of other members.
 func (d *Directory) announceLoop(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -324,9 +333,9 @@
 	}
 }
 
-// announceTo does not skip a neighbour with an exchange in progress, which may
-// have begun before the change; it waits for that one to end. One announcement
-// of each kind waits at a time, since it carries the newest facts when it goes out.
+// announceTo runs an exchange with p. If one is in progress, which may have begun
+// before the change, announceTo waits for it to end. At most one announcement of
+// each kind waits per address, since it carries the latest state when sent.
 func (d *Directory) announceTo(ctx context.Context, p partner, kind exchangeKind) {
 	a := announcement{p.addr, kind}
 	if !tryClaim(d.pendingAnnouncements, a) {
--- a/internal/app/directory/exchange_test.go
+++ b/internal/app/directory/exchange_test.go
@@ -8,8 +8,8 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// recorder answers exchanges with the digest of a directory, or another one,
-// and notes what it was sent.
+// exchangeRecorder answers exchanges with the table digest of d plus
+// digestOffset, and records the messages that it receives.
 type exchangeRecorder struct {
 	port.MemberClient
 	d            *Directory
@@ -22,8 +22,8 @@
 	return port.ExchangeMessage{From: "w", Digest: r.d.table.Digest() + r.digestOffset}, nil
 }
 
-// TestQuietExchanges guards against tables that agree and still send their
-// records, and against a difference that is not followed by records.
+// TestEqualTablesExchangeDigestsOnly guards against sending records between equal
+// tables, and against not sending them when the tables differ.
 func TestEqualTablesExchangeDigestsOnly(t *testing.T) {
 	r := &exchangeRecorder{}
 	r.d = newTestDirectory(nil, r)
@@ -36,19 +36,19 @@
 		return records
 	}
 	if got := recordCounts(); len(got) != 1 || got[0] == 0 {
-		t.Errorf("before the tables agreed: messages with %v records, want one with some", got)
+		t.Errorf("before the first comparison: messages with %v records, want one with some", got)
 	}
 	if got := recordCounts(); len(got) != 1 || got[0] != 0 {
-		t.Errorf("tables that agree: messages with %v records, want one with none", got)
+		t.Errorf("equal tables: messages with %v records, want one with none", got)
 	}
 	r.digestOffset = 1
 	if got := recordCounts(); len(got) != 2 || got[1] == 0 {
-		t.Errorf("tables that differ: messages with %v records, want a second one with some", got)
+		t.Errorf("different tables: messages with %v records, want a second one with some", got)
 	}
 }
 
-// TestRevisionKeepsRecord guards against a declaration that rewrites the
-// record of every process of the fleet.
+// TestNewRevisionKeepsMemberRecord guards against a new declaration that changes
+// the member record of every process and floods the exchanges.
 func TestNewRevisionKeepsMemberRecord(t *testing.T) {
 	d := newTestDirectory(nil, nil)
 	var versions []uint64
@@ -59,12 +59,12 @@
 		versions = append(versions, d.table.Self().Version)
 	}
 	if versions[0] == 0 || versions[2] != versions[0] {
-		t.Errorf("versions of the own record: %v, want one change, at the first revision", versions)
+		t.Errorf("versions of the process's record: %v, want one change, at the first revision", versions)
 	}
 }
 
-// TestMembersSeeChanges guards against an answer of Members that is used again
-// after the table changed.
+// TestMembersReflectTableChanges guards against a cached result of Members that
+// is returned after the table changed.
 func TestMembersReflectTableChanges(t *testing.T) {
 	d := newTestDirectory(nil, nil)
 	if n := len(d.Members(fleet.KindAgent)); n != 0 {
--- a/internal/app/directory/fetch.go
+++ b/internal/app/directory/fetch.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// pullQueue bounds the processes that wait to be asked for a document. One
-	// that finds the queue full is asked after a later exchange.
+	// fetchQueueSize bounds the queued requests for declarations. A request that
+	// finds the queue full is dropped; a later exchange requests it again.
 	fetchQueueSize = 16
-	// pullWorkers bounds the documents fetched at the same time. The second
-	// goes on while the first waits for a process that does not answer.
+	// fetchWorkers bounds the concurrent fetches. The second worker continues
+	// while the first waits for an unresponsive process.
 	fetchWorkers = 2
-	// pullPatience is the time after which a document that is being fetched is
-	// asked for elsewhere as well.
+	// fetchHedgeDelay is the time after which a declaration that is already being
+	// fetched is also requested from another process.
 	fetchHedgeDelay = 300 * time.Millisecond
 )
 
-// pull names a process that holds a newer revision.
+// fetchRequest names a process that has a newer revision.
 type fetchRequest struct {
 	addr fleet.Address
 	rev  uint64
@@ -43,8 +43,9 @@
 	}
 }
 
-// fetch gets a newer document, unless it arrives from elsewhere meanwhile. If
-// the process does not answer, the next exchange asks another one.
+// fetch gets a newer declaration, unless it has arrived from another process in
+// the meantime. If the process does not respond, a later exchange triggers a fetch
+// from another one.
 func (d *Directory) fetch(ctx context.Context, req fetchRequest) {
 	if req.rev <= d.rev.Revision() {
 		return
@@ -65,6 +66,6 @@
 		return
 	}
 	d.deps.Metrics.Count("directory_pulls_total", 1)
-	// A document that cannot be read is counted by accept and not passed on.
+	// accept counts an invalid document; it is not forwarded.
 	_, _ = d.accept(doc.Stored, doc.Age)
 }
--- a/internal/app/directory/handler.go
+++ b/internal/app/directory/handler.go
@@ -8,19 +8,20 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// ErrNoDeclaration means that the process knows no declaration yet.
+// ErrNoDeclaration is returned to processes that ask for the declaration before
+// this process knows one.
 var ErrNoDeclaration = errors.New("no declaration is known")
 
-// handler answers other processes. It is a type of its own since
+// handler implements port.MemberHandler. It is a separate type because
 // port.Directory has methods of the same names.
 type handler struct{ *Directory }
 
-// Handler returns what serves the member protocol.
+// Handler returns the server side of the member protocol.
 func (d *Directory) Handler() port.MemberHandler { return handler{d} }
 
-// Exchange implements port.MemberHandler. A message without a sender is an
-// operator's question; its answer carries the own record only and takes
-// nothing from what is passed on to members.
+// Exchange implements port.MemberHandler. A message without a sender is a query
+// by an operator's tool. The reply to it carries only the record of this process
+// and leaves the updates queued for members untouched.
 func (d handler) Exchange(_ context.Context, m port.ExchangeMessage) (port.ExchangeMessage, error) {
 	if m.From == "" {
 		return d.selfMessage(), nil
@@ -40,8 +41,8 @@
 	return port.StoredDeclaration{Revision: snap.Declaration.Revision, Stored: snap.Stored, Age: age}, nil
 }
 
-// Members implements port.MemberHandler. Dead members are included, so that
-// operators see which processes were not heard of and since when.
+// Members implements port.MemberHandler. It includes dead members, so that
+// operators see which processes are unreachable and since when.
 func (d handler) Members(context.Context) (port.ExchangeMessage, error) { return d.tableMessage(), nil }
 
 func (d *Directory) tableMessage() port.ExchangeMessage {
--- a/internal/app/directory/intern.go
+++ b/internal/app/directory/intern.go
@@ -9,19 +9,19 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// maxLabelSets bounds the sets of labels that are shared between records. Above
-// it, sharing starts again; records keep the sets that they have.
+// maxLabelSets bounds the cache of shared label sets. When it is full, it is
+// cleared; existing records keep their sets.
 const maxLabelSets = 1024
 
-// interner lets records share what most of them have in common: names, the
-// version, and labels. A set of labels alone takes 400 bytes.
+// interner deduplicates strings and label sets across records, most of which have
+// the same names, version and labels. A label set alone takes 400 bytes.
 type interner struct {
 	labels *shard.Map[uint64, map[string]string]
 }
 
 func internString[S ~string](s S) S { return unique.Make(s).Value() }
 
-// record replaces the parts of a record by shared ones.
+// internRecord replaces the strings and labels of r by shared copies.
 func (in interner) internRecord(r *port.MemberRecord) {
 	r.Domain, r.Region = internString(r.Domain), internString(r.Region)
 	r.Labels = in.internLabels(r.Labels)
@@ -35,8 +35,8 @@
 	}
 }
 
-// set returns an equal set that other records have, if there is one. Records of
-// members are never modified, so that they can share it.
+// internLabels returns an equal cached label set if there is one, else caches
+// labels. Sharing is safe because member records are never modified.
 func (in interner) internLabels(labels map[string]string) map[string]string {
 	if len(labels) == 0 {
 		return nil
@@ -62,7 +62,7 @@
 	return labels
 }
 
-// fnv is FNV-1a over a label.
+// hashLabel returns the 64-bit FNV-1a hash of "k=v".
 func hashLabel(k, v string) uint64 {
 	hash := uint64(14695981039346656037)
 	for _, s := range []string{k, "=", v} {
--- a/internal/app/directory/large_bench_test.go
+++ b/internal/app/directory/large_bench_test.go
@@ -11,10 +11,10 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// designMembers is the number of processes at the design size.
+// designFleetSize is the number of processes of the largest fleet in the design.
 const designFleetSize = 2790
 
-// large returns a directory that knows the fleet of the design size.
+// newLargeDirectory returns a directory that knows a fleet of designFleetSize.
 func newLargeDirectory() *Directory {
 	d := newTestDirectory(nil, nil)
 	for i := range designFleetSize - 1 {
@@ -27,16 +27,16 @@
 			r.Kind = fleet.KindAgent
 			r.Status = &port.AgentStatus{VM: fleet.VM(r.ID), Group: "summaries", Ready: true, Version: fleet.Version(fmt.Sprintf("%064d", 1))}
 		}
-		// Records come with strings of their own from the wire.
+		// Decoded messages do not share strings.
 		r.Domain, r.Region = fleet.Domain(strings.Clone(string(r.Domain))), fleet.Region(strings.Clone(string(r.Region)))
 		_, _ = d.Handler().Exchange(context.Background(), port.ExchangeMessage{From: "x", Records: []port.MemberRecord{r}})
 	}
 	return d
 }
 
-// BenchmarkDesignSize measures what the table of the design size costs: memory
-// for each member, and the time of a round, of an exchange between tables that
-// agree, and of a look at the members after a change.
+// BenchmarkDesignSize measures the cost of a table of designFleetSize: the memory
+// per member, and the time of a round, of a message between equal tables, of
+// listing the members after a change, and of checking for the reader role.
 func BenchmarkDesignSize(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/app/directory/members.go
+++ b/internal/app/directory/members.go
@@ -8,19 +8,19 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// listFor is the longest time for which an answer of Members is used again. An
-// entry asks several times a second, and a copy of 2,790 records takes about
-// 1 MB. A change of the table ends the time at once.
+// memberListTTL is the time for which Members returns a cached list, unless the
+// table changes. An entry calls Members several times a second, and a copy of
+// 2,790 records takes about 1 MB.
 const memberListTTL = time.Second
 
-// memberList is an answer of Members.
+// memberList is a cached result of Members.
 type memberList struct {
 	records   []port.MemberRecord
 	createdAt time.Time
 }
 
-// Members implements port.Directory. The slice and the records are shared and
-// must not be modified. The process itself is among them.
+// Members implements port.Directory. The list includes this process. The slice
+// and its records are shared and must not be modified.
 func (d *Directory) Members(k fleet.Kind) []port.MemberRecord {
 	now := d.deps.Clock.Now()
 	if l, ok := d.memberLists.Get(k); ok && now.Sub(l.createdAt) < memberListTTL {
@@ -37,9 +37,9 @@
 	return out
 }
 
-// forgetLists makes the next call of Members look at the table. A call that is
-// under way may still store what it saw before the change; subscribers that
-// were woken by that change see the next one within listFor.
+// invalidateMemberLists makes the next call of Members read the table. A
+// concurrent call may still cache the state before the change; subscribers woken
+// by the change then see it within memberListTTL.
 func (d *Directory) invalidateMemberLists() {
 	d.memberLists.Delete(fleet.KindEntry)
 	d.memberLists.Delete(fleet.KindAgent)
--- a/internal/app/directory/reader.go
+++ b/internal/app/directory/reader.go
@@ -13,27 +13,29 @@
 )
 
 const (
-	// readerPoll is how often a process checks whether it is a reader.
+	// readerCheckInterval is the time between checks whether this process is a
+	// reader of its failure domain.
 	readerCheckInterval = 500 * time.Millisecond
-	// platformRetry is the pause after a failed call of the platform.
+	// platformRetryDelay is the pause after a failed call to the platform.
 	platformRetryDelay = 500 * time.Millisecond
-	// rereadEvery is the number of watches without a change after which the
-	// key is read. It finds a platform whose own revisions went back, where a
-	// watch for a higher one would wait for long.
+	// maxIdleWatches is the number of consecutive watches without a change after
+	// which the key is read directly. The read detects a platform whose own
+	// revisions went back, where a watch for a higher revision would not return
+	// for a long time.
 	maxIdleWatches = 5
-	// vmMisses is the number of lists in a row in which a VM is missing or
-	// leaving before its agent is contacted, since the list lags.
+	// vmMissThreshold is the number of consecutive lists in which a VM is missing
+	// or leaving before its agent is contacted, because the list lags.
 	vmMissThreshold = 2
-	// vmListPerVM times the length of the list is the least time between two
-	// reads of it. At 50 bytes a line it bounds them to 250 B/s, whatever the
-	// size of the fleet. The list has no form that tells only what changed; that
-	// an agent is gone is found by its neighbours in any case.
+	// vmListDelayPerVM times the length of the list is the minimum time between
+	// two reads of the list. At 50 bytes per line this limits the reads to 250 B/s
+	// for any size of the fleet. The platform cannot return only the changes of
+	// the list; failed agents are detected by their neighbours in any case.
 	vmListDelayPerVM = 200 * time.Millisecond
-	// vmProbes bounds the agents contacted after one list.
+	// maxVMProbes bounds the agents contacted after one read of the list.
 	maxVMProbes = 8
 )
 
-// readLoop watches the platform while this process is a reader.
+// readerLoop watches the platform while this process is a reader.
 func (d *Directory) readerLoop(ctx context.Context) {
 	for d.sleep(ctx, readerCheckInterval) {
 		if !d.table.IsReader() {
@@ -45,7 +47,8 @@
 	}
 }
 
-// watch follows the key with one call at a time.
+// watch follows the declaration's key, one call at a time, until this process is
+// no longer a reader.
 func (d *Directory) watch(ctx context.Context) {
 	w := watcher{d: d}
 	for ctx.Err() == nil && d.table.IsReader() {
@@ -58,11 +61,11 @@
 	}
 }
 
-// watcher is the position of a reader in the changes of the key.
+// watcher is the state of a reader that follows the declaration's key.
 type watcher struct {
 	d *Directory
-	// rev is the platform's revision that was seen last, doc the revision in
-	// that document.
+	// rev is the platform's revision of the key that was seen last, declRev the
+	// revision of the declaration in that document.
 	rev         int64
 	declRev     uint64
 	idleWatches int
@@ -82,7 +85,7 @@
 	case err == nil:
 		w.acceptEntry(e)
 	case errors.Is(err, port.ErrNotFound):
-		// A watch may end at once if the key is absent.
+		// If the key is absent, a watch may return immediately.
 		w.idleWatches++
 		if w.rev == 0 && !w.d.sleep(ctx, platformRetryDelay) {
 			return nil
@@ -101,8 +104,8 @@
 	return err
 }
 
-// take accepts a document of the platform. One that is older than the newest
-// known is counted; it does not move the age of the newest.
+// acceptEntry puts a document from the platform in force. A document older than
+// the newest known one is counted and does not refresh the newest one's age.
 func (w *watcher) acceptEntry(e port.KVEntry) {
 	w.rev = e.Rev
 	declRev, err := w.d.accept(e.Value, 0)
@@ -115,10 +118,10 @@
 	}
 }
 
-// vmListLoop reads the list of VMs while this process is a reader. The list is
-// only a hint: an agent of the own failure domain whose VM is missing or
-// leaving is contacted, and suspected if it does not answer. The suspicion
-// spreads and the agent can refute it.
+// vmListLoop reads the VM list while this process is a reader. The list is only a
+// hint: an agent of the same failure domain whose VM is missing or leaving is
+// contacted, and suspected if it does not respond. The suspicion spreads, and the
+// agent can refute it.
 func (d *Directory) vmListLoop(ctx context.Context) {
 	misses := map[string]int{}
 	length := 0
--- a/internal/app/directory/reader_test.go
+++ b/internal/app/directory/reader_test.go
@@ -14,7 +14,8 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// oneKey is a platform whose key never exceeds the revision that is watched.
+// singleKeyKV is a platform with one entry. A watch returns it only if its
+// revision is higher than the one watched for.
 type singleKeyKV struct {
 	port.KV
 	entry port.KVEntry
@@ -29,7 +30,8 @@
 	return port.KVEntry{}, port.ErrNotFound
 }
 
-// silent counts the addresses that are contacted and never answers.
+// unresponsivePeer is a MemberClient that counts the exchanges by address and
+// fails them.
 type unresponsivePeer struct {
 	port.MemberClient
 	contacted map[fleet.Address]int
@@ -56,8 +58,8 @@
 	return b
 }
 
-// TestPlatformRevisionsGoBack guards against a reader that waits for ever for
-// a higher revision of a platform that started to count anew.
+// TestPlatformRevisionsRestart guards against a reader that waits forever for a
+// higher revision after the platform restarted its revision counter.
 func TestPlatformRevisionsRestart(t *testing.T) {
 	kv := &singleKeyKV{entry: port.KVEntry{Value: encodedDocument(t, 4), Rev: 900}}
 	w := watcher{d: newTestDirectory(kv, nil)}
@@ -76,27 +78,28 @@
 	}
 }
 
-// TestUnreadableDocument guards against a document that cannot be read and
-// takes the one in force away.
+// TestInvalidDocumentKeepsDeclaration guards against an invalid document that
+// replaces the declaration in force.
 func TestInvalidDocumentKeepsDeclaration(t *testing.T) {
 	d := newTestDirectory(nil, nil)
 	if _, err := d.accept(encodedDocument(t, 2), 0); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := d.accept([]byte(`{"revision":9,"config":"[zone x]"}`), 0); err == nil {
-		t.Error("a document with faults was accepted")
+		t.Error("an invalid document was accepted")
 	}
 	if decl, _ := d.Declaration(); decl != nil {
-		t.Errorf("revision %d is in force before the start-up rule is met", decl.Revision)
+		t.Errorf("revision %d is returned before the process is ready", decl.Revision)
 	}
 	close(d.start.ready)
 	if decl, _ := d.Declaration(); decl == nil || decl.Revision != 2 {
-		t.Errorf("in force: %+v", decl)
+		t.Errorf("declaration after an invalid document: %+v, want revision 2", decl)
 	}
 }
 
-// TestVMListIsAHint guards against a list that takes a member out by itself,
-// that is believed at the first look, or that is not followed up.
+// TestVMListNeedsConfirmation guards against a VM list that removes a member
+// without a failed contact, that is acted on after a single read, or that is
+// ignored.
 func TestVMListNeedsConfirmation(t *testing.T) {
 	mc := unresponsivePeer{contacted: map[fleet.Address]int{}}
 	d := newTestDirectory(nil, mc)
@@ -112,11 +115,11 @@
 	misses := map[string]int{}
 	d.probeMissingVMs(context.Background(), list, misses)
 	if len(mc.contacted) != 0 {
-		t.Errorf("asked after one list: %v", mc.contacted)
+		t.Errorf("contacted after one list: %v", mc.contacted)
 	}
 	d.probeMissingVMs(context.Background(), list, misses)
 	if len(mc.contacted) != 1 || mc.contacted["w2"] != 1 {
-		t.Errorf("asked %v, want w2 only", mc.contacted)
+		t.Errorf("contacted %v, want w2 only", mc.contacted)
 	}
 	if s, _ := d.table.Get("w2", now); s.State != membership.Alive || len(d.Members(fleet.KindAgent)) != 3 {
 		t.Errorf("the list alone changed the state to %v", s.State)
--- a/internal/app/directory/record.go
+++ b/internal/app/directory/record.go
@@ -8,7 +8,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// toCore converts a record without its age.
+// toCore converts a record to the form of the member table, without its age.
 func toCore(r port.MemberRecord) membership.Record[port.MemberRecord] {
 	return membership.Record[port.MemberRecord]{
 		ID: r.ID, Kind: r.Kind, Domain: r.Domain, Address: r.Address,
@@ -17,7 +17,8 @@
 	}
 }
 
-// marks returns what others should hear of at once beside the state.
+// recordFlags returns the parts of a status that are spread urgently, like the
+// member state, as a bit set.
 func recordFlags(s *port.AgentStatus) (flags uint8) {
 	if s == nil {
 		return 0
@@ -30,7 +31,7 @@
 	return flags
 }
 
-// Sizes of a record in a message, without its strings.
+// Estimated sizes of the parts of a record in a message, without strings.
 const (
 	stateOnlyBytes = 24
 	recordBytes    = 40
@@ -38,7 +39,7 @@
 	labelBytes     = 6
 )
 
-// recordSize estimates the bytes of a record in a message.
+// recordSize estimates the encoded size of a record in bytes.
 func recordSize(r *membership.Record[port.MemberRecord]) int {
 	if r.StateOnly {
 		return stateOnlyBytes + len(r.ID)
@@ -55,7 +56,8 @@
 	return n
 }
 
-// toMessage leaves out records that no process may send.
+// toCoreMessage converts a received message, dropping invalid records: those
+// without an id or with an unknown state.
 func (d *Directory) toCoreMessage(m port.ExchangeMessage) membership.Message[port.MemberRecord] {
 	out := membership.Message[port.MemberRecord]{
 		From: m.From, Digest: m.Digest, Compare: m.Compare, Group: int(m.Group), Digests: m.Digests, Want: m.Want,
@@ -75,7 +77,8 @@
 	return out
 }
 
-// fromMessage adds the revision.
+// fromCoreMessage converts a message to be sent and adds the revision of the
+// declaration and its age.
 func (d *Directory) fromCoreMessage(m membership.Message[port.MemberRecord]) port.ExchangeMessage {
 	snap, age := d.rev.Snapshot(d.deps.Clock.Now())
 	out := port.ExchangeMessage{
@@ -97,16 +100,17 @@
 	return out
 }
 
-// fromCore returns the payload with what the table knows better.
+// fromCore converts a record of the member table. Incarnation, version, state and
+// age come from the table, since the payload's may be older.
 func fromCore(rec membership.ObservedRecord[port.MemberRecord]) port.MemberRecord {
 	out := rec.Payload
 	out.Incarnation, out.Version, out.State, out.Age = rec.Incarnation, rec.Version, port.MemberState(rec.State), rec.Age
 	return out
 }
 
-// ownRecord is what the process says of itself. The table holds the version
-// that was published last. One lock covers the record and its publication, so
-// that two changes cannot be published in the wrong order.
+// selfRecord is the current record of this process. The table holds the last
+// published version of it. One lock covers the record and its publication, so that
+// two changes cannot be published in the wrong order.
 type selfRecord struct {
 	mu          sync.Mutex
 	rec         port.MemberRecord
@@ -114,9 +118,9 @@
 	publishedAt time.Time
 }
 
-// UpdateSelf implements port.Directory. A change other than of load and progress
-// is published at once; a change of state is announced at once as well. change
-// runs under a lock and must not call the Directory.
+// UpdateSelf implements port.Directory. An urgent change (see isUrgentChange) is
+// published and announced immediately; other changes are published at most once
+// per minStatusInterval. change runs under a lock and must not call the Directory.
 func (d *Directory) UpdateSelf(change func(*port.MemberRecord)) {
 	now := d.deps.Clock.Now()
 	d.self.mu.Lock()
@@ -135,7 +139,8 @@
 	}
 }
 
-// stateChanged reports whether others should hear of the change at once.
+// isUrgentChange reports whether the change from a to b must be announced
+// immediately.
 func isUrgentChange(a, b port.MemberRecord) bool {
 	if a.State != b.State || (a.Status == nil) != (b.Status == nil) {
 		return true
@@ -149,9 +154,9 @@
 		x.Progress.State != y.Progress.State
 }
 
-// publishLocked puts the own record into the table under a new version. The
-// holder of own.mu takes one shard lock of the table; no code takes own.mu
-// under a shard lock.
+// publishLocked puts the record of this process into the table under a new
+// version. The caller holds self.mu. Lock order: self.mu before a shard lock of
+// the table, never the reverse.
 func (d *Directory) publishLocked(now time.Time) {
 	d.self.rec.Revision = max(d.self.rec.Revision, d.rev.Revision())
 	d.self.unpublished, d.self.publishedAt = false, now
@@ -166,11 +171,11 @@
 	})
 }
 
-// publishFirstRevision publishes the own record once a revision is held. Later
-// revisions go along with the next change of the record: a change of the
-// declaration must not rewrite the record of every process, which would take
-// the fleet longer to pass on than the time between two changes. An exchange
-// tells the revision of its sender in any case.
+// publishFirstRevision publishes the record of this process when it knows its
+// first revision. Later revisions are published with the next change of the
+// record: if a new declaration rewrote the record of every process, spreading the
+// records would take the fleet longer than the time between two changes. Every
+// exchange carries the revision of its sender in any case.
 func (d *Directory) publishFirstRevision() {
 	d.self.mu.Lock()
 	defer d.self.mu.Unlock()
@@ -179,17 +184,17 @@
 	}
 }
 
-// statusPerMember times the number of members is the least time between two
-// versions of a record that differ in load and progress only. Only operators
-// read these from records, and a spread to 600 VMs would otherwise change 120
-// records a second.
+// statusDelayPerMember times the number of members is the minimum time between
+// two versions of a record that differ only in load and progress. Only operators
+// read these from records, and a rollout to 600 VMs would otherwise change 120
+// records per second.
 const statusDelayPerMember = 100 * time.Millisecond
 
 func (d *Directory) minStatusInterval() time.Duration {
 	return max(d.cfg.StatusInterval, time.Duration(d.table.Len())*statusDelayPerMember)
 }
 
-// flushSelf publishes changes that waited for statusGap.
+// publishPending publishes changes that were delayed by minStatusInterval.
 func (d *Directory) publishPending(now time.Time) {
 	d.self.mu.Lock()
 	defer d.self.mu.Unlock()
--- a/internal/app/directory/startup.go
+++ b/internal/app/directory/startup.go
@@ -13,7 +13,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Reasons why a process is not ready.
+// Values of startup.reason.
 var (
 	reasonStarting      = "waiting for the platform and the seeds"
 	reasonUnreachable   = "the platform does not answer and no reachable process holds a declaration"
@@ -21,7 +21,7 @@
 	reasonReady         = ""
 )
 
-// startup tracks what a process has heard since it started.
+// startup tracks the responses of the platform and the seeds since the start.
 type startup struct {
 	ready  chan struct{}
 	once   sync.Once
@@ -32,29 +32,29 @@
 	seedsQueried      atomic.Int32
 }
 
-// Ready returns a channel that is closed once the process may serve.
+// Ready returns a channel that is closed once the process is ready to serve.
 func (d *Directory) Ready() <-chan struct{} { return d.start.ready }
 
-// NotReadyReason returns why the process serves nothing yet, or "".
+// NotReadyReason returns why the process is not ready, or "".
 func (d *Directory) NotReadyReason() string { return *d.start.reason.Load() }
 
-// startLoop asks the platform and the seeds in parallel and decides when the
-// highest revision seen is good enough to serve.
+// startLoop queries the platform and the seeds in parallel until the process is
+// ready.
 func (d *Directory) startLoop(ctx context.Context) {
 	began := d.deps.Clock.Now()
-	responded := make(chan struct{}, 1)
+	progress := make(chan struct{}, 1)
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { d.queryPlatform(ctx, responded) })
+	wg.Go(func() { d.queryPlatform(ctx, progress) })
 	for _, seed := range d.seedPartners() {
-		wg.Go(func() { d.querySeed(ctx, seed.addr, responded) })
+		wg.Go(func() { d.querySeed(ctx, seed.addr, progress) })
 	}
 	timeout := d.deps.Clock.After(d.cfg.StartTimeout)
 	for !d.updateReadiness(d.deps.Clock.Now().Sub(began)) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-responded:
+		case <-progress:
 		case <-d.declarationAccepted:
 		case <-timeout:
 		}
@@ -64,8 +64,10 @@
 	d.notify()
 }
 
-// decideReady applies the start-up rule. A declaration that arrives after the
-// rule's time is enough by itself.
+// updateReadiness reports whether the process is ready, and otherwise stores the
+// reason. The process is ready if it knows a declaration and has heard from the
+// platform and, if there are seeds, from one of them or a failure of each. After
+// Config.StartTimeout any declaration is enough.
 func (d *Directory) updateReadiness(elapsed time.Duration) bool {
 	s := &d.start
 	hasDeclaration := d.rev.Revision() > 0
@@ -83,9 +85,9 @@
 	return false
 }
 
-// askPlatform reads the key until the platform answers or a declaration is in
-// force by other means.
-func (d *Directory) queryPlatform(ctx context.Context, responded chan struct{}) {
+// queryPlatform reads the declaration's key until the platform responds or the
+// process is ready with a declaration from another source.
+func (d *Directory) queryPlatform(ctx context.Context, progress chan struct{}) {
 	for {
 		e, err := d.deps.KV.Get(ctx, d.cfg.Key)
 		if err == nil {
@@ -93,7 +95,7 @@
 		}
 		if err == nil || errors.Is(err, port.ErrNotFound) {
 			d.start.platformResponded.Store(true)
-			signal(responded)
+			signal(progress)
 			return
 		}
 		if !d.sleep(ctx, d.jitter(platformRetryDelay)) || d.NotReadyReason() == reasonReady {
@@ -102,8 +104,8 @@
 	}
 }
 
-// askSeed joins through one seed and takes its declaration.
-func (d *Directory) querySeed(ctx context.Context, a fleet.Address, responded chan struct{}) {
+// querySeed joins through one seed and accepts its declaration.
+func (d *Directory) querySeed(ctx context.Context, a fleet.Address, progress chan struct{}) {
 	if d.exchange(ctx, partner{addr: a}, withComparison) {
 		doc, err := d.deps.Members.Declaration(ctx, a)
 		if err == nil {
@@ -112,13 +114,14 @@
 		d.start.seedsResponded.Add(1)
 	}
 	d.start.seedsQueried.Add(1)
-	signal(responded)
+	signal(progress)
 }
 
-// meterEvery is the interval over which the traffic is averaged.
+// metricsInterval is the time between updates of the metrics.
 const metricsInterval = 10 * time.Second
 
-// meterLoop reports the members, the age and the traffic of the exchanges.
+// metricsLoop reports the number of members, the declaration's age, and the
+// traffic.
 func (d *Directory) metricsLoop(ctx context.Context) {
 	last := map[string]port.Traffic{}
 	for d.sleep(ctx, metricsInterval) {
@@ -136,7 +139,8 @@
 	}
 }
 
-// Traffic returns the bytes that this process sent and received, by kind.
+// Traffic returns the total bytes sent and received by this process, by kind of
+// traffic.
 func (d *Directory) Traffic() []port.Traffic {
 	if d.deps.Traffic == nil {
 		return nil
