--- a/internal/adapter/rpc/agent_client.go
+++ b/internal/adapter/rpc/agent_client.go
@@ -18,52 +18,53 @@
 func (c *Client) Serve(
 	ctx context.Context, addr fleet.Address, r port.ServeRequest, onLoad func(port.Load),
 ) (port.Answer, error) {
-	ctx, sil := newSilence(ctx)
-	a := &answer{ctx: ctx, sil: sil, client: c, addr: addr, id: string(r.ID)}
-	err := sil.watch(func() (err error) {
+	ctx, watchdog := newRecvWatchdog(ctx)
+	a := &answerStream{ctx: ctx, watchdog: watchdog, client: c, addr: addr, id: string(r.ID)}
+	err := watchdog.run(func() (err error) {
 		a.stream, err = pb.NewDRPCAgentClient(c.conn(ctx, addr)).Serve(ctx, requestToPB(r))
 		return err
 	})
 	if err != nil {
-		// The error is read from the context, so it comes before the close.
+		// openError reads the cause of the context, which close would set.
 		err = a.openError(err)
-		sil.close()
+		watchdog.close()
 		return nil, err
 	}
-	if err := a.open(onLoad); err != nil {
-		sil.close()
+	if err := a.readHead(onLoad); err != nil {
+		watchdog.close()
 		return nil, err
 	}
 	return a, nil
 }
 
-// answer reads the stream of one request.
-type answer struct {
-	ctx    context.Context
-	sil    *silence
-	client *Client
-	addr   fleet.Address
-	id     string
-	stream pb.DRPCAgent_ServeClient
-	head   port.AnswerHead
-	frames uint64
-	done   error
+// answerStream implements port.Answer on the stream of one request.
+type answerStream struct {
+	ctx      context.Context
+	watchdog *recvWatchdog
+	client   *Client
+	addr     fleet.Address
+	id       string
+	stream   pb.DRPCAgent_ServeClient
+	head     port.AnswerHead
+	frames   uint64
+	finalErr error
 }
 
-func (a *answer) openError(err error) error {
+func (a *answerStream) openError(err error) error {
 	var d dialError
 	if errors.As(err, &d) {
 		return verdict.Wrap(err, verdict.NotRun, verdict.CodeTargetLost, "cannot connect to the agent")
 	}
-	return a.lost(err)
+	return a.streamError(err)
 }
 
-// lost returns the error for a stream that failed after the request was sent.
-func (a *answer) lost(err error) error {
+// streamError returns the error for a stream that failed after the request may
+// have been sent.
+func (a *answerStream) streamError(err error) error {
 	cause := context.Cause(a.ctx)
 	switch {
-	case errors.Is(cause, errSilent):
-		a.client.Drop(a.addr)
+	case errors.Is(cause, errHeartbeatTimeout):
+		a.client.CloseIdle(a.addr)
 		return verdict.Wrap(cause, verdict.MayHaveRun, verdict.CodeTargetLost, "agent is silent")
 	case errors.Is(cause, context.DeadlineExceeded):
 		return verdict.Wrap(cause, verdict.MayHaveRun, verdict.CodeDeadline, "deadline passed")
@@ -75,16 +76,16 @@
 }
 
 // recv returns the next reply that is not a heartbeat. A reply that belongs to
-// another request is refused.
-func (a *answer) recv() (*pb.ServeReply, error) {
+// another request is an error.
+func (a *answerStream) recv() (*pb.ServeReply, error) {
 	for {
 		var m *pb.ServeReply
-		err := a.sil.watch(func() (err error) {
+		err := a.watchdog.run(func() (err error) {
 			m, err = a.stream.Recv()
 			return err
 		})
 		if err != nil {
-			return nil, a.lost(err)
+			return nil, a.streamError(err)
 		}
 		if m.GetRequestId() != a.id {
 			return nil, verdict.New(verdict.MayHaveRun, verdict.CodeBrokenAnswer,
@@ -96,17 +97,18 @@
 	}
 }
 
-// finish waits for the agent's close after its last message. To cancel a stream
-// that both sides have not closed ends the connection, which may already be
-// back in the pool and carry the next request.
-func (a *answer) finish() {
-	_ = a.sil.watch(func() error {
+// awaitClose waits until the agent has closed the stream after its last message.
+// If the stream were canceled before both sides have closed it, drpc would close
+// the connection, which may already be back in the pool and carry another request.
+func (a *answerStream) awaitClose() {
+	_ = a.watchdog.run(func() error {
 		_, err := a.stream.Recv()
 		return err
 	})
 }
 
-func (a *answer) open(onLoad func(port.Load)) error {
+// readHead receives the first message, which is the head, a refusal or an error.
+func (a *answerStream) readHead(onLoad func(port.Load)) error {
 	m, err := a.recv()
 	if err != nil {
 		return err
@@ -116,10 +118,10 @@
 	}
 	switch {
 	case m.GetRefused() != nil:
-		a.finish()
+		a.awaitClose()
 		return errorFromPB(m.GetRefused())
 	case m.GetEnd().GetError() != nil:
-		a.finish()
+		a.awaitClose()
 		return errorFromPB(m.GetEnd().GetError())
 	case m.GetHead() == nil:
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBrokenAnswer, "answer does not start with a head")
@@ -129,21 +131,21 @@
 }
 
 // Head implements port.Answer.
-func (a *answer) Head() port.AnswerHead { return a.head }
+func (a *answerStream) Head() port.AnswerHead { return a.head }
 
 // Next implements port.Answer.
-func (a *answer) Next() ([]byte, error) {
-	if a.done != nil {
-		return nil, a.done
+func (a *answerStream) Next() ([]byte, error) {
+	if a.finalErr != nil {
+		return nil, a.finalErr
 	}
-	b, err := a.next()
+	b, err := a.nextFrame()
 	if err != nil {
-		a.done = err
+		a.finalErr = err
 	}
 	return b, err
 }
 
-func (a *answer) next() ([]byte, error) {
+func (a *answerStream) nextFrame() ([]byte, error) {
 	m, err := a.recv()
 	if err != nil {
 		return nil, err
@@ -158,7 +160,7 @@
 	}
 	end := m.GetEnd()
 	if end != nil {
-		a.finish()
+		a.awaitClose()
 	}
 	switch {
 	case end == nil:
@@ -175,13 +177,13 @@
 }
 
 // Close implements port.Answer.
-func (a *answer) Close() error {
-	if errors.Is(a.done, io.EOF) {
+func (a *answerStream) Close() error {
+	if errors.Is(a.finalErr, io.EOF) {
 		err := a.stream.Close()
-		a.sil.close()
+		a.watchdog.close()
 		return err
 	}
-	a.sil.close()
+	a.watchdog.close()
 	return a.stream.Close()
 }
 
@@ -189,50 +191,50 @@
 func (c *Client) WatchStatus(
 	ctx context.Context, addr fleet.Address, entry string, dom fleet.Domain,
 ) (port.StatusStream, error) {
-	ctx, sil := newSilence(ctx)
-	s := &statusStream{sil: sil, client: c, addr: addr}
+	ctx, watchdog := newRecvWatchdog(ctx)
+	s := &statusStream{watchdog: watchdog, client: c, addr: addr}
 	req := &pb.WatchStatusRequest{EntryId: entry, Domain: string(dom)}
-	err := sil.watch(func() (err error) {
+	err := watchdog.run(func() (err error) {
 		s.stream, err = pb.NewDRPCAgentClient(c.conn(ctx, addr)).WatchStatus(ctx, req)
 		return err
 	})
 	if err != nil {
-		sil.close()
+		watchdog.close()
 		return nil, errors.Wrap(err, "watching agent status")
 	}
 	return s, nil
 }
 
 type statusStream struct {
-	sil    *silence
-	client *Client
-	addr   fleet.Address
-	stream pb.DRPCAgent_WatchStatusClient
-	// last is the newest whole status.
-	last port.AgentStatus
+	watchdog *recvWatchdog
+	client   *Client
+	addr     fleet.Address
+	stream   pb.DRPCAgent_WatchStatusClient
+	// lastStatus is the status as of the last message.
+	lastStatus port.AgentStatus
 }
 
 // Next implements port.StatusStream.
 func (s *statusStream) Next() (port.AgentStatus, error) {
 	var m *pb.AgentStatus
-	err := s.sil.watch(func() (err error) {
+	err := s.watchdog.run(func() (err error) {
 		m, err = s.stream.Recv()
 		return err
 	})
 	if err != nil {
-		s.client.Drop(s.addr)
-		return port.AgentStatus{}, errors.Wrap(err, "agent status stream ended")
+		s.client.CloseIdle(s.addr)
+		return port.AgentStatus{}, errors.Wrap(err, "receiving agent status")
 	}
 	if m.GetVm() != "" {
-		s.last = *statusFromPB(m)
+		s.lastStatus = *statusFromPB(m)
 	}
-	// A heartbeat carries only the load.
-	s.last.Load = loadFromPB(m.GetLoad())
-	return s.last, nil
+	// A message without a VM carries only the load.
+	s.lastStatus.Load = loadFromPB(m.GetLoad())
+	return s.lastStatus, nil
 }
 
 // Close implements port.StatusStream.
 func (s *statusStream) Close() error {
-	s.sil.close()
+	s.watchdog.close()
 	return s.stream.Close()
 }
--- a/internal/adapter/rpc/agent_server.go
+++ b/internal/adapter/rpc/agent_server.go
@@ -14,43 +14,42 @@
 )
 
 type agentServer struct {
-	h       port.AgentHandler
-	answers *inflight.Counter
+	h           port.AgentHandler
+	openAnswers *inflight.Counter
 }
 
 // Serve implements the generated interface.
 func (s *agentServer) Serve(in *pb.ServeRequest, stream pb.DRPCAgent_ServeStream) error {
-	s.answers.Start()
-	defer s.answers.Done()
+	s.openAnswers.Start()
+	defer s.openAnswers.Done()
 	r := requestFromPB(in)
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	sink := &answerSink{id: in.GetRequestId(), stream: stream, last: time.Now()}
+	sink := &answerSink{id: in.GetRequestId(), stream: stream, lastSend: time.Now()}
 	var wg conc.WaitGroup
-	wg.Go(func() { sink.heartbeats(ctx) })
+	wg.Go(func() { sink.sendHeartbeats(ctx) })
 	err := s.h.Serve(ctx, r, sink)
 	cancel()
 	wg.Wait()
-	return sink.finish(err, s.h.Load())
+	return sink.sendEnd(err, s.h.Load())
 }
 
-// answerSink writes one answer. Its lock orders data and heartbeats; it is
-// held during a send, so that heartbeats wait while the entry applies back
-// pressure.
+// answerSink sends one answer. The mutex serializes data and heartbeats. It is
+// held during a send, so heartbeats wait while the entry applies back pressure.
 type answerSink struct {
 	id     string
 	stream pb.DRPCAgent_ServeStream
 
-	mu     sync.Mutex
-	last   time.Time
-	head   *port.AnswerHead
-	frames uint64
+	mu       sync.Mutex
+	lastSend time.Time
+	head     *port.AnswerHead
+	frames   uint64
 }
 
 func (s *answerSink) sendLocked(m *pb.ServeReply) error {
 	m.RequestId = s.id
 	err := s.stream.Send(m)
-	s.last = time.Now()
+	s.lastSend = time.Now()
 	return err
 }
 
@@ -62,16 +61,16 @@
 	return s.sendLocked(&pb.ServeReply{Part: &pb.ServeReply_Head{Head: headToPB(h)}, Load: loadToPB(l)})
 }
 
-// maxDataBytes is the size of one frame of an answer. The entry holds each
-// frame several times, in the connection's buffers and in the message, for as
-// long as a caller does not read.
-const maxDataBytes = 2 << 10
+// maxFrameBytes is the maximum size of one frame of an answer. While a caller does
+// not read, the entry holds several copies of the frame: in the buffers of the
+// connection and in the message.
+const maxFrameBytes = 2 << 10
 
 // Data implements port.AnswerSink.
 func (s *answerSink) Data(b []byte) error {
 	for first := true; first || len(b) > 0; first = false {
-		n := min(len(b), maxDataBytes)
-		if err := s.frame(b[:n]); err != nil {
+		n := min(len(b), maxFrameBytes)
+		if err := s.sendFrame(b[:n]); err != nil {
 			return err
 		}
 		b = b[n:]
@@ -79,7 +78,7 @@
 	return nil
 }
 
-func (s *answerSink) frame(b []byte) error {
+func (s *answerSink) sendFrame(b []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d := &pb.Data{Seq: s.frames, Bytes: b}
@@ -87,31 +86,34 @@
 	return s.sendLocked(&pb.ServeReply{Part: &pb.ServeReply_Data{Data: d}})
 }
 
-func (s *answerSink) heartbeats(ctx context.Context) {
-	t := time.NewTicker(HeartbeatEvery / 2)
+func (s *answerSink) sendHeartbeats(ctx context.Context) {
+	t := time.NewTicker(HeartbeatInterval / 2)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			if s.beat() != nil {
+			if s.sendHeartbeatIfDue() != nil {
 				return
 			}
 		}
 	}
 }
 
-func (s *answerSink) beat() error {
+// sendHeartbeatIfDue sends a heartbeat unless a message was sent recently.
+func (s *answerSink) sendHeartbeatIfDue() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.last) < HeartbeatEvery/2 {
+	if time.Since(s.lastSend) < HeartbeatInterval/2 {
 		return nil
 	}
 	return s.sendLocked(&pb.ServeReply{Part: &pb.ServeReply_Heartbeat{Heartbeat: &pb.Heartbeat{}}})
 }
 
-func (s *answerSink) finish(err error, l port.Load) error {
+// sendEnd sends the last message: a refusal if the request did not run and no head
+// was sent, otherwise the end of the answer with its error, if any.
+func (s *answerSink) sendEnd(err error, l port.Load) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil && s.head == nil {
@@ -135,8 +137,9 @@
 	return s.h.WatchStatus(stream.Context(), in.GetEntryId(), func(st port.AgentStatus) error {
 		m := statusToPB(&st)
 		if last.VM != "" && sameState(st, last) {
-			// The rest of a status takes more than 100 bytes, and an entry gets 32
-			// heartbeats a second.
+			// If only the load or the progress has changed, the load is sent alone:
+			// the other fields take more than 100 bytes, and an entry receives 32
+			// heartbeats per second.
 			m = &pb.AgentStatus{Load: m.Load}
 		}
 		last = st
@@ -144,8 +147,8 @@
 	})
 }
 
-// sameState reports whether two states differ in load and amounts of progress
-// at most.
+// sameState reports whether two statuses are equal apart from the load and the
+// chunk and byte counts of the progress.
 func sameState(a, b port.AgentStatus) bool {
 	for _, st := range []*port.AgentStatus{&a, &b} {
 		st.Load = port.Load{}
--- a/internal/adapter/rpc/answer_test.go
+++ b/internal/adapter/rpc/agent_server_test.go
@@ -13,26 +13,26 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// dataAgent answers with one piece of data.
-type dataAgent struct {
+// singleFrameAgent passes all its data to the sink in one call.
+type singleFrameAgent struct {
 	port.AgentHandler
 	data []byte
 }
 
-func (a dataAgent) Load() port.Load { return port.Load{} }
+func (a singleFrameAgent) Load() port.Load { return port.Load{} }
 
-func (a dataAgent) Serve(_ context.Context, r port.ServeRequest, sink port.AnswerSink) error {
+func (a singleFrameAgent) Serve(_ context.Context, r port.ServeRequest, sink port.AnswerSink) error {
 	if err := sink.Head(port.AnswerHead{ID: r.ID}, port.Load{}); err != nil {
 		return err
 	}
 	return sink.Data(a.data)
 }
 
-// TestLargeDataIsSplit guards against an agent whose large frames the entry
-// has to hold, in several buffers, for each caller that does not read.
-func TestLargeDataIsSplit(t *testing.T) {
+// TestLargeDataIsSplitIntoFrames guards against large frames: the entry holds
+// several copies of a frame for each caller that does not read.
+func TestLargeDataIsSplitIntoFrames(t *testing.T) {
 	want := bytes.Repeat([]byte("0123456789"), 1000)
-	s, err := NewServer(Handlers{Agent: dataAgent{data: want}})
+	s, err := NewServer(Handlers{Agent: singleFrameAgent{data: want}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 		if err == io.EOF {
 			break
 		}
-		if err != nil || len(b) > maxDataBytes {
+		if err != nil || len(b) > maxFrameBytes {
 			t.Fatalf("frame of %d bytes, %v", len(b), err)
 		}
 		got = append(got, b...)
--- a/internal/adapter/rpc/convert.go
+++ b/internal/adapter/rpc/convert.go
@@ -189,8 +189,8 @@
 	return out
 }
 
-// manifestFromPB does not check digests beyond their size; the caller checks
-// the result against the version.
+// manifestFromPB does not validate the manifest; the caller checks it against the
+// version. A digest of the wrong size is padded with zeros or cut.
 func manifestFromPB(m *pb.Manifest) manifest.Manifest {
 	out := manifest.Manifest{Model: fleet.Model(m.GetModel())}
 	for _, c := range m.GetChunks() {
@@ -201,7 +201,8 @@
 	return out
 }
 
-// memberToPB leaves out of the status what the record says already.
+// memberToPB omits the VM and the domain of the status if they equal the ID and
+// the domain of the record.
 func memberToPB(m port.MemberRecord) *pb.MemberRecord {
 	status := statusToPB(m.Status)
 	if status != nil && status.Vm == m.ID && status.Domain == string(m.Domain) {
@@ -282,7 +283,8 @@
 	return out
 }
 
-// ageToMillis rounds up, so that an age never looks smaller after transport.
+// ageToMillis rounds up, so that the receiver never sees a smaller age. A negative
+// age becomes -1.
 func ageToMillis(d time.Duration) int64 {
 	if d < 0 {
 		return -1
--- a/internal/adapter/rpc/convert_test.go
+++ b/internal/adapter/rpc/convert_test.go
@@ -10,9 +10,10 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// TestMemberRecordIsWhole guards against a record that loses what its status
-// repeats, and against an exchange that loses how tables are compared.
-func TestMemberRecordIsWhole(t *testing.T) {
+// TestExchangeRoundTrip guards against an exchange message that loses a field in
+// conversion, above all the status fields that are omitted on the wire and the
+// fields that compare two member tables.
+func TestExchangeRoundTrip(t *testing.T) {
 	m := port.ExchangeMessage{
 		From: "a", Digest: 1, Compare: true, Group: 2, Digests: []uint32{3, 0, 1 << 31}, Leaves: []uint32{0, 31}, Want: []string{"w"},
 		Records: []port.MemberRecord{
--- a/internal/adapter/rpc/feed.go
+++ b/internal/adapter/rpc/feed.go
@@ -20,33 +20,33 @@
 
 var _ port.FeedClient = (*Client)(nil)
 
-// feedMargin is added to the wait of a read: the time for a configuration of some
-// hundred kilobytes to pass a link of 40 Mbit/s that others use as well.
-const feedMargin = 600 * time.Millisecond
+// feedTimeoutMargin is added to the wait of a request to get its timeout. In this
+// time a configuration of a few hundred kilobytes passes a shared link of 40 Mbit/s.
+const feedTimeoutMargin = 600 * time.Millisecond
 
-// codeFeedRefused marks a process that was reached and passes nothing on.
+// codeFeedRefused is the drpc error code of port.ErrFeedRefused.
 const codeFeedRefused = 1
 
 // Feed implements port.FeedClient.
 func (c *Client) Feed(ctx context.Context, addr fleet.Address, r port.FeedRequest) (port.FeedReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, r.Wait+feedMargin)
+	ctx, cancel := context.WithTimeout(ctx, r.Wait+feedTimeoutMargin)
 	defer cancel()
 	req := &pb.FeedRequest{Prefix: r.Prefix, After: r.After, WaitMs: r.Wait.Milliseconds()}
 	in, err := pb.NewDRPCFeedClient(c.conn(ctx, addr)).Read(ctx, req)
 	if err != nil {
-		c.dropOnTimeout(ctx, addr)
+		c.closeIdleOnTimeout(ctx, addr)
 		if drpcerr.Code(err) == codeFeedRefused {
 			reason := strings.TrimSuffix(err.Error(), ": "+port.ErrFeedRefused.Error())
 			return port.FeedReply{}, errors.Wrap(port.ErrFeedRefused, reason)
 		}
-		return port.FeedReply{}, errors.Wrap(err, "reading the feed")
+		return port.FeedReply{}, errors.Wrap(err, "requesting store changes")
 	}
 	out := port.FeedReply{At: in.GetAt(), Age: time.Duration(in.GetAgeMs()) * time.Millisecond}
 	for _, x := range in.GetChanges() {
 		value := x.GetValue()
 		if x.GetCompressed() {
-			if value, err = expand(value); err != nil {
-				return port.FeedReply{}, errors.Wrapf(err, "reading the feed: key %s", x.GetKey())
+			if value, err = decompress(value); err != nil {
+				return port.FeedReply{}, errors.Wrapf(err, "requesting store changes: key %s", x.GetKey())
 			}
 		}
 		out.Changes = append(out.Changes, feed.Change{Key: x.GetKey(), Value: value, Revision: x.GetRevision(), Removed: x.GetRemoved()})
@@ -55,42 +55,43 @@
 }
 
 const (
-	// compressFrom is the size from which values are compressed. A configuration of
-	// 100 KB goes to all processes of a domain over the reader's link, which carries
-	// answers to callers as well.
-	compressFrom = 4 << 10
-	// maxFeedValue bounds a value after it was expanded. The store takes 1 MB.
-	maxFeedValue = 8 << 20
+	// minCompressBytes is the minimum size of a value that is compressed. A
+	// configuration of 100 KB goes to all processes of a domain over the link of
+	// one process, which also carries answers to callers.
+	minCompressBytes = 4 << 10
+	// maxValueBytes limits a value after decompression. The store accepts values
+	// of up to 1 MB.
+	maxValueBytes = 8 << 20
 )
 
-func expand(b []byte) ([]byte, error) {
-	out, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), maxFeedValue+1))
-	if err == nil && len(out) > maxFeedValue {
-		err = errors.Errorf("value is longer than %d bytes", maxFeedValue)
+func decompress(b []byte) ([]byte, error) {
+	out, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(b)), maxValueBytes+1))
+	if err == nil && len(out) > maxValueBytes {
+		err = errors.Errorf("value is longer than %d bytes", maxValueBytes)
 	}
-	return out, errors.Wrap(err, "expanding a value")
+	return out, errors.Wrap(err, "decompressing a value")
 }
 
-// compressed is the compressed value of a key at a revision.
-type compressed struct {
+// compressedValue is the compressed value of a key at a revision.
+type compressedValue struct {
 	revision int64
 	value    []byte
 }
 
 type feedServer struct {
 	h port.FeedHandler
-	// packed keeps the compressed values of large keys, of which there are a few,
-	// since a dozen processes ask for each.
-	packed *shard.Map[string, compressed]
+	// cache holds the compressed values of the few keys with large values, since
+	// a dozen processes request each of them.
+	cache *shard.Map[string, compressedValue]
 }
 
-// pack returns the value to send and whether it is compressed.
-func (s *feedServer) pack(c feed.Change) ([]byte, bool) {
-	if len(c.Value) < compressFrom {
-		s.packed.Delete(c.Key)
+// compress returns the value to send and whether it is compressed.
+func (s *feedServer) compress(c feed.Change) ([]byte, bool) {
+	if len(c.Value) < minCompressBytes {
+		s.cache.Delete(c.Key)
 		return c.Value, false
 	}
-	if p, ok := s.packed.Get(c.Key); ok && p.revision == c.Revision {
+	if p, ok := s.cache.Get(c.Key); ok && p.revision == c.Revision {
 		return p.value, true
 	}
 	var b bytes.Buffer
@@ -98,10 +99,10 @@
 	if err != nil {
 		return c.Value, false
 	}
-	// A bytes.Buffer takes all that is written.
+	// Writes to a bytes.Buffer never fail.
 	_, _ = w.Write(c.Value)
 	_ = w.Close()
-	s.packed.Put(c.Key, compressed{c.Revision, b.Bytes()})
+	s.cache.Put(c.Key, compressedValue{c.Revision, b.Bytes()})
 	return b.Bytes(), true
 }
 
@@ -115,12 +116,12 @@
 	if err != nil {
 		return nil, err
 	}
-	// An age is rounded up: it must not look younger than it is.
+	// The age is rounded up, so that the receiver never sees a smaller age.
 	out := &pb.FeedReply{At: reply.At, AgeMs: reply.Age.Milliseconds() + 1}
 	for _, x := range reply.Changes {
-		value, packed := s.pack(x)
+		value, compressed := s.compress(x)
 		out.Changes = append(out.Changes, &pb.FeedChange{
-			Key: x.Key, Value: value, Revision: x.Revision, Removed: x.Removed, Compressed: packed,
+			Key: x.Key, Value: value, Revision: x.Revision, Removed: x.Removed, Compressed: compressed,
 		})
 	}
 	return out, nil
--- a/internal/adapter/rpc/feed_test.go
+++ b/internal/adapter/rpc/feed_test.go
@@ -16,19 +16,19 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-type scriptedFeed func(ctx context.Context, r port.FeedRequest) (port.FeedReply, error)
+type feedHandlerFunc func(ctx context.Context, r port.FeedRequest) (port.FeedReply, error)
 
-func (f scriptedFeed) Feed(ctx context.Context, r port.FeedRequest) (port.FeedReply, error) {
+func (f feedHandlerFunc) Feed(ctx context.Context, r port.FeedRequest) (port.FeedReply, error) {
 	return f(ctx, r)
 }
 
-// TestFeed guards against a change that loses a field on the way, and against an
-// age that looks younger on the other side.
-func TestFeed(t *testing.T) {
+// TestFeedRoundTrip guards against a change that loses a field in conversion, and
+// against an age that gets smaller.
+func TestFeedRoundTrip(t *testing.T) {
 	want := port.FeedReply{At: 9, Age: 1500 * time.Microsecond, Changes: []feed.Change{
 		{Key: "p/a", Value: []byte("1"), Revision: 7}, {Key: "p/b", Revision: 8, Removed: true},
 	}}
-	addr := startServer(t, Handlers{Feed: scriptedFeed(func(_ context.Context, r port.FeedRequest) (port.FeedReply, error) {
+	addr := startServer(t, Handlers{Feed: feedHandlerFunc(func(_ context.Context, r port.FeedRequest) (port.FeedReply, error) {
 		if r != (port.FeedRequest{Prefix: "p/", After: 5, Wait: 20 * time.Millisecond}) {
 			return port.FeedReply{}, errors.Errorf("request %+v", r)
 		}
@@ -42,10 +42,10 @@
 	}
 }
 
-// TestSilentFeed guards against a process that waits for ever for one that does
-// not answer.
-func TestSilentFeed(t *testing.T) {
-	addr := startServer(t, Handlers{Feed: scriptedFeed(func(ctx context.Context, _ port.FeedRequest) (port.FeedReply, error) {
+// TestFeedTimeout guards against a request that waits forever for a process that
+// does not respond.
+func TestFeedTimeout(t *testing.T) {
+	addr := startServer(t, Handlers{Feed: feedHandlerFunc(func(ctx context.Context, _ port.FeedRequest) (port.FeedReply, error) {
 		<-ctx.Done()
 		return port.FeedReply{}, ctx.Err()
 	})})
@@ -53,14 +53,15 @@
 	defer c.Close()
 	start := time.Now()
 	_, err := c.Feed(t.Context(), addr, port.FeedRequest{Prefix: "p/", Wait: 20 * time.Millisecond})
-	if d := time.Since(start); err == nil || d < feedMargin || d > 5*feedMargin {
+	if d := time.Since(start); err == nil || d < feedTimeoutMargin || d > 5*feedTimeoutMargin {
 		t.Errorf("error %v after %v", err, d)
 	}
 }
 
-// TestLargeValues guards against a configuration that fills the reader's link,
-// and against an older one that is sent in place of the newest.
-func TestLargeValues(t *testing.T) {
+// TestLargeValuesAreCompressed guards against a configuration that saturates the
+// link of the process that sends it, and against a cached older revision that is
+// sent in place of the newest.
+func TestLargeValuesAreCompressed(t *testing.T) {
 	value := func(revision int64) []byte {
 		var b bytes.Buffer
 		for i := range 250 {
@@ -69,7 +70,7 @@
 		return b.Bytes()
 	}
 	var revision atomic.Int64
-	addr := startServer(t, Handlers{Feed: scriptedFeed(func(context.Context, port.FeedRequest) (port.FeedReply, error) {
+	addr := startServer(t, Handlers{Feed: feedHandlerFunc(func(context.Context, port.FeedRequest) (port.FeedReply, error) {
 		r := revision.Load()
 		return port.FeedReply{Changes: []feed.Change{{Key: "op/config", Value: value(r), Revision: r}}}, nil
 	})})
@@ -82,11 +83,11 @@
 			t.Fatalf("revision %d: %v, other bytes", r, err)
 		}
 	}
-	s := &feedServer{nil, shard.New[string, compressed](0)}
-	if b, packed := s.pack(feed.Change{Key: "k", Value: value(1), Revision: 1}); !packed || len(b) > len(value(1))/4 {
+	s := &feedServer{nil, shard.New[string, compressedValue](0)}
+	if b, compressed := s.compress(feed.Change{Key: "k", Value: value(1), Revision: 1}); !compressed || len(b) > len(value(1))/4 {
 		t.Errorf("%d bytes of %d", len(b), len(value(1)))
 	}
-	if b, packed := s.pack(feed.Change{Key: "k", Value: []byte("small"), Revision: 2}); packed || string(b) != "small" {
-		t.Errorf("%q, compressed %v", b, packed)
+	if b, compressed := s.compress(feed.Change{Key: "k", Value: []byte("small"), Revision: 2}); compressed || string(b) != "small" {
+		t.Errorf("%q, compressed %v", b, compressed)
 	}
 }
--- a/internal/adapter/rpc/meter.go
+++ b/internal/adapter/rpc/meter.go
@@ -10,37 +10,39 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Traffic counts bytes.
-type Traffic struct {
+// ByteCounter counts received and sent bytes.
+type ByteCounter struct {
 	In, Out atomic.Int64
 }
 
-// Meter counts the bytes of a process by kind of message. A client and a
-// server may share one.
+// Meter counts the bytes that a process receives and sends, in total and by kind
+// of control message. A client and a server may share a meter.
 type Meter struct {
-	// connections counts everything on the connections, with the frames of
-	// drpc and with requests and weights.
-	connections Traffic
-	exchange    Traffic
-	document    Traffic
-	status      Traffic
-}
-
-// Read returns the bytes counted so far. The kinds of control hold encoded
-// messages without frames; "connections" holds all bytes of the connections.
-func (m *Meter) Read() []port.Traffic {
-	read := func(kind string, t *Traffic) port.Traffic {
+	// connections counts all bytes on the connections, including drpc's framing,
+	// requests and weights.
+	connections ByteCounter
+	exchange    ByteCounter
+	document    ByteCounter
+	status      ByteCounter
+}
+
+// Counts returns the bytes counted so far. "connections" has all bytes on the
+// connections; the other kinds have the encoded control messages without drpc's
+// framing.
+func (m *Meter) Counts() []port.Traffic {
+	counts := func(kind string, t *ByteCounter) port.Traffic {
 		return port.Traffic{Kind: kind, In: t.In.Load(), Out: t.Out.Load()}
 	}
 	return []port.Traffic{
-		read("connections", &m.connections), read("exchange", &m.exchange),
-		read("document", &m.document), read("status", &m.status),
+		counts("connections", &m.connections), counts("exchange", &m.exchange),
+		counts("document", &m.document), counts("status", &m.status),
 	}
 }
 
-// kind returns the counter of a method, or nil if it is not control.
-func (m *Meter) kind(rpc string) *Traffic {
-	switch rpc {
+// controlCounter returns the counter of a method, or nil if its messages are not
+// control messages.
+func (m *Meter) controlCounter(method string) *ByteCounter {
+	switch method {
 	case "/masticwing.v1.Member/Exchange":
 		return &m.exchange
 	case "/masticwing.v1.Member/GetDeclaration":
@@ -53,87 +55,87 @@
 
 type countedConn struct {
 	net.Conn
-	t *Traffic
+	counter *ByteCounter
 }
 
 func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.t.In.Add(int64(n))
+	c.counter.In.Add(int64(n))
 	return n, err
 }
 
 func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.t.Out.Add(int64(n))
+	c.counter.Out.Add(int64(n))
 	return n, err
 }
 
-// meteredConn counts the messages of the calls that it makes.
+// meteredConn counts the control messages of outgoing calls.
 type meteredConn struct {
 	drpc.Conn
 	m *Meter
 }
 
 // Invoke implements drpc.Conn.
-func (c meteredConn) Invoke(ctx context.Context, rpc string, enc drpc.Encoding, in, out drpc.Message) error {
-	if t := c.m.kind(rpc); t != nil {
+func (c meteredConn) Invoke(ctx context.Context, method string, enc drpc.Encoding, in, out drpc.Message) error {
+	if t := c.m.controlCounter(method); t != nil {
 		enc = meteredEncoding{enc, t}
 	}
-	return c.Conn.Invoke(ctx, rpc, enc, in, out)
+	return c.Conn.Invoke(ctx, method, enc, in, out)
 }
 
 // NewStream implements drpc.Conn.
-func (c meteredConn) NewStream(ctx context.Context, rpc string, enc drpc.Encoding) (drpc.Stream, error) {
-	s, err := c.Conn.NewStream(ctx, rpc, enc)
-	if t := c.m.kind(rpc); t != nil && err == nil {
+func (c meteredConn) NewStream(ctx context.Context, method string, enc drpc.Encoding) (drpc.Stream, error) {
+	s, err := c.Conn.NewStream(ctx, method, enc)
+	if t := c.m.controlCounter(method); t != nil && err == nil {
 		return meteredStream{s, t}, nil
 	}
 	return s, err
 }
 
-// meteredHandler counts the messages of the calls that it serves.
+// meteredHandler counts the control messages of incoming calls.
 type meteredHandler struct {
 	drpc.Handler
 	m *Meter
 }
 
 // HandleRPC implements drpc.Handler.
-func (h meteredHandler) HandleRPC(s drpc.Stream, rpc string) error {
-	if t := h.m.kind(rpc); t != nil {
+func (h meteredHandler) HandleRPC(s drpc.Stream, method string) error {
+	if t := h.m.controlCounter(method); t != nil {
 		s = meteredStream{s, t}
 	}
-	return h.Handler.HandleRPC(s, rpc)
+	return h.Handler.HandleRPC(s, method)
 }
 
 type meteredStream struct {
 	drpc.Stream
-	t *Traffic
+	counter *ByteCounter
 }
 
 // MsgSend implements drpc.Stream.
 func (s meteredStream) MsgSend(m drpc.Message, enc drpc.Encoding) error {
-	return s.Stream.MsgSend(m, meteredEncoding{enc, s.t})
+	return s.Stream.MsgSend(m, meteredEncoding{enc, s.counter})
 }
 
 // MsgRecv implements drpc.Stream.
 func (s meteredStream) MsgRecv(m drpc.Message, enc drpc.Encoding) error {
-	return s.Stream.MsgRecv(m, meteredEncoding{enc, s.t})
+	return s.Stream.MsgRecv(m, meteredEncoding{enc, s.counter})
 }
 
 type meteredEncoding struct {
 	drpc.Encoding
-	t *Traffic
+	counter *ByteCounter
 }
 
 // Marshal implements drpc.Encoding.
 func (e meteredEncoding) Marshal(m drpc.Message) ([]byte, error) {
 	b, err := e.Encoding.Marshal(m)
-	e.t.Out.Add(int64(len(b)))
+	e.counter.Out.Add(int64(len(b)))
 	return b, err
 }
 
 // Unmarshal implements drpc.Encoding.
 func (e meteredEncoding) Unmarshal(b []byte, m drpc.Message) error {
-	e.t.In.Add(int64(len(b)))
+	e.counter.In.Add(int64(len(b)))
 	return e.Encoding.Unmarshal(b, m)
 }
--- a/internal/adapter/rpc/peer_client.go
+++ b/internal/adapter/rpc/peer_client.go
@@ -19,7 +19,7 @@
 	_ port.MemberClient = (*Client)(nil)
 )
 
-// callTimeout bounds a unary call between processes.
+// callTimeout limits a unary call between processes.
 const callTimeout = 2 * time.Second
 
 // Manifest implements port.PeerClient.
@@ -31,8 +31,8 @@
 		return manifest.Manifest{}, port.ErrManifestUnknown
 	}
 	if err != nil {
-		c.dropOnTimeout(ctx, addr)
-		return manifest.Manifest{}, errors.Wrap(err, "asking peer for manifest")
+		c.closeIdleOnTimeout(ctx, addr)
+		return manifest.Manifest{}, errors.Wrap(err, "requesting the manifest from a peer")
 	}
 	return manifestFromPB(m), nil
 }
@@ -41,38 +41,38 @@
 func (c *Client) WatchChunks(
 	ctx context.Context, addr fleet.Address, v fleet.Version, from fleet.VM,
 ) (port.ChunkStream, error) {
-	ctx, sil := newSilence(ctx)
-	s := &chunkStream{ctx: ctx, sil: sil, drop: func() { c.Drop(addr) }}
+	ctx, watchdog := newRecvWatchdog(ctx)
+	s := &chunkStream{ctx: ctx, watchdog: watchdog, closeIdle: func() { c.CloseIdle(addr) }}
 	req := &pb.WatchChunksRequest{Version: string(v), From: string(from)}
-	err := sil.watch(func() (err error) {
+	err := watchdog.run(func() (err error) {
 		s.stream, err = pb.NewDRPCPeerClient(c.conn(ctx, addr)).WatchChunks(ctx, req)
 		return err
 	})
 	if err != nil {
-		dropIfSilent(ctx, s.drop)
-		sil.close()
-		return nil, errors.Wrap(err, "watching chunks of peer")
+		closeIdleOnHeartbeatTimeout(ctx, s.closeIdle)
+		watchdog.close()
+		return nil, errors.Wrap(err, "watching the chunks of a peer")
 	}
 	return s, nil
 }
 
 type chunkStream struct {
-	ctx    context.Context
-	sil    *silence
-	drop   func()
-	stream pb.DRPCPeer_WatchChunksClient
+	ctx       context.Context
+	watchdog  *recvWatchdog
+	closeIdle func()
+	stream    pb.DRPCPeer_WatchChunksClient
 }
 
 // Next implements port.ChunkStream.
 func (s *chunkStream) Next() (port.ChunkUpdate, error) {
 	var m *pb.ChunkUpdate
-	err := s.sil.watch(func() (err error) {
+	err := s.watchdog.run(func() (err error) {
 		m, err = s.stream.Recv()
 		return err
 	})
 	if err != nil {
-		dropIfSilent(s.ctx, s.drop)
-		return port.ChunkUpdate{}, errors.Wrap(err, "chunk stream ended")
+		closeIdleOnHeartbeatTimeout(s.ctx, s.closeIdle)
+		return port.ChunkUpdate{}, errors.Wrap(err, "receiving chunk updates")
 	}
 	u := port.ChunkUpdate{Bitmap: m.GetBitmap(), Heartbeat: m.GetHeartbeat()}
 	for _, i := range m.GetAdded() {
@@ -83,14 +83,14 @@
 
 // Close implements port.ChunkStream.
 func (s *chunkStream) Close() error {
-	s.sil.close()
+	s.watchdog.close()
 	return s.stream.Close()
 }
 
 // FetchChunk implements port.PeerClient.
 func (c *Client) FetchChunk(ctx context.Context, addr fleet.Address, r port.ChunkRequest) (io.ReadCloser, error) {
-	ctx, sil := newSilence(ctx)
-	p := &pieces{ctx: ctx, sil: sil, drop: func() { c.Drop(addr) }}
+	ctx, watchdog := newRecvWatchdog(ctx)
+	p := &chunkReader{ctx: ctx, watchdog: watchdog, closeIdle: func() { c.CloseIdle(addr) }}
 	req := &pb.FetchChunkRequest{
 		Version:    string(r.Version),
 		Index:      uint32(r.Index),
@@ -99,94 +99,96 @@
 
 		AnnounceOnly: r.AnnounceOnly,
 	}
-	err := sil.watch(func() (err error) {
+	err := watchdog.run(func() (err error) {
 		p.stream, err = pb.NewDRPCPeerClient(c.conn(ctx, addr)).FetchChunk(ctx, req)
 		return err
 	})
 	if err != nil {
-		dropIfSilent(ctx, p.drop)
-		sil.close()
-		return nil, errors.Wrap(err, "asking peer for chunk")
+		closeIdleOnHeartbeatTimeout(ctx, p.closeIdle)
+		watchdog.close()
+		return nil, errors.Wrap(err, "requesting a chunk from a peer")
 	}
-	if err := p.fill(); err != nil && !errors.Is(err, io.EOF) {
+	if err := p.receivePiece(); err != nil && !errors.Is(err, io.EOF) {
 		_ = p.Close()
 		return nil, err
 	}
 	return p, nil
 }
 
-// pieces reads a chunk that arrives in pieces.
-type pieces struct {
-	ctx    context.Context
-	sil    *silence
-	drop   func()
-	stream pb.DRPCPeer_FetchChunkClient
-	rest   []byte
-	err    error
-	// ended is set if the stream ended after a refusal.
-	ended bool
+// chunkReader reads a chunk that arrives in several messages.
+type chunkReader struct {
+	ctx       context.Context
+	watchdog  *recvWatchdog
+	closeIdle func()
+	stream    pb.DRPCPeer_FetchChunkClient
+	unread    []byte
+	err       error
+	// streamEnded is set if the peer closed the stream after a refusal.
+	streamEnded bool
 }
 
-func (p *pieces) fill() error {
+// receivePiece receives the next message into unread. It returns p.err.
+func (p *chunkReader) receivePiece() error {
 	if p.err != nil {
 		return p.err
 	}
 	var m *pb.ChunkPiece
-	err := p.sil.watch(func() (err error) {
+	err := p.watchdog.run(func() (err error) {
 		m, err = p.stream.Recv()
 		return err
 	})
 	switch {
 	case err != nil:
-		dropIfSilent(p.ctx, p.drop)
+		closeIdleOnHeartbeatTimeout(p.ctx, p.closeIdle)
 		p.err = err
 	case m.GetBusy():
-		p.refused(port.ErrPeerBusy)
+		p.setRefused(port.ErrPeerBusy)
 	case m.GetMissing():
-		p.refused(port.ErrChunkMissing)
+		p.setRefused(port.ErrChunkMissing)
 	default:
-		p.rest = m.GetBytes()
+		p.unread = m.GetBytes()
 	}
 	return p.err
 }
 
-// refused records a refusal and reads the end of the stream. Without the end,
+// setRefused records a refusal and waits for the end of the stream. Otherwise
 // Close would cancel the stream, which closes the connection.
-func (p *pieces) refused(reason error) {
+func (p *chunkReader) setRefused(reason error) {
 	p.err = reason
-	err := p.sil.watch(func() error {
+	err := p.watchdog.run(func() error {
 		_, err := p.stream.Recv()
 		return err
 	})
-	p.ended = errors.Is(err, io.EOF)
+	p.streamEnded = errors.Is(err, io.EOF)
 }
 
 // Read implements io.Reader.
-func (p *pieces) Read(b []byte) (int, error) {
-	for len(p.rest) == 0 {
-		if err := p.fill(); err != nil {
+func (p *chunkReader) Read(b []byte) (int, error) {
+	for len(p.unread) == 0 {
+		if err := p.receivePiece(); err != nil {
 			return 0, err
 		}
 	}
-	n := copy(b, p.rest)
-	p.rest = p.rest[n:]
+	n := copy(b, p.unread)
+	p.unread = p.unread[n:]
 	return n, nil
 }
 
 // Close implements io.Closer.
-func (p *pieces) Close() error {
-	if p.ended || errors.Is(p.err, io.EOF) {
+func (p *chunkReader) Close() error {
+	if p.streamEnded || errors.Is(p.err, io.EOF) {
 		err := p.stream.Close()
-		// The connection is back in the pool once the stream is done. Without the
-		// wait, the next fetch may come first and dial a new one.
+		// The connection returns to the pool once the context of the stream is done.
+		// Without this wait, the next fetch could start earlier and open another
+		// connection.
 		select {
 		case <-p.stream.Context().Done():
 		case <-p.ctx.Done():
 		}
-		p.sil.close()
+		p.watchdog.close()
 		return err
 	}
-	p.sil.close()
+	p.watchdog.close()
 	return p.stream.Close()
 }
 
@@ -198,8 +200,8 @@
 	defer cancel()
 	out, err := pb.NewDRPCMemberClient(c.conn(ctx, addr)).Exchange(ctx, exchangeToPB(m))
 	if err != nil {
-		c.dropOnTimeout(ctx, addr)
-		return port.ExchangeMessage{}, errors.Wrap(err, "exchange")
+		c.closeIdleOnTimeout(ctx, addr)
+		return port.ExchangeMessage{}, errors.Wrap(err, "exchanging member records")
 	}
 	return exchangeFromPB(out), nil
 }
@@ -210,8 +212,8 @@
 	defer cancel()
 	out, err := pb.NewDRPCMemberClient(c.conn(ctx, addr)).GetDeclaration(ctx, &pb.GetDeclarationRequest{})
 	if err != nil {
-		c.dropOnTimeout(ctx, addr)
-		return port.StoredDeclaration{}, errors.Wrap(err, "asking for declaration")
+		c.closeIdleOnTimeout(ctx, addr)
+		return port.StoredDeclaration{}, errors.Wrap(err, "requesting the declaration")
 	}
 	return port.StoredDeclaration{Revision: out.GetRevision(), Stored: out.GetStored(), Age: ageFromMillis(out.GetAgeMs())}, nil
 }
@@ -222,7 +224,7 @@
 	defer cancel()
 	out, err := pb.NewDRPCMemberClient(c.conn(ctx, addr)).ListMembers(ctx, &pb.ListMembersRequest{})
 	if err != nil {
-		c.dropOnTimeout(ctx, addr)
+		c.closeIdleOnTimeout(ctx, addr)
 		return port.ExchangeMessage{}, errors.Wrap(err, "listing members")
 	}
 	m := port.ExchangeMessage{From: out.GetFrom(), Revision: out.GetRevision(), Age: ageFromMillis(out.GetAgeMs())}
@@ -232,18 +234,18 @@
 	return m, nil
 }
 
-// dropIfSilent closes the pooled connections to a peer whose stream went silent,
-// since something between the two ends may have lost track of all of them.
-func dropIfSilent(ctx context.Context, drop func()) {
-	if errors.Is(context.Cause(ctx), errSilent) {
-		drop()
+// closeIdleOnHeartbeatTimeout closes the pooled connections to a peer after a
+// heartbeat timeout, since a middlebox may have dropped the state of all of them.
+func closeIdleOnHeartbeatTimeout(ctx context.Context, closeIdle func()) {
+	if errors.Is(context.Cause(ctx), errHeartbeatTimeout) {
+		closeIdle()
 	}
 }
 
-// dropOnTimeout closes the pooled connections of an address that did not
-// answer in time, since they may be silent for good.
-func (c *Client) dropOnTimeout(ctx context.Context, addr fleet.Address) {
+// closeIdleOnTimeout closes the pooled connections to an address that did not
+// respond in time, since they may be broken as well.
+func (c *Client) closeIdleOnTimeout(ctx context.Context, addr fleet.Address) {
 	if ctx.Err() != nil {
-		c.Drop(addr)
+		c.CloseIdle(addr)
 	}
 }
--- a/internal/adapter/rpc/peer_client_test.go
+++ b/internal/adapter/rpc/peer_client_test.go
@@ -14,24 +14,24 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// countingListener counts connections. While mute is set, what arrives on the
-// connections accepted so far is lost.
+// countingListener numbers the accepted connections from 1. Data that arrives on
+// connections with a number up to mutedUpTo is discarded.
 type countingListener struct {
 	net.Listener
-	accepted atomic.Int64
-	mute     atomic.Int64
+	accepted  atomic.Int64
+	mutedUpTo atomic.Int64
 }
 
 type mutedConn struct {
 	net.Conn
-	n int64
+	n int64 // number of the connection
 	l *countingListener
 }
 
 func (c mutedConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
-		if err != nil || c.n > c.l.mute.Load() {
+		if err != nil || c.n > c.l.mutedUpTo.Load() {
 			return n, err
 		}
 	}
@@ -59,7 +59,7 @@
 	return err
 }
 
-// servePeer serves a handler and returns its address and its listener.
+// servePeer serves h on loopback and returns the address and the listener.
 func servePeer(t *testing.T, h port.PeerHandler) (fleet.Address, *countingListener) {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -81,14 +81,14 @@
 	return fleet.Address(lis.Addr().String()), lis
 }
 
-// TestFetchChunkKeepsConnection guards against a refused or a whole chunk that
-// costs its connection: peers under load refuse often, and each lost connection
-// costs a round trip and a port.
-func TestFetchChunkKeepsConnection(t *testing.T) {
+// TestFetchChunkReusesConnection guards against a connection that is closed after
+// a refused or a complete chunk: peers under load refuse often, and each new
+// connection costs a round trip and a port.
+func TestFetchChunkReusesConnection(t *testing.T) {
 	for name, p := range map[string]*chunkPeer{
-		"busy":    {err: port.ErrPeerBusy},
-		"missing": {err: port.ErrChunkMissing},
-		"whole":   {data: make([]byte, 3*pieceBytes+1)},
+		"busy":     {err: port.ErrPeerBusy},
+		"missing":  {err: port.ErrChunkMissing},
+		"complete": {data: make([]byte, 3*pieceBytes+1)},
 	} {
 		addr, lis := servePeer(t, p)
 		c := NewClient()
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestFetchChunkDropsSilentConnections guards against a fetch that waits for
-// each pooled connection in turn after all of them went silent for good.
-func TestFetchChunkDropsSilentConnections(t *testing.T) {
+// TestFetchChunkClosesSilentConnections guards against fetches that time out on
+// one pooled connection after the other when none of them carries data anymore.
+func TestFetchChunkClosesSilentConnections(t *testing.T) {
 	p := &chunkPeer{data: []byte("chunk")}
 	addr, lis := servePeer(t, p)
 	c := NewClient()
@@ -130,7 +130,7 @@
 		_, _ = io.ReadAll(rc)
 		_ = rc.Close()
 	}
-	lis.mute.Store(lis.accepted.Load())
+	lis.mutedUpTo.Store(lis.accepted.Load())
 	if _, err := c.FetchChunk(context.Background(), addr, port.ChunkRequest{}); err == nil {
 		t.Fatal("a silent connection answered")
 	}
--- a/internal/adapter/rpc/peer_server.go
+++ b/internal/adapter/rpc/peer_server.go
@@ -11,7 +11,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// codeManifestUnknown marks a peer that was reached and does not know a manifest.
+// codeManifestUnknown is the drpc error code of port.ErrManifestUnknown.
 const codeManifestUnknown = 2
 
 type peerServer struct{ h port.PeerHandler }
@@ -57,10 +57,11 @@
 	return err
 }
 
-// pieceBytes is the size of one message of a chunk. It bounds how far a pacer
-// overshoots.
+// pieceBytes is the maximum size of one message of a chunk. It limits by how much
+// a rate limiter is exceeded.
 const pieceBytes = 64 << 10
 
+// pieceWriter sends a chunk in messages of at most pieceBytes.
 type pieceWriter struct{ stream pb.DRPCPeer_FetchChunkStream }
 
 // Write implements io.Writer.
--- a/internal/adapter/rpc/pool.go
+++ b/internal/adapter/rpc/pool.go
@@ -1,6 +1,7 @@
-// Package rpc carries the protocol between masticwing's processes over drpc.
-// It converts between messages and the types of package port, adds heartbeats
-// and silence timeouts to every stream, and gives each failure its verdict.
+// Package rpc implements the protocol between masticwing's processes over drpc.
+// It converts between messages and the types of package port, sends heartbeats on
+// the streams of requests, ends streams after a heartbeat timeout, and assigns a
+// verdict to each failed request.
 package rpc
 
 import (
@@ -21,28 +22,30 @@
 )
 
 const (
-	// HeartbeatEvery is the longest time that a sender leaves a stream silent.
-	HeartbeatEvery = 500 * time.Millisecond
-	// SilenceTimeout is the time after which a silent stream counts as lost.
-	// It allows three heartbeats to be late.
-	SilenceTimeout = 2 * time.Second
-	// dialTimeout bounds the time to open a connection.
+	// HeartbeatInterval is the maximum time between two messages of a sender on a
+	// stream.
+	HeartbeatInterval = 500 * time.Millisecond
+	// HeartbeatTimeout is the time without a message after which a stream is
+	// considered lost. It tolerates three late heartbeats.
+	HeartbeatTimeout = 2 * time.Second
+	// dialTimeout limits the time to open a connection.
 	dialTimeout = time.Second
-	// idleExpiry closes connections that no request has used. It is longer than
-	// the turn of eight neighbours, 8 s.
-	idleExpiry = 20 * time.Second
-	// idlePerAddress bounds the idle connections kept for one address.
-	idlePerAddress = 64
+	// idleTimeout is the time after which an idle connection is closed. It is
+	// longer than the 8 s between two exchanges with the same neighbour: a process
+	// has eight neighbours and takes them in turn.
+	idleTimeout = 20 * time.Second
+	// maxIdlePerAddress limits the idle connections to one address.
+	maxIdlePerAddress = 64
 )
 
 type addressPool = drpcpool.Pool[fleet.Address, drpcpool.Conn]
 
-// Client calls other processes. Connections are pooled by address; a drpc
-// connection carries one stream at a time, so TCP's flow control holds back
-// each stream by itself.
+// Client calls other processes. It pools connections by address. A drpc connection
+// carries one stream at a time, so TCP's flow control applies to each stream
+// separately.
 type Client struct {
 	pools *shard.Map[fleet.Address, *addressPool]
-	// Source is the IP that connections leave from. Set it before the first
+	// Source is the local address of connections. It must be set before the first
 	// call; the zero value leaves the choice to the system.
 	Source netip.Addr
 	// Meter counts the bytes sent and received.
@@ -54,7 +57,7 @@
 	return &Client{pools: shard.New[fleet.Address, *addressPool](0), Meter: &Meter{}}
 }
 
-// dialError marks a failure before any byte was sent.
+// dialError is a failure to connect: nothing of the request was sent.
 type dialError struct{ error }
 
 func (e dialError) Unwrap() error { return e.error }
@@ -72,18 +75,18 @@
 }
 
 const (
-	// sendBuffer, splitBytes and keptBytes bound the buffers that a connection
-	// keeps after it has sent a large message. An entry has a connection for
-	// each request in progress, so their sum counts.
-	sendBuffer = 1 << 10
-	splitBytes = 8 << 10
-	keptBytes  = 4 << 10
+	// These sizes limit the buffers that a connection keeps after it has sent a
+	// large message. They are small because an entry has a connection for each
+	// request in progress.
+	writeBufferBytes = 1 << 10
+	frameBytes       = 8 << 10
+	maxKeptBytes     = 4 << 10
 )
 
 func connOptions() drpcconn.Options {
 	return drpcconn.Options{Manager: drpcmanager.Options{
-		WriterBufferSize: sendBuffer,
-		Stream:           drpcstream.Options{SplitSize: splitBytes, MaximumBufferSize: keptBytes},
+		WriterBufferSize: writeBufferBytes,
+		Stream:           drpcstream.Options{SplitSize: frameBytes, MaximumBufferSize: maxKeptBytes},
 	}}
 }
 
@@ -92,8 +95,8 @@
 	c.pools.Update(addr, func(old *addressPool, ok bool) (*addressPool, bool) {
 		if !ok {
 			old = drpcpool.New[fleet.Address, drpcpool.Conn](drpcpool.Options{
-				Expiration:  idleExpiry,
-				KeyCapacity: idlePerAddress,
+				Expiration:  idleTimeout,
+				KeyCapacity: maxIdlePerAddress,
 			})
 		}
 		p = old
@@ -102,9 +105,9 @@
 	return meteredConn{p.Get(ctx, addr, c.dial), c.Meter}
 }
 
-// Drop closes the idle connections to an address. It is called when one of
-// them went silent, since the others are likely lost as well.
-func (c *Client) Drop(addr fleet.Address) {
+// CloseIdle closes the idle connections to an address. It is called after a
+// timeout on one connection, since the others are likely broken as well.
+func (c *Client) CloseIdle(addr fleet.Address) {
 	var p *addressPool
 	c.pools.Update(addr, func(old *addressPool, _ bool) (*addressPool, bool) {
 		p = old
@@ -123,37 +126,38 @@
 		return true
 	})
 	for _, a := range addrs {
-		c.Drop(a)
+		c.CloseIdle(a)
 	}
 }
 
-// errSilent means that a stream carried nothing for SilenceTimeout.
-var errSilent = errors.New("stream is silent")
+// errHeartbeatTimeout means that nothing was received for HeartbeatTimeout.
+var errHeartbeatTimeout = errors.New("nothing received within the heartbeat timeout")
 
-// silence cancels a stream that receives nothing. It runs only while a receive
-// is in progress, so that a receiver that applies back pressure does not count
-// as a silent sender.
-type silence struct {
+// recvWatchdog cancels a stream on which nothing is received for HeartbeatTimeout.
+// The timer runs only during a receive, so that back pressure by the receiver does
+// not cause a timeout.
+type recvWatchdog struct {
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
 }
 
-func newSilence(ctx context.Context) (context.Context, *silence) {
+func newRecvWatchdog(ctx context.Context) (context.Context, *recvWatchdog) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	s := &silence{cancel: cancel}
-	s.timer = time.AfterFunc(SilenceTimeout, func() { cancel(errSilent) })
+	s := &recvWatchdog{cancel: cancel}
+	s.timer = time.AfterFunc(HeartbeatTimeout, func() { cancel(errHeartbeatTimeout) })
 	s.timer.Stop()
 	return ctx, s
 }
 
-func (s *silence) watch(recv func() error) error {
-	s.timer.Reset(SilenceTimeout)
-	err := recv()
+// run calls receive with the timer running.
+func (s *recvWatchdog) run(receive func() error) error {
+	s.timer.Reset(HeartbeatTimeout)
+	err := receive()
 	s.timer.Stop()
 	return err
 }
 
-func (s *silence) close() {
+func (s *recvWatchdog) close() {
 	s.timer.Stop()
 	s.cancel(context.Canceled)
 }
--- a/internal/adapter/rpc/rpc_test.go
+++ b/internal/adapter/rpc/rpc_test.go
@@ -16,18 +16,18 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// scriptedAgent answers each request with a function.
-type scriptedAgent struct {
+// agentFunc is an agent that serves requests with a function.
+type agentFunc struct {
 	serve func(ctx context.Context, r port.ServeRequest, sink port.AnswerSink) error
 }
 
-func (s scriptedAgent) Serve(ctx context.Context, r port.ServeRequest, sink port.AnswerSink) error {
+func (s agentFunc) Serve(ctx context.Context, r port.ServeRequest, sink port.AnswerSink) error {
 	return s.serve(ctx, r, sink)
 }
 
-func (scriptedAgent) Load() port.Load { return port.Load{InFlight: 3, Limit: 4} }
+func (agentFunc) Load() port.Load { return port.Load{InFlight: 3, Limit: 4} }
 
-func (scriptedAgent) WatchStatus(ctx context.Context, _ string, send func(port.AgentStatus) error) error {
+func (agentFunc) WatchStatus(ctx context.Context, _ string, send func(port.AgentStatus) error) error {
 	if err := send(port.AgentStatus{VM: "a-w1", Ready: true}); err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 	t *testing.T, serve func(context.Context, port.ServeRequest, port.AnswerSink) error,
 ) (fleet.Address, *Client) {
 	t.Helper()
-	addr := startServer(t, Handlers{Agent: scriptedAgent{serve}})
+	addr := startServer(t, Handlers{Agent: agentFunc{serve}})
 	c := NewClient()
 	t.Cleanup(c.Close)
 	return addr, c
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestWholeAnswer guards against lost, reordered or altered parts of an answer
+// TestCompleteAnswer guards against lost, reordered or altered frames of an answer
 // and against a lost head.
-func TestWholeAnswer(t *testing.T) {
+func TestCompleteAnswer(t *testing.T) {
 	addr, c := startAgent(t, func(_ context.Context, r port.ServeRequest, sink port.AnswerSink) error {
 		if r.Customer != "resort" || r.Timeout != 1500*time.Millisecond || string(r.Body) != "hi" {
 			t.Errorf("request = %+v", r)
@@ -112,21 +112,22 @@
 	}
 }
 
-// TestVerdicts guards against a failure that claims too much or too little.
-func TestVerdicts(t *testing.T) {
-	refuse := verdict.New(verdict.NotRun, verdict.CodeTargetFull, "4 of 4").WithRetryAfter(time.Second)
+// TestFailureVerdicts guards against a failure that reaches the entry with another
+// verdict or code.
+func TestFailureVerdicts(t *testing.T) {
+	refusal := verdict.New(verdict.NotRun, verdict.CodeTargetFull, "4 of 4").WithRetryAfter(time.Second)
 	cases := map[string]struct {
 		serve func(context.Context, port.ServeRequest, port.AnswerSink) error
 		want  verdict.Verdict
 		code  verdict.Code
 	}{
 		"refused": {func(context.Context, port.ServeRequest, port.AnswerSink) error {
-			return refuse
+			return refusal
 		}, verdict.NotRun, verdict.CodeTargetFull},
 		"unknown error": {func(context.Context, port.ServeRequest, port.AnswerSink) error {
 			return errors.New("boom")
 		}, verdict.MayHaveRun, verdict.CodeInternal},
-		"broken after the head": {func(_ context.Context, _ port.ServeRequest, s port.AnswerSink) error {
+		"failed after the head": {func(_ context.Context, _ port.ServeRequest, s port.AnswerSink) error {
 			_ = s.Head(port.AnswerHead{}, port.Load{})
 			_ = s.Data([]byte("part"))
 			return verdict.New(verdict.Ran, verdict.CodeTargetError, "engine failed")
@@ -148,9 +149,9 @@
 	}
 }
 
-// TestNothingSentIsNotRun guards against a may-have-run verdict when the agent
-// could not be reached at all.
-func TestNothingSentIsNotRun(t *testing.T) {
+// TestUnreachableAgentIsNotRun guards against the verdict may-have-run if the
+// connection to the agent could not be opened.
+func TestUnreachableAgentIsNotRun(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -163,11 +164,11 @@
 	}
 }
 
-// TestSlowAgentIsNotSilent guards against ending a request whose agent is
-// alive but has nothing to send for longer than the silence timeout.
-func TestSlowAgentIsNotSilent(t *testing.T) {
+// TestSlowAgentSendsHeartbeats guards against ending a request whose agent is
+// alive but has nothing to send for longer than the heartbeat timeout.
+func TestSlowAgentSendsHeartbeats(t *testing.T) {
 	addr, c := startAgent(t, func(_ context.Context, _ port.ServeRequest, s port.AnswerSink) error {
-		time.Sleep(SilenceTimeout + HeartbeatEvery)
+		time.Sleep(HeartbeatTimeout + HeartbeatInterval)
 		return s.Head(port.AnswerHead{}, port.Load{})
 	})
 	a, err := c.Serve(context.Background(), addr, port.ServeRequest{ID: "r"}, nil)
@@ -180,9 +181,9 @@
 	}
 }
 
-// TestSilentConnection guards against a request that waits forever on a
-// connection that something between the two ends has lost track of.
-func TestSilentConnection(t *testing.T) {
+// TestHeartbeatTimeout guards against a request that waits forever on a
+// connection that stays open but carries nothing.
+func TestHeartbeatTimeout(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -195,14 +196,14 @@
 	if e.Verdict != verdict.MayHaveRun || e.Code != verdict.CodeTargetLost {
 		t.Fatalf("err = %v", err)
 	}
-	if took := time.Since(start); took > 2*SilenceTimeout {
-		t.Fatalf("found after %v, want about %v", took, SilenceTimeout)
+	if took := time.Since(start); took > 2*HeartbeatTimeout {
+		t.Fatalf("found after %v, want about %v", took, HeartbeatTimeout)
 	}
 }
 
-// TestSlowReaderIsNotSilent guards against ending an answer because its reader
-// applies back pressure for longer than the silence timeout.
-func TestSlowReaderIsNotSilent(t *testing.T) {
+// TestSlowReaderCausesNoTimeout guards against ending an answer because its reader
+// applies back pressure for longer than the heartbeat timeout.
+func TestSlowReaderCausesNoTimeout(t *testing.T) {
 	const frames = 400
 	addr, c := startAgent(t, func(_ context.Context, _ port.ServeRequest, s port.AnswerSink) error {
 		if err := s.Head(port.AnswerHead{}, port.Load{}); err != nil {
@@ -220,14 +221,14 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = a.Close() }()
-	time.Sleep(SilenceTimeout + HeartbeatEvery)
+	time.Sleep(HeartbeatTimeout + HeartbeatInterval)
 	if body, err := readAll(a); err != nil || len(body) != frames*16<<10 {
 		t.Fatalf("%d bytes, %v", len(body), err)
 	}
 }
 
-// TestCancelReachesAgent guards against work that goes on after its caller
-// left.
+// TestCancelReachesAgent guards against an agent that continues a request after
+// the caller has canceled it.
 func TestCancelReachesAgent(t *testing.T) {
 	ended := make(chan struct{})
 	addr, c := startAgent(t, func(ctx context.Context, _ port.ServeRequest, s port.AnswerSink) error {
--- a/internal/adapter/rpc/serve_test.go
+++ b/internal/adapter/rpc/serve_test.go
@@ -16,23 +16,24 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// handler refuses every second request and answers the rest.
-type handler struct{ n, slow atomic.Int64 }
+// alternatingAgent refuses every second request and answers the others with their
+// body.
+type alternatingAgent struct{ requests, delay atomic.Int64 }
 
-func (h *handler) Load() port.Load { return port.Load{} }
+func (h *alternatingAgent) Load() port.Load { return port.Load{} }
 
-func (h *handler) WatchStatus(context.Context, string, func(port.AgentStatus) error) error {
+func (h *alternatingAgent) WatchStatus(context.Context, string, func(port.AgentStatus) error) error {
 	return nil
 }
 
-func (h *handler) Serve(_ context.Context, r port.ServeRequest, sink port.AnswerSink) error {
-	if h.n.Add(1)%2 == 0 {
+func (h *alternatingAgent) Serve(_ context.Context, r port.ServeRequest, sink port.AnswerSink) error {
+	if h.requests.Add(1)%2 == 0 {
 		return verdict.New(verdict.NotRun, verdict.CodeTargetFull, "full")
 	}
 	if err := sink.Head(port.AnswerHead{Version: "v"}, port.Load{}); err != nil {
 		return err
 	}
-	time.Sleep(time.Duration(h.slow.Load()))
+	time.Sleep(time.Duration(h.delay.Load()))
 	return sink.Data(r.Body)
 }
 
@@ -47,7 +48,7 @@
 	return c, err
 }
 
-func listen(t *testing.T, h port.AgentHandler) (*Server, fleet.Address, *atomic.Int64) {
+func serveAgent(t *testing.T, h port.AgentHandler) (*Server, fleet.Address, *atomic.Int64) {
 	t.Helper()
 	srv, err := NewServer(Handlers{Agent: h})
 	if err != nil {
@@ -65,7 +66,7 @@
 	return srv, fleet.Address(lis.Addr().String()), n
 }
 
-func ask(c *Client, addr fleet.Address, id string) (string, error) {
+func call(c *Client, addr fleet.Address, id string) (string, error) {
 	a, err := c.Serve(context.Background(), addr, port.ServeRequest{ID: fleet.RequestID(id), Body: []byte(id)}, nil)
 	if err != nil {
 		return "", err
@@ -84,10 +85,10 @@
 	}
 }
 
-// TestConnectionsAreReused guards against a refusal or a whole answer that
-// ends its connection, and with it the request that uses the connection next.
-func TestConnectionsAreReused(t *testing.T) {
-	_, addr, conns := listen(t, &handler{})
+// TestServeReusesConnections guards against a refusal or a complete answer that
+// closes its connection, and with it the next request on this connection.
+func TestServeReusesConnections(t *testing.T) {
+	_, addr, conns := serveAgent(t, &alternatingAgent{})
 	c := NewClient()
 	t.Cleanup(c.Close)
 	const workers = 8
@@ -96,7 +97,7 @@
 		wg.Go(func() {
 			for i := range 200 {
 				id := fmt.Sprint(w, "-", i)
-				got, err := ask(c, addr, id)
+				got, err := call(c, addr, id)
 				if err != nil && verdict.FromError(err).Code != verdict.CodeTargetFull {
 					t.Errorf("request failed: %v", err)
 				}
@@ -112,12 +113,12 @@
 	}
 }
 
-// TestDrainWaitsForTheEnd guards against a server that stops between the
-// return of its handler and the end of the answer.
-func TestDrainWaitsForTheEnd(t *testing.T) {
-	h := &handler{}
-	h.slow.Store(int64(100 * time.Millisecond))
-	srv, addr, _ := listen(t, h)
+// TestDrainWaitsForOpenAnswers guards against a server that stops after its
+// handler has returned but before the end of the answer is sent.
+func TestDrainWaitsForOpenAnswers(t *testing.T) {
+	h := &alternatingAgent{}
+	h.delay.Store(int64(100 * time.Millisecond))
+	srv, addr, _ := serveAgent(t, h)
 	c := NewClient()
 	t.Cleanup(c.Close)
 	a, err := c.Serve(context.Background(), addr, port.ServeRequest{ID: "r", Body: []byte("r")}, nil)
--- a/internal/adapter/rpc/server.go
+++ b/internal/adapter/rpc/server.go
@@ -14,34 +14,35 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Handlers are the parts of the protocol that a process serves. Nil parts are
-// not registered.
+// Handlers are the services of the protocol that a process implements. Services
+// with a nil handler are not registered.
 type Handlers struct {
 	Agent  port.AgentHandler
 	Peer   port.PeerHandler
 	Member port.MemberHandler
 	Feed   port.FeedHandler
-	// Meter counts the bytes sent and received. It may be nil.
+	// Meter counts the bytes sent and received. If it is nil, the server uses its
+	// own.
 	Meter *Meter
 }
 
-// Server serves the protocol.
+// Server accepts connections and dispatches their calls to Handlers.
 type Server struct {
 	mux   *drpcmux.Mux
 	meter *Meter
-	// answers counts the answers that are not written to their end.
-	answers *inflight.Counter
+	// openAnswers counts the answers whose end has not been sent.
+	openAnswers *inflight.Counter
 }
 
-// NewServer registers the handlers.
+// NewServer returns a server with the handlers registered.
 func NewServer(h Handlers) (*Server, error) {
 	mux := drpcmux.New()
-	s := &Server{mux: mux, meter: h.Meter, answers: inflight.New()}
+	s := &Server{mux: mux, meter: h.Meter, openAnswers: inflight.New()}
 	if s.meter == nil {
 		s.meter = &Meter{}
 	}
 	if h.Agent != nil {
-		if err := pb.DRPCRegisterAgent(mux, &agentServer{h.Agent, s.answers}); err != nil {
+		if err := pb.DRPCRegisterAgent(mux, &agentServer{h.Agent, s.openAnswers}); err != nil {
 			return nil, errors.Wrap(err, "registering agent service")
 		}
 	}
@@ -56,22 +57,22 @@
 		}
 	}
 	if h.Feed != nil {
-		if err := pb.DRPCRegisterFeed(mux, &feedServer{h.Feed, shard.New[string, compressed](0)}); err != nil {
+		if err := pb.DRPCRegisterFeed(mux, &feedServer{h.Feed, shard.New[string, compressedValue](0)}); err != nil {
 			return nil, errors.Wrap(err, "registering feed service")
 		}
 	}
 	return s, nil
 }
 
-// Drain returns once all answers of Agent.Serve are written to their end, or
-// when ctx ends. A handler returns before the end of its answer is sent, so
-// a server that stops must not rely on its handlers alone.
+// Drain waits until the ends of all answers of Agent.Serve have been sent, or ctx
+// ends. A handler returns before the end of its answer is sent, so it is not
+// enough to wait for the handlers.
 func (s *Server) Drain(ctx context.Context) error {
-	for !s.answers.Idle() {
+	for !s.openAnswers.Idle() {
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(ctx.Err(), "waiting for answers in progress")
-		case <-s.answers.IdleSignal():
+			return errors.Wrap(ctx.Err(), "waiting for open answers")
+		case <-s.openAnswers.IdleSignal():
 		}
 	}
 	return nil
@@ -88,7 +89,7 @@
 
 type countedListener struct {
 	net.Listener
-	t *Traffic
+	counter *ByteCounter
 }
 
 func (l countedListener) Accept() (net.Conn, error) {
@@ -96,5 +97,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{c, l.t}, nil
+	return countedConn{c, l.counter}, nil
 }
--- a/internal/adapter/rpc/status_test.go
+++ b/internal/adapter/rpc/status_test.go
@@ -7,14 +7,14 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// statusAgent sends the states given.
+// statusAgent sends a fixed list of statuses.
 type statusAgent struct {
-	handler
-	states []port.AgentStatus
+	alternatingAgent
+	statuses []port.AgentStatus
 }
 
 func (s *statusAgent) WatchStatus(ctx context.Context, _ string, send func(port.AgentStatus) error) error {
-	for _, st := range s.states {
+	for _, st := range s.statuses {
 		if err := send(st); err != nil {
 			return err
 		}
@@ -23,16 +23,16 @@
 	return ctx.Err()
 }
 
-// TestStatusHeartbeats guards against a heartbeat, which carries only the load,
-// that takes the rest of a status away or hides a change of it, and against a
-// meter that does not count the stream.
-func TestStatusHeartbeats(t *testing.T) {
+// TestStatusStream guards against a heartbeat, which carries only the load, that
+// clears the other fields of the status or replaces a change of them, and against
+// a meter that does not count the stream.
+func TestStatusStream(t *testing.T) {
 	st := port.AgentStatus{VM: "a-w1", Group: "g", Version: "v1", Ready: true, Load: port.Load{Limit: 8}}
 	busy, cordoned := st, st
 	busy.Load.InFlight = 5
 	cordoned.Cordoned = true
 	want := []port.AgentStatus{st, busy, cordoned, st}
-	addr := startServer(t, Handlers{Agent: &statusAgent{states: want}})
+	addr := startServer(t, Handlers{Agent: &statusAgent{statuses: want}})
 	c := NewClient()
 	defer c.Close()
 	s, err := c.WatchStatus(context.Background(), addr, "e", "a")
--- a/internal/app/directory/connect.go
+++ b/internal/app/directory/connect.go
@@ -60,6 +60,6 @@
 	return New(Config{Self: self, Seeds: c.Seeds, ExchangeBytes: c.ExchangeBytes}, Deps{
 		KV: platform, VMs: platform, Members: client, Clock: sysclock.Clock{}, Rand: sysclock.Rand{},
 		Decode: inifile.Decode, Metrics: env.Metrics, Log: env.Log,
-		Traffic: func() []port.Traffic { return append(client.Meter.Read(), platform.Traffic()) },
+		Traffic: func() []port.Traffic { return append(client.Meter.Counts(), platform.Traffic()) },
 	})
 }
--- a/internal/app/directory/converge_test.go
+++ b/internal/app/directory/converge_test.go
@@ -168,7 +168,7 @@
 	time.Sleep(20 * time.Second)
 	bytes := func() (sum int64) {
 		for _, n := range w.nodes {
-			all := n.client.Meter.Read()[0] // shared with the server; the first kind is the connections'
+			all := n.client.Meter.Counts()[0] // shared with the server; the first kind is the connections'
 			sum += all.In + all.Out
 		}
 		return sum
