--- a/internal/app/agent/agent.go
+++ b/internal/app/agent/agent.go
@@ -55,7 +55,8 @@
 	declaration *declare.Declaration
 	assignment  declare.Assignment
 	serving     rollout.Ref
-	// reachable means that the last probe of the engine or service succeeded.
+	// reachable is false before the first successful probe of the engine or
+	// service, and after it is considered lost.
 	reachable bool
 	ready     bool
 	leaving   bool
@@ -67,8 +68,9 @@
 
 // Agent implements port.AgentHandler.
 type Agent struct {
-	id             Identity
-	deps           Deps
+	id   Identity
+	deps Deps
+	// targetKey is the key of the target in admissions.
 	targetKey      string
 	admissions     *admission.Table
 	rollouts       *rollout.Table
@@ -76,7 +78,8 @@
 	statusWatchers *shard.Map[uint64, chan struct{}]
 	lastWatcherID  atomic.Uint64
 	// requests counts the requests inside Serve, admitted or not.
-	requests  *inflight.Counter
+	requests *inflight.Counter
+	// replanNow wakes the controller, and probeNow the monitor.
 	replanNow chan struct{}
 	probeNow  chan struct{}
 	// pendingQuery holds a channel that is closed after the next identity query,
--- a/internal/app/agent/identity.go
+++ b/internal/app/agent/identity.go
@@ -12,11 +12,11 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// confirmTimeout bounds the time for which a request waits for the engine's
+// identityQueryTimeout bounds the time for which a request waits for the engine's
 // identity. A status call on the same VM takes well below a millisecond; if the
 // engine takes longer than the timeout, the request is admitted on the identity
 // from the last probe.
-const confirmTimeout = 20 * time.Millisecond
+const identityQueryTimeout = 20 * time.Millisecond
 
 // observeEngine records an engine identity and handles a cold restart that it
 // reveals.
@@ -62,7 +62,7 @@
 	}
 	select {
 	case <-a.joinIdentityQuery():
-	case <-a.deps.Clock.After(confirmTimeout):
+	case <-a.deps.Clock.After(identityQueryTimeout):
 	case <-ctx.Done():
 		return nil, verdict.Wrap(ctx.Err(), verdict.NotRun, verdict.CodeDeadline, "request ended before it was admitted")
 	}
@@ -118,7 +118,7 @@
 }
 
 func (a *Agent) queryIdentity(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, confirmTimeout)
+	ctx, cancel := context.WithTimeout(ctx, identityQueryTimeout)
 	defer cancel()
 	askedAt := a.deps.Clock.Now()
 	if status, err := a.deps.Engine.Status(ctx); err == nil {
--- a/internal/app/agent/identity_test.go
+++ b/internal/app/agent/identity_test.go
@@ -24,9 +24,9 @@
 // hooks must be set before the calls start.
 type hookedEngine struct {
 	*porttest.Engine
-	beforeGenerate func()
-	beforeStatus   func(ctx context.Context) error
-	statuses, runs atomic.Int64
+	beforeGenerate             func()
+	afterStatus                func(ctx context.Context) error
+	statusCalls, generateCalls atomic.Int64
 }
 
 func (e *hookedEngine) Generate(ctx context.Context, r port.EngineRequest) (port.Answer, error) {
@@ -35,7 +35,7 @@
 	}
 	ans, err := e.Engine.Generate(ctx, r)
 	if err == nil {
-		e.runs.Add(1)
+		e.generateCalls.Add(1)
 	}
 	return ans, err
 }
@@ -43,14 +43,14 @@
 // Status runs the hook after it has read the status, as if the response were
 // delayed on its way.
 func (e *hookedEngine) Status(ctx context.Context) (port.EngineStatus, error) {
-	e.statuses.Add(1)
-	st, _ := e.Engine.Status(ctx)
-	if e.beforeStatus != nil {
-		if err := e.beforeStatus(ctx); err != nil {
+	e.statusCalls.Add(1)
+	status, _ := e.Engine.Status(ctx)
+	if e.afterStatus != nil {
+		if err := e.afterStatus(ctx); err != nil {
 			return port.EngineStatus{}, err
 		}
 	}
-	return st, nil
+	return status, nil
 }
 
 // discardSink discards a response and counts its frames.
@@ -92,21 +92,21 @@
 	return warmAgent{T: t, Agent: a}
 }
 
-func newEngineAgent(t *testing.T, checks bool) warmAgent {
+func newEngineAgent(t *testing.T, checksIdentity bool) warmAgent {
 	t.Helper()
 	e := &hookedEngine{Engine: porttest.NewEngine()}
-	if checks {
+	if checksIdentity {
 		e.CheckIdentity()
 	}
-	o := port.LoadOrder{Version: "v1", Fence: 1, Weights: &io.LimitedReader{}, Check: func() error { return nil }}
-	if err := e.Load(t.Context(), o); err != nil {
+	order := port.LoadOrder{Version: "v1", Fence: 1, Weights: &io.LimitedReader{}, Check: func() error { return nil }}
+	if err := e.Load(t.Context(), order); err != nil {
 		t.Fatal(err)
 	}
 	w := newWarmAgent(t, Deps{Engine: e}, "engine")
 	w.engine = e
-	asked := w.deps.Clock.Now()
-	st, _ := e.Engine.Status(t.Context())
-	w.admissions.ObserveEngine(w.targetKey, observation(st, asked), asked)
+	askedAt := w.deps.Clock.Now()
+	status, _ := e.Engine.Status(t.Context())
+	w.admissions.ObserveEngine(w.targetKey, observation(status, askedAt), askedAt)
 	w.warm()
 	var wg conc.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
@@ -159,8 +159,8 @@
 // cold engine.
 func TestChangeBetweenDecisionAndCall(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(e *porttest.Engine)
-		then   verdict.Code
+		change   func(e *porttest.Engine)
+		nextCode verdict.Code
 	}{
 		"caches lost": {(*porttest.Engine).Cold, ""},
 		"restart":     {func(e *porttest.Engine) { e.Restart("boot-2") }, verdict.CodeVersionNotServing},
@@ -179,13 +179,13 @@
 			release()
 			w.wantLimit(testLimits.ColdRequests)
 			err := w.serveRequest("r3")
-			if c.then == "" && err != nil {
+			if c.nextCode == "" && err != nil {
 				t.Fatalf("the cold engine did not get a request within its limit: %v", err)
 			}
-			if c.then != "" {
-				wantError(t, err, verdict.NotRun, c.then)
+			if c.nextCode != "" {
+				wantError(t, err, verdict.NotRun, c.nextCode)
 			}
-			if n := w.engine.statuses.Load(); n != 0 {
+			if n := w.engine.statusCalls.Load(); n != 0 {
 				t.Errorf("%d status calls to an engine that checks the identity itself", n)
 			}
 			select {
@@ -214,7 +214,7 @@
 			change(w.engine.Engine)
 			wantError(t, w.serveRequest("r2"), verdict.NotRun, verdict.CodeTargetWarming)
 			w.wantLimit(testLimits.ColdRequests)
-			if s, r := w.engine.statuses.Load(), w.engine.runs.Load(); s != 2 || r != 1 {
+			if s, r := w.engine.statusCalls.Load(), w.engine.generateCalls.Load(); s != 2 || r != 1 {
 				t.Errorf("%d status calls and %d requests at the engine, want 2 and 1", s, r)
 			}
 		})
@@ -222,22 +222,22 @@
 }
 
 // TestOneStatusCallForAll guards against a status call for each waiting request,
-// and against a request admitted by a status call that was in progress before
-// the request arrived.
+// and against a request that is admitted on the result of a status call sent
+// before the request arrived, since the engine may have changed in between.
 func TestOneStatusCallForAll(t *testing.T) {
 	w := newEngineAgent(t, false)
 	defer w.admitRequests(testLimits.ColdRequests)()
-	taken, goOn := make(chan struct{}, 8), make(chan struct{})
-	w.engine.beforeStatus = func(context.Context) error {
-		taken <- struct{}{}
-		<-goOn
+	statusRead, proceed := make(chan struct{}, 8), make(chan struct{})
+	w.engine.afterStatus = func(context.Context) error {
+		statusRead <- struct{}{}
+		<-proceed
 		return nil
 	}
 	before := make(chan error, 1)
 	var wg conc.WaitGroup
 	wg.Go(func() { before <- w.serveRequest("before") })
 	select {
-	case <-taken:
+	case <-statusRead:
 	case <-time.After(5 * time.Second):
 		t.Fatal("the engine's status was not queried")
 	}
@@ -254,13 +254,13 @@
 		time.Sleep(100 * time.Microsecond)
 	}
 	time.Sleep(50 * time.Millisecond) // lets the requests join the identity query
-	goOn <- struct{}{}
+	proceed <- struct{}{}
 	if err := <-before; err != nil {
 		t.Errorf("request from before the change failed: %v", err)
 	}
-	close(goOn)
+	close(proceed)
 	wg.Wait()
-	if s, r := w.engine.statuses.Load(), w.engine.runs.Load(); s != 2 || r != 1 {
+	if s, r := w.engine.statusCalls.Load(), w.engine.generateCalls.Load(); s != 2 || r != 1 {
 		t.Errorf("%d status calls and %d requests at the engine, want 2 and 1", s, r)
 	}
 }
@@ -271,7 +271,7 @@
 	w := newEngineAgent(t, false)
 	w.deps.Clock = sysclock.Clock{}
 	defer w.admitRequests(testLimits.ColdRequests)()
-	w.engine.beforeStatus = func(ctx context.Context) error {
+	w.engine.afterStatus = func(ctx context.Context) error {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -279,7 +279,7 @@
 	if err := w.serveRequest("r1"); err != nil {
 		t.Fatal(err)
 	}
-	if d := time.Since(start); d < confirmTimeout || d > time.Second {
-		t.Errorf("the request waited %v, want about %v", d, confirmTimeout)
+	if d := time.Since(start); d < identityQueryTimeout || d > time.Second {
+		t.Errorf("the request waited %v, want about %v", d, identityQueryTimeout)
 	}
 }
--- a/internal/app/agent/orders.go
+++ b/internal/app/agent/orders.go
@@ -135,10 +135,10 @@
 	return current.Rev, nil
 }
 
-// runOrder sends an order and keeps the lease alive until it ends. It cancels
-// the order when the lease is lost. An order without a lease is canceled after a
-// pause of this process that outlasts the order's validity, or when another
-// agent has sent the engine an order.
+// runOrder sends an order and keeps the lease alive until the order ends. It
+// cancels the order when the lease is lost or when the validity of the order has
+// lapsed because this process was paused. It also cancels an order without a
+// lease when another agent has sent the engine an order.
 func (o *orderer) runOrder(ctx context.Context, action rollout.Action, decision rollout.Decision) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/app/agent/orders_test.go
+++ b/internal/app/agent/orders_test.go
@@ -93,8 +93,8 @@
 	c := &skipClock{time.Unix(1000, 0)}
 	e := porttest.NewEngine()
 	o := newTestOrderer(c, porttest.NewKV(c.Now), e, 1)
-	x := rollout.Action{Kind: rollout.Load, Ref: rollout.Ref{Version: "v9"}}
-	if err := o.sendOrder(context.Background(), x, 1); !errors.Is(err, errWeightsIncomplete) || len(e.Orders()) != 0 {
+	action := rollout.Action{Kind: rollout.Load, Ref: rollout.Ref{Version: "v9"}}
+	if err := o.sendOrder(context.Background(), action, 1); !errors.Is(err, errWeightsIncomplete) || len(e.Orders()) != 0 {
 		t.Fatalf("got %v, orders %v", err, e.Orders())
 	}
 }
@@ -106,10 +106,10 @@
 		c := &skipClock{time.Unix(1000, 0)}
 		e := porttest.NewEngine()
 		o := newTestOrderer(c, porttest.NewKV(c.Now), e, 1)
-		d := rollout.Decision{Step: rollout.Give, Fence: 5, Until: c.now.Add(time.Second), Leased: leased}
-		c.now = d.Until
-		for _, x := range []rollout.Action{unload, {Kind: rollout.Load, Ref: rollout.Ref{Version: "v1"}}} {
-			if err := o.runOrder(context.Background(), x, d); !errors.Is(err, errLeaseLost) || len(e.Orders()) > 0 {
+		decision := rollout.Decision{Step: rollout.Give, Fence: 5, Until: c.now.Add(time.Second), Leased: leased}
+		c.now = decision.Until
+		for _, action := range []rollout.Action{unload, {Kind: rollout.Load, Ref: rollout.Ref{Version: "v1"}}} {
+			if err := o.runOrder(context.Background(), action, decision); !errors.Is(err, errLeaseLost) || len(e.Orders()) > 0 {
 				t.Fatalf("leased %v: got %v, orders %v", leased, err, e.Orders())
 			}
 		}
--- a/internal/app/agent/serve.go
+++ b/internal/app/agent/serve.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// maxFrameBytes is the maximum size of a response frame sent to an entry,
-	// which buffers one frame per request.
-	maxFrameBytes = 16 << 10
+	// maxDataBytes is the maximum size of the data in one message to an entry,
+	// which buffers one message per request.
+	maxDataBytes = 16 << 10
 	// cancelHoldTime is the time for which a canceled request keeps its slot. The
 	// engine detects the cancellation by the closed connection and does not report
 	// when it has stopped. Until then it still holds the request, and another one
@@ -164,11 +164,11 @@
 	case <-s.a.deps.Clock.After(resumeDelay):
 	}
 	askedAt := s.a.deps.Clock.Now()
-	st, err := s.a.deps.Engine.Status(ctx)
+	status, err := s.a.deps.Engine.Status(ctx)
 	if err != nil {
 		return false
 	}
-	s.a.observeEngine(observation(st, askedAt))
+	s.a.observeEngine(observation(status, askedAt))
 	return s.permit.IsCurrent()
 }
 
@@ -246,7 +246,7 @@
 	s.recordFirstByte()
 	s.a.deps.Weights.ChargeLiveTraffic(0, len(b))
 	for len(b) > 0 {
-		n := min(maxFrameBytes, len(b))
+		n := min(maxDataBytes, len(b))
 		if err := entryError(ctx, s.sink.Data(b[:n])); err != nil {
 			return err
 		}
--- a/internal/app/agent/service.go
+++ b/internal/app/agent/service.go
@@ -58,7 +58,8 @@
 
 // handleCallError resets admission to the cold limit if the connection was lost
 // before or during the response. A plain service reports no boot identity, so
-// this is the only sign that it may have restarted.
+// this is the only sign that it may have restarted. After any other target error
+// it only triggers a probe.
 func (s *servedRequest) handleCallError(err error) {
 	switch verdict.FromError(err).Code {
 	case verdict.CodeTargetLost:
@@ -119,8 +120,8 @@
 }
 
 // runClaimed runs the call and records its outcome in the claim exactly once.
-// The call ends at its deadline, but not when the caller disconnects: it would
-// then be unknown whether a canceled call ran.
+// The call is canceled at its deadline, but not when the caller disconnects,
+// because it is unknown whether a canceled call ran.
 func (s *servedRequest) runClaimed(ctx context.Context, claim port.LedgerClaim) error {
 	settled := false
 	defer func() {
