--- a/cmd/masticwing-gateway/main.go
+++ b/cmd/masticwing-gateway/main.go
@@ -49,8 +49,8 @@
 	peers := rpc.NewClient()
 	defer peers.Close()
 	g := gateway.New(set, gateway.Deps{
-		Store: platform.CountedStore(set.Platform, env.Metrics), Feed: peers, Facts: platform.Facts{},
-		Targets: platform.NewTargets(func() { env.Metrics.Count("target_connections_total", 1) }),
+		Store: platform.NewStoreWithMetrics(set.Platform, env.Metrics), Feed: peers, Facts: platform.Decoder{},
+		Targets: platform.NewTargetClient(func() { env.Metrics.Count("target_connections_total", 1) }),
 		Clock:   sysclock.Clock{}, Rand: sysclock.Rand{}, Metrics: env.Metrics, Log: env.Log,
 	})
 	callers, err := listen(set.Callers)
@@ -62,8 +62,8 @@
 		return err
 	}
 	idle := idleconns.New(func() time.Duration { return g.RequestLimits().Idle })
-	front := &http.Server{Handler: platform.Ingress(g, g.Closing), ReadHeaderTimeout: headerTimeout, ConnState: idle.Follow}
-	checks := &http.Server{Handler: platform.Ready(g), ReadHeaderTimeout: headerTimeout}
+	front := &http.Server{Handler: platform.IngressHandler(g, g.Closing), ReadHeaderTimeout: headerTimeout, ConnState: idle.Follow}
+	checks := &http.Server{Handler: platform.ReadinessHandler(g), ReadHeaderTimeout: headerTimeout}
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg conc.WaitGroup
 	defer wg.Wait()
--- a/cmd/masticwing-loader/main.go
+++ b/cmd/masticwing-loader/main.go
@@ -36,7 +36,7 @@
 	peers := rpc.NewClient()
 	defer peers.Close()
 	l := loader.New(set, loader.Deps{
-		Store: platform.CountedStore(set.Platform, env.Metrics), Feed: peers, Decoder: platform.Facts{}, Engine: platform.NewEngine(set.Engine),
+		Store: platform.NewStoreWithMetrics(set.Platform, env.Metrics), Feed: peers, Decoder: platform.Decoder{}, Engine: platform.NewEngine(set.Engine),
 		Origin: func(a fleet.Address) port.NumberedOrigin { return platform.NewOrigin(a) },
 		Peers:  peers, Clock: sysclock.Clock{}, Rand: sysclock.Rand{}, Metrics: env.Metrics, Log: env.Log,
 	})
