--- a/internal/app/daemon/admin.go
+++ b/internal/app/daemon/admin.go
@@ -20,15 +20,15 @@
 	return &Admin{metrics: metrics, reason: "starting"}
 }
 
-// NotReady sets the reason why the daemon serves nothing.
-func (a *Admin) NotReady(reason string) {
+// SetNotReady sets the reason why the daemon serves nothing.
+func (a *Admin) SetNotReady(reason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.reason = reason
 }
 
-// Ready marks the daemon as serving.
-func (a *Admin) Ready() { a.NotReady("") }
+// SetReady marks the daemon as serving.
+func (a *Admin) SetReady() { a.SetNotReady("") }
 
 // SetStatus sets the function that returns the value of /status.
 func (a *Admin) SetStatus(f func() any) {
--- a/internal/app/entry/run.go
+++ b/internal/app/entry/run.go
@@ -80,8 +80,8 @@
 // through which other processes exchange it.
 type Directory interface {
 	port.Directory
-	// NotReady returns the reason why this process is not ready, or "".
-	NotReady() string
+	// NotReadyReason returns the reason why this process is not ready, or "".
+	NotReadyReason() string
 	// Handler returns the handler for requests of other processes.
 	Handler() port.MemberHandler
 	// Traffic returns the bytes sent and received, by kind of message.
@@ -190,9 +190,9 @@
 	ticker := time.NewTicker(readinessInterval)
 	defer ticker.Stop()
 	for {
-		p.env.Admin.NotReady(cmp.Or(p.dir.NotReady(), "no configuration is known yet"))
+		p.env.Admin.SetNotReady(cmp.Or(p.dir.NotReadyReason(), "no configuration is known yet"))
 		if d, _ := p.dir.Declaration(); d != nil && ctx.Err() == nil {
-			p.env.Admin.Ready()
+			p.env.Admin.SetReady()
 			p.env.Log.State("ready", logging.F("revision", d.Revision))
 			break
 		}
@@ -204,13 +204,13 @@
 		}
 	}
 	<-ctx.Done()
-	p.env.Admin.NotReady("shutting down")
+	p.env.Admin.SetNotReady("shutting down")
 }
 
 // shutDown refuses new requests and waits for those in progress, up to the drain
 // timeout.
 func (p *process) shutDown() {
-	p.env.Admin.NotReady("shutting down")
+	p.env.Admin.SetNotReady("shutting down")
 	p.dir.UpdateSelf(func(m *port.MemberRecord) { m.State = port.MemberLeaving })
 	p.env.Log.State("draining", logging.F("timeout", p.cfg.Drain.String()))
 	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.Drain)
