--- a/internal/app/agent/components.go
+++ b/internal/app/agent/components.go
@@ -73,7 +73,7 @@
 	}
 	return components{
 		Weights: weightStore, Ledger: callLedger, Directory: directoryClient, Peer: weightStore, Member: directoryClient.Handler(),
-		NotReady: directoryClient.NotReady, Traffic: directoryClient.Traffic, Run: run,
+		NotReady: directoryClient.NotReadyReason, Traffic: directoryClient.Traffic, Run: run,
 	}
 }
 
--- a/internal/app/agent/run.go
+++ b/internal/app/agent/run.go
@@ -104,7 +104,7 @@
 // drain announces that the agent is leaving and waits for the requests in
 // progress, for at most the drain timeout.
 func drain(ctx context.Context, a *Agent, server *rpc.Server, c Settings, env daemon.Env) {
-	env.Admin.NotReady("leaving")
+	env.Admin.SetNotReady("leaving")
 	env.Log.State("leaving")
 	drainCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.DrainTimeout)
 	defer cancel()
@@ -120,13 +120,13 @@
 	_ = a.followStatus(ctx, heartbeatInterval, func(st port.AgentStatus) error {
 		switch {
 		case st.Leaving:
-			admin.NotReady("leaving")
+			admin.SetNotReady("leaving")
 		case st.Revision == 0:
-			admin.NotReady(cmp.Or(notReadyReason(), "no declaration known"))
+			admin.SetNotReady(cmp.Or(notReadyReason(), "no declaration known"))
 		case !st.Ready:
-			admin.NotReady("target serves nothing")
+			admin.SetNotReady("target serves nothing")
 		default:
-			admin.Ready()
+			admin.SetReady()
 		}
 		return nil
 	})
