--- a/internal/app/directory/convergence_test.go
+++ b/internal/app/directory/convergence_test.go
@@ -168,7 +168,7 @@
 	time.Sleep(20 * time.Second)
 	bytes := func() (sum int64) {
 		for _, n := range tf.nodes {
-			all := n.client.Meter.Read()[0] // the meter is shared with the server; the first kind counts whole connections
+			all := n.client.Meter.Counts()[0] // the meter is shared with the server; the first kind counts whole connections
 			sum += all.In + all.Out
 		}
 		return sum
--- a/internal/app/directory/fleet_test.go
+++ b/internal/app/directory/fleet_test.go
@@ -68,8 +68,8 @@
 type cuttableLinks struct {
 	port.MemberClient
 	port.KV
-	fleet    *testFleet
-	from fleet.Domain
+	fleet *testFleet
+	from  fleet.Domain
 }
 
 func (links cuttableLinks) wait(ctx context.Context, to fleet.Domain) error {
