--- a/internal/app/directory/fleet_test.go
+++ b/internal/app/directory/fleet_test.go
@@ -68,12 +68,12 @@
 type cuttableLinks struct {
 	port.MemberClient
 	port.KV
-	fleet *testFleet
-	from  fleet.Domain
+	tf   *testFleet
+	from fleet.Domain
 }
 
-func (links cuttableLinks) wait(ctx context.Context, to fleet.Domain) error {
-	if !links.fleet.isCut(links.from, to) {
+func (l cuttableLinks) wait(ctx context.Context, to fleet.Domain) error {
+	if !l.tf.isCut(l.from, to) {
 		return nil
 	}
 	select {
@@ -83,38 +83,38 @@
 	return errLinkCut
 }
 
-func (links cuttableLinks) Exchange(ctx context.Context, a fleet.Address, m port.ExchangeMessage) (port.ExchangeMessage, error) {
-	to, _ := links.fleet.domains.Get(a)
-	if err := links.wait(ctx, to); err != nil {
+func (l cuttableLinks) Exchange(ctx context.Context, a fleet.Address, m port.ExchangeMessage) (port.ExchangeMessage, error) {
+	to, _ := l.tf.domains.Get(a)
+	if err := l.wait(ctx, to); err != nil {
 		return port.ExchangeMessage{}, err
 	}
-	return links.MemberClient.Exchange(ctx, a, m)
+	return l.MemberClient.Exchange(ctx, a, m)
 }
 
-func (links cuttableLinks) Declaration(ctx context.Context, a fleet.Address) (port.StoredDeclaration, error) {
-	to, _ := links.fleet.domains.Get(a)
-	if err := links.wait(ctx, to); err != nil {
+func (l cuttableLinks) Declaration(ctx context.Context, a fleet.Address) (port.StoredDeclaration, error) {
+	to, _ := l.tf.domains.Get(a)
+	if err := l.wait(ctx, to); err != nil {
 		return port.StoredDeclaration{}, err
 	}
-	return links.MemberClient.Declaration(ctx, a)
+	return l.MemberClient.Declaration(ctx, a)
 }
 
-func (links cuttableLinks) Watch(ctx context.Context, k string, after int64, d time.Duration) (port.KVEntry, error) {
-	if err := links.wait(ctx, "platform"); err != nil {
+func (l cuttableLinks) Watch(ctx context.Context, k string, after int64, d time.Duration) (port.KVEntry, error) {
+	if err := l.wait(ctx, "platform"); err != nil {
 		return port.KVEntry{}, err
 	}
-	e, err := links.KV.Watch(ctx, k, after, d)
-	if links.fleet.isCut(links.from, "platform") {
+	e, err := l.KV.Watch(ctx, k, after, d)
+	if l.tf.isCut(l.from, "platform") {
 		return port.KVEntry{}, errLinkCut
 	}
 	return e, err
 }
 
-func (links cuttableLinks) Get(ctx context.Context, k string) (port.KVEntry, error) {
-	if err := links.wait(ctx, "platform"); err != nil {
+func (l cuttableLinks) Get(ctx context.Context, k string) (port.KVEntry, error) {
+	if err := l.wait(ctx, "platform"); err != nil {
 		return port.KVEntry{}, err
 	}
-	return links.KV.Get(ctx, k)
+	return l.KV.Get(ctx, k)
 }
 
 // newTestFleet starts n processes in three failure domains. Every third process
@@ -164,9 +164,9 @@
 	tf.domains.Put(self.Address, dom)
 	nd := &node{client: rpc.NewClient()}
 	tf.t.Cleanup(nd.client.Close)
-	links := cuttableLinks{nd.client, tf.kv, tf, dom}
+	l := cuttableLinks{nd.client, tf.kv, tf, dom}
 	nd.Directory = New(Config{Self: self, Seeds: seeds}, Deps{
-		KV: links, VMs: tf.kv, Members: links, Clock: sysclock.Clock{}, Rand: sysclock.Rand{}, Decode: inifile.Decode,
+		KV: l, VMs: tf.kv, Members: l, Clock: sysclock.Clock{}, Rand: sysclock.Rand{}, Decode: inifile.Decode,
 	})
 	if nd.server, err = rpc.NewServer(rpc.Handlers{Member: nd.Handler(), Meter: nd.client.Meter}); err != nil {
 		tf.t.Fatal(err)
