--- a/internal/app/ctl/change.go
+++ b/internal/app/ctl/change.go
@@ -14,7 +14,7 @@
 )
 
 // changeRow is a machine whose assignment changes.
-type changeRow struct {
+type machineChange struct {
 	Machine string `json:"machine"`
 	Domain  string `json:"domain"`
 	Old     string `json:"old"`
@@ -22,199 +22,199 @@
 }
 
 // comparison is the effect of a change on the machines.
-type comparison struct {
-	From     uint64      `json:"from_revision"`
-	Machines int         `json:"machines_known"`
-	Changes  []changeRow `json:"changes"`
+type changeEffect struct {
+	From     uint64          `json:"from_revision"`
+	Machines int             `json:"machines_known"`
+	Changes  []machineChange `json:"changes"`
 	// Refused lists the reasons of the checks, which Forced overrides.
-	Refused []string `json:"refused"`
-	Forced  bool     `json:"forced"`
+	Rejections []string `json:"refused"`
+	Forced     bool     `json:"forced"`
 }
 
-func (c comparison) write(w io.Writer) {
+func (c changeEffect) writeText(w io.Writer) {
 	fmt.Fprintf(w, "against revision %d: %d of %d known machines change\n", c.From, len(c.Changes), c.Machines)
 	if len(c.Changes) > 0 {
 		rows := [][]string{{"MACHINE", "DOMAIN", "NOW", "THEN"}}
 		for _, r := range c.Changes {
 			rows = append(rows, []string{r.Machine, r.Domain, r.Old, r.New})
 		}
-		table(w, rows)
+		writeTable(w, rows)
 	}
 	if c.Forced {
 		return
 	}
-	for _, r := range c.Refused {
+	for _, r := range c.Rejections {
 		fmt.Fprintln(w, "refused:", r)
 	}
 }
 
 // compare returns the effect of replacing cur by next.
-func compare(cur inifile.Document, next inifile.Document, ms []declare.Machine) (comparison, error) {
-	out := comparison{From: cur.Revision, Machines: len(ms), Changes: []changeRow{}, Refused: []string{}}
+func computeEffect(current inifile.Document, next inifile.Document, machines []declare.Machine) (changeEffect, error) {
+	out := changeEffect{From: current.Revision, Machines: len(machines), Changes: []machineChange{}, Rejections: []string{}}
 	after, faults := next.Declaration()
 	if len(faults) > 0 {
-		return out, exitf(ExitUsage, "new declaration: %s", faults[0])
+		return out, exitErrorf(ExitUsage, "new declaration: %s", faults[0])
 	}
 	var before *declare.Declaration
-	if cur.Revision > 0 {
+	if current.Revision > 0 {
 		// A stored document that cannot be read is replaced without checks.
-		before, _ = cur.Declaration()
+		before, _ = current.Declaration()
 	}
-	for _, c := range declare.Diff(before, after, ms) {
-		out.Changes = append(out.Changes, changeRow{
+	for _, c := range declare.Diff(before, after, machines) {
+		out.Changes = append(out.Changes, machineChange{
 			string(c.Machine.VM), string(c.Machine.Domain), c.Old.String(), c.New.String(),
 		})
 	}
-	out.Refused = append(out.Refused, declare.RejectionReasons(before, after, ms)...)
+	out.Rejections = append(out.Rejections, declare.RejectionReasons(before, after, machines)...)
 	return out, nil
 }
 
 func (s *session) diff(ctx context.Context) error {
-	config, _, err := s.parsed()
+	config, _, err := s.parseFiles()
 	if err != nil {
 		return err
 	}
-	cur, err := s.read(ctx)
+	cur, err := s.readDocument(ctx)
 	if err != nil {
 		return err
 	}
-	ms, err := s.machines(ctx)
+	ms, err := s.knownMachines(ctx)
 	if err != nil {
 		return err
 	}
 	next := cur.doc
 	next.Config = config
-	cmp, err := compare(cur.doc, next, ms)
+	effect, err := computeEffect(cur.doc, next, ms)
 	if err != nil {
 		return err
 	}
-	return s.print(cmp, cmp.write)
+	return s.print(effect, effect.writeText)
 }
 
 // applied is the result of a change.
-type applied struct {
-	Revision uint64     `json:"revision"`
-	WriteID  string     `json:"write_id"`
-	Effect   comparison `json:"effect"`
-	Wait     *waited    `json:"wait,omitempty"`
-	Unseen   []process  `json:"unseen"`
+type applyResult struct {
+	Revision uint64       `json:"revision"`
+	WriteID  string       `json:"write_id"`
+	Effect   changeEffect `json:"effect"`
+	Wait     *waitResult  `json:"wait,omitempty"`
+	Unseen   []process    `json:"unseen"`
 }
 
 // canWait refuses --wait without a peer before anything is changed.
-func (s *session) canWait() error {
+func (s *session) checkWaitFlag() error {
 	if s.c.Bool("wait") && len(s.peers) == 0 {
-		return exitf(ExitUsage, "--wait needs --peer")
+		return exitErrorf(ExitUsage, "--wait needs --peer")
 	}
 	return nil
 }
 
 func (s *session) apply(ctx context.Context) error {
-	if err := s.canWait(); err != nil {
+	if err := s.checkWaitFlag(); err != nil {
 		return err
 	}
-	config, _, err := s.parsed()
+	config, _, err := s.parseFiles()
 	if err != nil {
 		return err
 	}
-	cur, err := s.read(ctx)
+	cur, err := s.readDocument(ctx)
 	if err != nil {
 		return err
 	}
 	if s.c.IsSet("revision") && cur.doc.Revision != s.c.Uint64("revision") {
-		return s.wrongBase(s.c.Uint64("revision"), cur)
+		return s.baseConflict(s.c.Uint64("revision"), cur)
 	}
-	next := cur.doc.Next(s.newRecord("apply " + strings.Join(s.c.Args().Slice(), " ")))
+	next := cur.doc.Next(s.newChangeRecord("apply " + strings.Join(s.c.Args().Slice(), " ")))
 	next.Config = config
-	cmp, err := s.check(ctx, cur.doc, next, true)
+	effect, err := s.checkEffect(ctx, cur.doc, next, true)
 	if err != nil {
 		return err
 	}
-	var c conflict
-	err = s.write(ctx, cur, next)
+	var c conflictError
+	err = s.writeDocument(ctx, cur, next)
 	if errors.As(err, &c) {
-		return s.showConflict(cur.doc.Revision, c.now.doc, c)
+		return s.printConflict(cur.doc.Revision, c.now.doc, c)
 	}
 	if err != nil {
 		return err
 	}
-	return s.finish(ctx, next, cmp)
+	return s.reportChange(ctx, next, effect)
 }
 
 // check refuses a change that leaves a group without a machine or a version. If
 // no peer answers, a strict check refuses as well; a cordon may not wait for
 // that.
-func (s *session) check(ctx context.Context, cur, next inifile.Document, strict bool) (comparison, error) {
-	ms, err := s.machines(ctx)
+func (s *session) checkEffect(ctx context.Context, cur, next inifile.Document, strict bool) (changeEffect, error) {
+	machines, err := s.knownMachines(ctx)
 	switch {
 	case err != nil && strict && !s.c.Bool("force"):
-		return comparison{}, errors.Wrap(err, "cannot check the effect on machines (--force applies without)")
+		return changeEffect{}, errors.Wrap(err, "cannot check the effect on machines (--force applies without)")
 	case err != nil:
 		s.warn("the effect on machines is not checked: %v", err)
 	}
-	cmp, err := compare(cur, next, ms)
-	if err != nil || len(cmp.Refused) == 0 {
-		return cmp, err
+	effect, err := computeEffect(cur, next, machines)
+	if err != nil || len(effect.Rejections) == 0 {
+		return effect, err
 	}
 	if s.c.Bool("force") {
-		for _, r := range cmp.Refused {
+		for _, r := range effect.Rejections {
 			s.warn("%s", r)
 		}
-		cmp.Forced = true
-		return cmp, nil
+		effect.Forced = true
+		return effect, nil
 	}
-	if err := s.print(cmp, cmp.write); err != nil {
-		return cmp, err
+	if err := s.print(effect, effect.writeText); err != nil {
+		return effect, err
 	}
-	return cmp, exitf(ExitRefused, "refused by a check; --force applies it all the same")
+	return effect, exitErrorf(ExitRefused, "refused by a check; --force applies it all the same")
 }
 
 // wrongBase refuses a change that is based on another revision than the one in
 // the platform. One above it is no conflict between operators.
-func (s *session) wrongBase(base uint64, cur current) error {
+func (s *session) baseConflict(base uint64, cur storedDocument) error {
 	if base > cur.doc.Revision {
-		return exitf(ExitConflict, "revision %d does not exist yet; the declaration is at revision %d", base, cur.doc.Revision)
+		return exitErrorf(ExitConflict, "revision %d does not exist yet; the declaration is at revision %d", base, cur.doc.Revision)
 	}
-	return s.showConflict(base, cur.doc, conflict{cur})
+	return s.printConflict(base, cur.doc, conflictError{cur})
 }
 
 // showConflict prints what changed since the revision that the operator saw.
-func (s *session) showConflict(seen uint64, now inifile.Document, c conflict) error {
+func (s *session) printConflict(base uint64, now inifile.Document, c conflictError) error {
 	others := []inifile.ChangeRecord{}
 	for _, r := range now.History {
-		if r.Revision > seen {
+		if r.Revision > base {
 			others = append(others, r)
 		}
 	}
-	v := map[string]any{"seen_revision": seen, "revision": now.Revision, "changes": others, "config": now.Config}
-	err := s.print(v, func(w io.Writer) {
-		fmt.Fprintf(w, "the declaration is at revision %d, not %d\n", now.Revision, seen)
+	out := map[string]any{"seen_revision": base, "revision": now.Revision, "changes": others, "config": now.Config}
+	err := s.print(out, func(w io.Writer) {
+		fmt.Fprintf(w, "the declaration is at revision %d, not %d\n", now.Revision, base)
 		writeHistory(w, others)
 	})
 	if err != nil {
 		return err
 	}
-	return exit(ExitConflict, c)
+	return withExitCode(ExitConflict, c)
 }
 
 // finish reports an accepted change, after waiting if that was asked for.
-func (s *session) finish(ctx context.Context, next inifile.Document, cmp comparison) error {
-	out := applied{Revision: next.Revision, WriteID: next.WriteID, Effect: cmp, Unseen: []process{}}
+func (s *session) reportChange(ctx context.Context, next inifile.Document, effect changeEffect) error {
+	result := applyResult{Revision: next.Revision, WriteID: next.WriteID, Effect: effect, Unseen: []process{}}
 	var failed error
 	if s.c.Bool("wait") {
-		w, err := s.wait(ctx, next.Revision)
-		out.Wait, failed = &w, err
+		waited, err := s.waitInForce(ctx, next.Revision)
+		result.Wait, failed = &waited, err
 	}
-	if v, err := s.look(ctx); err == nil {
-		out.Unseen = slices.DeleteFunc(v.Processes, process.seen)
+	if members, err := s.readMembers(ctx); err == nil {
+		result.Unseen = slices.DeleteFunc(members.Processes, process.visible)
 	}
-	err := s.print(out, func(w io.Writer) {
-		fmt.Fprintf(w, "revision %d is accepted\n", out.Revision)
-		cmp.write(w)
-		if out.Wait != nil {
-			out.Wait.write(w)
+	err := s.print(result, func(waited io.Writer) {
+		fmt.Fprintf(waited, "revision %d is accepted\n", result.Revision)
+		effect.writeText(waited)
+		if result.Wait != nil {
+			result.Wait.writeText(waited)
 		}
 	})
-	for _, p := range out.Unseen {
+	for _, p := range result.Unseen {
 		s.warn("%s was not heard of for %.0f s; the change is not confirmed there (revision %d)", p.ID, p.HeardSeconds, p.Revision)
 	}
 	if err != nil {
@@ -225,44 +225,44 @@
 
 // cordon sets or lifts a cordon. Cordons of two operators do not contradict
 // each other, so a lost race is tried again.
-func (s *session) cordon(ctx context.Context, on bool) error {
+func (s *session) cordon(ctx context.Context, cordoned bool) error {
 	kind, name := s.c.Args().Get(0), s.c.Args().Get(1)
 	if s.c.Args().Len() != 2 || kind != "domain" && kind != "vm" {
-		return exitf(ExitUsage, "expected domain NAME or vm NAME")
+		return exitErrorf(ExitUsage, "expected domain NAME or vm NAME")
 	}
-	if err := s.canWait(); err != nil {
+	if err := s.checkWaitFlag(); err != nil {
 		return err
 	}
-	verb := map[bool]string{true: "cordon", false: "uncordon"}[on]
-	rec := s.newRecord(fmt.Sprintf("%s %s %s", verb, kind, name))
+	verb := map[bool]string{true: "cordon", false: "uncordon"}[cordoned]
+	rec := s.newChangeRecord(fmt.Sprintf("%s %s %s", verb, kind, name))
 	for {
-		cur, err := s.read(ctx)
+		cur, err := s.readDocument(ctx)
 		if err != nil {
 			return err
 		}
 		if cur.doc.Revision == 0 {
-			return exitf(ExitFailed, "no declaration has been applied")
+			return exitErrorf(ExitFailed, "no declaration has been applied")
 		}
-		if err := s.knownName(ctx, cur.doc, kind, name, on); err != nil {
+		if err := s.checkNameKnown(ctx, cur.doc, kind, name, cordoned); err != nil {
 			return err
 		}
 		next := cur.doc.Next(rec)
 		if kind == "domain" {
-			next.CordonedDomains = inifile.Cordon(next.CordonedDomains, name, on)
+			next.CordonedDomains = inifile.Cordon(next.CordonedDomains, name, cordoned)
 		} else {
-			next.CordonedVMs = inifile.Cordon(next.CordonedVMs, name, on)
+			next.CordonedVMs = inifile.Cordon(next.CordonedVMs, name, cordoned)
 		}
-		cmp, err := s.check(ctx, cur.doc, next, false)
+		effect, err := s.checkEffect(ctx, cur.doc, next, false)
 		if err != nil {
 			return err
 		}
-		var c conflict
-		if err = s.write(ctx, cur, next); errors.As(err, &c) {
+		var c conflictError
+		if err = s.writeDocument(ctx, cur, next); errors.As(err, &c) {
 			continue
 		}
 		if err != nil {
 			return err
 		}
-		return s.finish(ctx, next, cmp)
+		return s.reportChange(ctx, next, effect)
 	}
 }
--- a/internal/app/ctl/ctl.go
+++ b/internal/app/ctl/ctl.go
@@ -51,14 +51,14 @@
 
 func (e exitError) Unwrap() error { return e.error }
 
-func exit(code int, err error) error {
+func withExitCode(code int, err error) error {
 	if err == nil {
 		return nil
 	}
 	return exitError{code, err}
 }
 
-func exitf(code int, format string, args ...any) error {
+func exitErrorf(code int, format string, args ...any) error {
 	return exitError{code, errors.Errorf(format, args...)}
 }
 
@@ -95,33 +95,33 @@
 		Writer:         d.Out,
 		ErrWriter:      d.Err,
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
-		OnUsageError:   onUsage,
+		OnUsageError:   onUsageError,
 		Flags:          globalFlags(d),
 		Action: func(_ context.Context, c *cli.Command) error {
 			_ = cli.ShowAppHelp(c)
 			if c.Args().Present() {
-				return exitf(ExitUsage, "unknown command %q", c.Args().First())
+				return exitErrorf(ExitUsage, "unknown command %q", c.Args().First())
 			}
-			return exitf(ExitUsage, "a command is required")
+			return exitErrorf(ExitUsage, "a command is required")
 		},
 		Commands: []*cli.Command{
 			{
 				Name: "validate", Usage: "check files and report every fault", ArgsUsage: "DIR|FILE...",
-				Description: "Example:\n  masticwingctl validate config/", OnUsageError: onUsage, Action: run(d, (*session).validate),
+				Description: "Example:\n  masticwingctl validate config/", OnUsageError: onUsageError, Action: run(d, (*session).validate),
 			},
 			{
 				Name: "diff", Usage: "show the machines whose assignment files would change", ArgsUsage: "DIR|FILE...",
-				Description: "Example:\n  masticwingctl diff config/ --peer 10.0.1.1:7100", OnUsageError: onUsage,
+				Description: "Example:\n  masticwingctl diff config/ --peer 10.0.1.1:7100", OnUsageError: onUsageError,
 				Action: run(d, (*session).diff),
 			},
 			applyCommand(d),
 			{
-				Name: "get", Usage: "print the declaration in force", OnUsageError: onUsage, Action: run(d, (*session).get),
+				Name: "get", Usage: "print the declaration in force", OnUsageError: onUsageError, Action: run(d, (*session).get),
 				Description: "Example:\n  masticwingctl get > current.ini",
 			},
 			statusCommand(d),
 			{
-				Name: "history", Usage: "list the last changes", OnUsageError: onUsage, Action: run(d, (*session).history),
+				Name: "history", Usage: "list the last changes", OnUsageError: onUsageError, Action: run(d, (*session).history),
 				Description: "Example:\n  masticwingctl history --output json",
 			},
 			explainCommand(d),
@@ -152,7 +152,7 @@
 
 func applyCommand(d Deps) *cli.Command {
 	return &cli.Command{
-		Name: "apply", Usage: "put files in force", ArgsUsage: "DIR|FILE...", OnUsageError: onUsage,
+		Name: "apply", Usage: "put files in force", ArgsUsage: "DIR|FILE...", OnUsageError: onUsageError,
 		Description: "Examples:\n  masticwingctl apply config/ --wait\n  masticwingctl apply config/ --revision 41\n\n" +
 			"The change takes effect only if nobody else has changed the declaration since\n" +
 			"the revision given, or since this command read it.",
@@ -161,18 +161,18 @@
 	}
 }
 
-func cordonCommand(d Deps, name, usage string, on bool) *cli.Command {
+func cordonCommand(d Deps, name, usage string, cordoned bool) *cli.Command {
 	return &cli.Command{
-		Name: name, Usage: usage, ArgsUsage: "domain|vm NAME", OnUsageError: onUsage,
+		Name: name, Usage: usage, ArgsUsage: "domain|vm NAME", OnUsageError: onUsageError,
 		Description: "Examples:\n  masticwingctl " + name + " domain a --wait\n  masticwingctl " + name + " vm a-w1",
 		Flags:       waitFlags(),
-		Action:      run(d, func(s *session, ctx context.Context) error { return s.cordon(ctx, on) }),
+		Action:      run(d, func(s *session, ctx context.Context) error { return s.cordon(ctx, cordoned) }),
 	}
 }
 
 func statusCommand(d Deps) *cli.Command {
 	return &cli.Command{
-		Name: "status", Usage: "show the revision of every process and the progress of every group", OnUsageError: onUsage,
+		Name: "status", Usage: "show the revision of every process and the progress of every group", OnUsageError: onUsageError,
 		Description: "Examples:\n  masticwingctl status --peer 10.0.1.1:7100,10.0.2.1:7100\n  masticwingctl status --watch",
 		Flags: []cli.Flag{
 			&cli.BoolFlag{Name: "watch", Usage: "repeat until interrupted"},
@@ -182,4 +182,6 @@
 	}
 }
 
-func onUsage(_ context.Context, _ *cli.Command, err error, _ bool) error { return exit(ExitUsage, err) }
+func onUsageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
+	return withExitCode(ExitUsage, err)
+}
--- a/internal/app/ctl/race_test.go
+++ b/internal/app/ctl/race_test.go
@@ -16,26 +16,26 @@
 
 // TestLostAnswer guards against reporting a change as failed, or making it
 // twice, when the platform's answer to the write is lost.
-func TestLostAnswer(t *testing.T) {
-	r := newRig(t)
-	r.file("main.ini", config("one"))
-	r.faults(`{"lose_write_answers": 1}`)
+func TestLostWriteResponse(t *testing.T) {
+	h := newHarness(t)
+	h.writeFile("main.ini", config("one"))
+	h.setFaults(`{"lose_write_answers": 1}`)
 	var out bytes.Buffer
 	for want := uint64(1); want <= 3; want++ {
 		out.Reset()
-		if code := r.exec(&out, &out, "apply main.ini --output json"); code != ExitDone {
+		if code := h.exec(&out, &out, "apply main.ini --output json"); code != ExitDone {
 			t.Fatalf("exit %d: %s", code, out.String())
 		}
-		if rev := r.revision(t); rev != want {
+		if rev := h.currentRevision(t); rev != want {
 			t.Fatalf("revision %d, want %d", rev, want)
 		}
 	}
 }
 
-func (r *rig) revision(t *testing.T) uint64 {
+func (h *harness) currentRevision(t *testing.T) uint64 {
 	t.Helper()
 	var out bytes.Buffer
-	if code := r.exec(&out, io.Discard, "get --output json"); code != ExitDone {
+	if code := h.exec(&out, io.Discard, "get --output json"); code != ExitDone {
 		t.Fatalf("get: exit %d", code)
 	}
 	var doc struct{ Revision uint64 }
@@ -46,7 +46,7 @@
 }
 
 // action is what an operator did: apply a change based on a revision, or get.
-type action struct {
+type operation struct {
 	apply bool
 	base  uint64
 }
@@ -60,10 +60,10 @@
 // register is the declaration as operators may see it: a change based on the
 // revision in force raises it by one, any other change is a conflict. A change
 // whose outcome is unknown may have taken effect at any later time.
-var register = porcupine.NondeterministicModel{
+var revisionModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, in, out any) []any {
-		rev, a, res := state.(uint64), in.(action), out.(result)
+		rev, a, res := state.(uint64), in.(operation), out.(result)
 		switch {
 		case !a.apply && res.rev == rev, a.apply && res.code == ExitConflict && a.base != rev:
 			return []any{rev}
@@ -83,17 +83,17 @@
 // change to the same revision took effect, with answers of the platform lost.
 func TestOperatorsRace(t *testing.T) {
 	const operators, rounds = 5, 12
-	r := newRig(t)
-	r.file("main.ini", config("one"))
+	h := newHarness(t)
+	h.writeFile("main.ini", config("one"))
 	var out bytes.Buffer
-	if code := r.exec(&out, &out, "apply main.ini"); code != ExitDone {
+	if code := h.exec(&out, &out, "apply main.ini"); code != ExitDone {
 		t.Fatal(out.String())
 	}
-	r.faults(`{"lose_write_answers": 0.4, "delay_ms": 2}`)
+	h.setFaults(`{"lose_write_answers": 0.4, "delay_ms": 2}`)
 	start := time.Now()
 	var mu sync.Mutex
-	history := []porcupine.Operation{{Input: action{apply: true}, Output: result{ExitDone, 1}, Call: -2, Return: -1}}
-	note := func(id int, in action, f func() result) result {
+	history := []porcupine.Operation{{Input: operation{apply: true}, Output: result{ExitDone, 1}, Call: -2, Return: -1}}
+	recordOperation := func(id int, in operation, f func() result) result {
 		call := time.Since(start).Nanoseconds()
 		res := f()
 		ret := time.Since(start).Nanoseconds()
@@ -109,9 +109,9 @@
 	for id := range operators {
 		wg.Go(func() {
 			for range rounds {
-				seen := note(id, action{}, func() result { return result{ExitDone, r.revision(t)} })
-				in := action{apply: true, base: seen.rev}
-				note(id, in, func() result { return r.applyAt(seen.rev) })
+				seen := recordOperation(id, operation{}, func() result { return result{ExitDone, h.currentRevision(t)} })
+				in := operation{apply: true, base: seen.rev}
+				recordOperation(id, in, func() result { return h.applyAt(seen.rev) })
 			}
 		})
 	}
@@ -124,14 +124,14 @@
 	if counts[ExitConflict] == 0 {
 		t.Error("no two operators met")
 	}
-	if porcupine.CheckOperationsTimeout(register.ToModel(), history, 10*time.Second) != porcupine.Ok {
+	if porcupine.CheckOperationsTimeout(revisionModel.ToModel(), history, 10*time.Second) != porcupine.Ok {
 		t.Error("history is not linearizable")
 	}
 }
 
-func (r *rig) applyAt(base uint64) result {
+func (h *harness) applyAt(base uint64) result {
 	var out bytes.Buffer
-	code := r.exec(&out, io.Discard, fmt.Sprintf("apply main.ini --output json --revision %d", base))
+	code := h.exec(&out, io.Discard, fmt.Sprintf("apply main.ini --output json --revision %d", base))
 	var v struct{ Revision uint64 }
 	if code == ExitDone {
 		_ = json.NewDecoder(strings.NewReader(out.String())).Decode(&v)
--- a/internal/app/ctl/session.go
+++ b/internal/app/ctl/session.go
@@ -36,28 +36,28 @@
 		case "json":
 			s.json = true
 		default:
-			return exitf(ExitUsage, "--output must be text or json, is %q", c.String("output"))
+			return exitErrorf(ExitUsage, "--output must be text or json, is %q", c.String("output"))
 		}
 		for _, p := range strings.Split(c.String("peer"), ",") {
 			if p = strings.TrimSpace(p); p == "" {
 				continue
 			}
 			if _, err := netip.ParseAddrPort(p); err != nil {
-				return exitf(ExitUsage, "--peer must be IP:PORT,..., is %q", p)
+				return exitErrorf(ExitUsage, "--peer must be IP:PORT,..., is %q", p)
 			}
 			s.peers = append(s.peers, fleet.Address(p))
 		}
-		return exitAny(f(s, ctx))
+		return ensureExitCode(f(s, ctx))
 	}
 }
 
 // exitAny gives errors without a code the one for a failure.
-func exitAny(err error) error {
+func ensureExitCode(err error) error {
 	var e exitError
 	if err == nil || errors.As(err, &e) {
 		return err
 	}
-	return exit(ExitFailed, err)
+	return withExitCode(ExitFailed, err)
 }
 
 // print writes v as JSON, or as the text that f writes.
@@ -76,10 +76,10 @@
 }
 
 // files reads the files named on the command line.
-func (s *session) files() ([]inifile.File, error) {
+func (s *session) readFiles() ([]inifile.File, error) {
 	args := s.c.Args().Slice()
 	if len(args) == 0 {
-		return nil, exitf(ExitUsage, "a directory or file is required")
+		return nil, exitErrorf(ExitUsage, "a directory or file is required")
 	}
 	var out []inifile.File
 	for _, a := range args {
@@ -87,14 +87,14 @@
 		if info, err := os.Stat(a); err == nil && info.IsDir() {
 			names, _ = filepath.Glob(filepath.Join(a, "*.ini"))
 			if len(names) == 0 {
-				return nil, exitf(ExitUsage, "no .ini file in %s", a)
+				return nil, exitErrorf(ExitUsage, "no .ini file in %s", a)
 			}
 			slices.Sort(names)
 		}
 		for _, n := range names {
 			b, err := os.ReadFile(n)
 			if err != nil {
-				return nil, exit(ExitUsage, errors.Wrap(err, "reading file"))
+				return nil, withExitCode(ExitUsage, errors.Wrap(err, "reading file"))
 			}
 			out = append(out, inifile.File{Name: n, Text: string(b)})
 		}
@@ -103,8 +103,8 @@
 }
 
 // parsed reads and checks the files named on the command line.
-func (s *session) parsed() (string, *declare.Declaration, error) {
-	files, err := s.files()
+func (s *session) parseFiles() (string, *declare.Declaration, error) {
+	files, err := s.readFiles()
 	if err != nil {
 		return "", nil, err
 	}
@@ -120,11 +120,11 @@
 	if err != nil {
 		return "", nil, err
 	}
-	return "", nil, exitf(ExitUsage, "%d faults", len(faults))
+	return "", nil, exitErrorf(ExitUsage, "%d faults", len(faults))
 }
 
 func (s *session) validate(context.Context) error {
-	_, d, err := s.parsed()
+	_, d, err := s.parseFiles()
 	if err != nil {
 		return err
 	}
@@ -139,12 +139,12 @@
 }
 
 func (s *session) get(ctx context.Context) error {
-	cur, err := s.read(ctx)
+	cur, err := s.readDocument(ctx)
 	if err != nil {
 		return err
 	}
 	if cur.doc.Revision == 0 {
-		return exitf(ExitFailed, "no declaration has been applied")
+		return exitErrorf(ExitFailed, "no declaration has been applied")
 	}
 	return s.print(cur.doc, func(w io.Writer) {
 		fmt.Fprintf(w, "; revision %d\n", cur.doc.Revision)
@@ -159,7 +159,7 @@
 }
 
 func (s *session) history(ctx context.Context) error {
-	cur, err := s.read(ctx)
+	cur, err := s.readDocument(ctx)
 	if err != nil {
 		return err
 	}
@@ -171,5 +171,5 @@
 	for _, c := range slices.Backward(cs) {
 		rows = append(rows, []string{fmt.Sprint(c.Revision), c.Time.UTC().Format("2006-01-02T15:04:05Z"), c.Operator, c.Summary, c.WriteID})
 	}
-	table(w, rows)
+	writeTable(w, rows)
 }
--- a/internal/app/ctl/status.go
+++ b/internal/app/ctl/status.go
@@ -17,7 +17,7 @@
 
 // spreadRow is how far the machines of a group in one failure domain are with
 // a version.
-type spreadRow struct {
+type groupProgress struct {
 	Group    string `json:"group"`
 	Version  string `json:"version"`
 	Domain   string `json:"domain"`
@@ -40,49 +40,49 @@
 
 // statusView is what status shows.
 type statusView struct {
-	view
-	Slowest string      `json:"slowest"`
-	Unseen  []process   `json:"unseen"`
-	Groups  []spreadRow `json:"groups"`
+	memberTable
+	Slowest string          `json:"slowest"`
+	Unseen  []process       `json:"unseen"`
+	Groups  []groupProgress `json:"groups"`
 }
 
 func (s *session) status(ctx context.Context) error {
-	v, err := s.lookClosely(ctx)
+	v, err := s.readMembersWithRevisions(ctx)
 	if err != nil {
 		return err
 	}
-	every := s.c.Duration("interval")
+	interval := s.c.Duration("interval")
 	out := summarize(v, nil, 0)
 	if !s.c.Bool("watch") && out.unfinished() {
 		// Rates need a second look.
-		if !s.after(ctx, every) {
+		if !s.sleep(ctx, interval) {
 			return ctx.Err()
 		}
-		next, err := s.lookClosely(ctx)
+		next, err := s.readMembersWithRevisions(ctx)
 		if err != nil {
 			return err
 		}
-		out = summarize(next, &v, every)
+		out = summarize(next, &v, interval)
 	}
-	if err := s.print(out, out.write); err != nil || !s.c.Bool("watch") {
+	if err := s.print(out, out.writeText); err != nil || !s.c.Bool("watch") {
 		return err
 	}
-	for s.after(ctx, every) {
-		next, err := s.lookClosely(ctx)
+	for s.sleep(ctx, interval) {
+		next, err := s.readMembersWithRevisions(ctx)
 		if err != nil {
 			s.warn("%v", err)
 			continue
 		}
-		out = summarize(next, &v, every)
+		out = summarize(next, &v, interval)
 		v = next
-		if err := s.print(out, out.write); err != nil {
+		if err := s.print(out, out.writeText); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *session) after(ctx context.Context, d time.Duration) bool {
+func (s *session) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -92,30 +92,30 @@
 }
 
 func (v statusView) unfinished() bool {
-	return slices.ContainsFunc(v.Groups, func(r spreadRow) bool { return r.Done < r.Machines })
+	return slices.ContainsFunc(v.Groups, func(r groupProgress) bool { return r.Done < r.Machines })
 }
 
 // summarize groups the member table. before is an earlier look, or nil.
-func summarize(v view, before *view, between time.Duration) statusView {
-	out := statusView{view: v, Unseen: []process{}}
-	low := uint64(0)
+func summarize(v memberTable, before *memberTable, elapsed time.Duration) statusView {
+	out := statusView{memberTable: v, Unseen: []process{}}
+	lowest := uint64(0)
 	for _, p := range v.Processes {
 		switch {
-		case !p.seen():
+		case !p.visible():
 			out.Unseen = append(out.Unseen, p)
-		case out.Slowest == "" || p.Revision < low:
-			out.Slowest, low = p.ID, p.Revision
+		case out.Slowest == "" || p.Revision < lowest:
+			out.Slowest, lowest = p.ID, p.Revision
 		}
 	}
-	had := map[string]int64{}
+	earlierBytes := map[string]int64{}
 	if before != nil {
 		for _, p := range before.Processes {
 			if p.record.Status != nil {
-				had[p.ID+"/"+string(p.record.Status.Progress.Target)] = bytesHeld(p.record.Status.Progress)
+				earlierBytes[p.ID+"/"+string(p.record.Status.Progress.Target)] = bytesHeld(p.record.Status.Progress)
 			}
 		}
 	}
-	out.Groups = spread(v, had, before != nil, between)
+	out.Groups = progressByGroup(v, earlierBytes, before != nil, elapsed)
 	return out
 }
 
@@ -127,29 +127,29 @@
 	return p.BytesTotal / int64(p.Chunks) * int64(p.ChunksHave)
 }
 
-func spread(v view, had map[string]int64, rated bool, between time.Duration) []spreadRow {
-	rows := map[string]*spreadRow{}
+func progressByGroup(v memberTable, earlierBytes map[string]int64, ratesKnown bool, elapsed time.Duration) []groupProgress {
+	rows := map[string]*groupProgress{}
 	for _, p := range v.Processes {
-		st := p.record.Status
-		if st == nil || st.Group == "" || !p.seen() {
+		status := p.record.Status
+		if status == nil || status.Group == "" || !p.visible() {
 			continue
 		}
-		target := st.Progress.Target
+		target := status.Progress.Target
 		if target == "" {
-			target = st.Version
+			target = status.Version
 		}
-		key := strings.Join([]string{string(st.Group), string(target), p.Domain}, "/")
+		key := strings.Join([]string{string(status.Group), string(target), p.Domain}, "/")
 		r := rows[key]
 		if r == nil {
-			r = &spreadRow{Group: string(st.Group), Version: string(target), Domain: p.Domain, Rate: -1, LeftSeconds: -1, Stuck: []stuckMachine{}}
-			if rated {
+			r = &groupProgress{Group: string(status.Group), Version: string(target), Domain: p.Domain, Rate: -1, LeftSeconds: -1, Stuck: []stuckMachine{}}
+			if ratesKnown {
 				r.Rate = 0
 			}
 			rows[key] = r
 		}
-		r.add(p, target, had, between)
+		r.addMachine(p, target, earlierBytes, elapsed)
 	}
-	out := []spreadRow{}
+	out := []groupProgress{}
 	for _, k := range slices.Sorted(maps.Keys(rows)) {
 		r := rows[k]
 		if r.Rate > 0 {
@@ -161,54 +161,54 @@
 }
 
 // add counts one machine.
-func (r *spreadRow) add(p process, target fleet.Version, had map[string]int64, between time.Duration) {
-	st := p.record.Status
-	held := bytesHeld(st.Progress)
+func (r *groupProgress) addMachine(p process, target fleet.Version, earlierBytes map[string]int64, elapsed time.Duration) {
+	status := p.record.Status
+	held := bytesHeld(status.Progress)
 	r.Machines++
 	r.Bytes += held
-	r.Total += st.Progress.BytesTotal
-	before, known := had[p.ID+"/"+string(target)]
-	if r.Rate >= 0 && known && between > 0 {
-		r.Rate += float64(max(0, held-before)) / between.Seconds()
+	r.Total += status.Progress.BytesTotal
+	before, known := earlierBytes[p.ID+"/"+string(target)]
+	if r.Rate >= 0 && known && elapsed > 0 {
+		r.Rate += float64(max(0, held-before)) / elapsed.Seconds()
 	}
 	switch {
-	case st.Version == target && target != "":
+	case status.Version == target && target != "":
 		r.Done++
-	case st.Progress.Reason != "":
-		r.Stuck = append(r.Stuck, stuckMachine{p.ID, st.Progress.Reason})
+	case status.Progress.Reason != "":
+		r.Stuck = append(r.Stuck, stuckMachine{p.ID, status.Progress.Reason})
 	case known && held == before:
-		r.Stuck = append(r.Stuck, stuckMachine{p.ID, "no progress in state " + cmp.Or(st.Progress.State, "unknown")})
+		r.Stuck = append(r.Stuck, stuckMachine{p.ID, "no progress in state " + cmp.Or(status.Progress.State, "unknown")})
 	}
 }
 
-func (v statusView) write(w io.Writer) {
+func (v statusView) writeText(w io.Writer) {
 	behind := 0
 	for _, p := range v.Processes {
-		if p.seen() && p.Revision < v.Revision {
+		if p.visible() && p.Revision < v.Revision {
 			behind++
 		}
 	}
 	fmt.Fprintf(w, "revision %d, confirmed %s; %d processes, %d behind, %d unseen\n",
-		v.Revision, ago(v.AgeSeconds), len(v.Processes), behind, len(v.Unseen))
+		v.Revision, formatAgo(v.AgeSeconds), len(v.Processes), behind, len(v.Unseen))
 	rows := [][]string{{"PROCESS", "KIND", "DOMAIN", "REVISION", "STATE"}}
 	for _, p := range v.Processes {
 		rows = append(rows, []string{p.ID, p.Kind, p.Domain, fmt.Sprint(p.Revision), p.State})
 	}
-	table(w, rows)
+	writeTable(w, rows)
 	if behind > 0 {
 		fmt.Fprintf(w, "slowest: %s\n", v.Slowest)
 	}
 	for _, p := range v.Unseen {
-		fmt.Fprintf(w, "unseen: %s, last at revision %d, heard %s\n", p.ID, p.Revision, ago(p.HeardSeconds))
+		fmt.Fprintf(w, "unseen: %s, last at revision %d, heard %s\n", p.ID, p.Revision, formatAgo(p.HeardSeconds))
 	}
 	if len(v.Groups) == 0 {
 		return
 	}
 	rows = [][]string{{"GROUP", "VERSION", "DOMAIN", "DONE", "BYTES", "RATE", "LEFT", "STUCK"}}
 	for _, r := range v.Groups {
-		rows = append(rows, r.cells())
+		rows = append(rows, r.row())
 	}
-	table(w, rows)
+	writeTable(w, rows)
 	for _, r := range v.Groups {
 		for _, x := range r.Stuck {
 			fmt.Fprintf(w, "stuck: %s: %s\n", x.Machine, x.Reason)
@@ -216,22 +216,22 @@
 	}
 }
 
-func (r spreadRow) cells() []string {
+func (r groupProgress) row() []string {
 	rate, left := "-", "-"
 	if r.Rate >= 0 {
-		rate = size(int64(r.Rate)) + "/s"
+		rate = formatSize(int64(r.Rate)) + "/s"
 	}
 	if r.LeftSeconds >= 0 {
 		left = time.Duration(r.LeftSeconds * float64(time.Second)).Round(time.Second).String()
 	}
 	return []string{
 		r.Group, fmt.Sprintf("%.12s", cmp.Or(r.Version, "-")), r.Domain, fmt.Sprintf("%d/%d", r.Done, r.Machines),
-		size(r.Bytes) + "/" + size(r.Total), rate, left, fmt.Sprint(len(r.Stuck)),
+		formatSize(r.Bytes) + "/" + formatSize(r.Total), rate, left, fmt.Sprint(len(r.Stuck)),
 	}
 }
 
 // size rounds to one decimal, so that odd numbers of bytes stay readable.
-func size(n int64) string {
+func formatSize(n int64) string {
 	for _, u := range []struct {
 		name  string
 		bytes int64
@@ -243,14 +243,14 @@
 	return settings.FormatBytes(n)
 }
 
-func ago(seconds float64) string {
+func formatAgo(seconds float64) string {
 	if seconds < 0 {
 		return "never"
 	}
 	return time.Duration(seconds*float64(time.Second)).Round(time.Second).String() + " ago"
 }
 
-func (w waited) write(out io.Writer) {
+func (w waitResult) writeText(out io.Writer) {
 	if w.Done {
 		fmt.Fprintf(out, "in force at every visible process after %.2f s", w.Seconds)
 		if w.Slowest != "" {
--- a/internal/app/ctl/store.go
+++ b/internal/app/ctl/store.go
@@ -18,75 +18,75 @@
 
 // retryPause is the pause between two calls of a platform that does not
 // answer.
-const retryPause = 200 * time.Millisecond
+const retryDelay = 200 * time.Millisecond
 
 // current is the stored document with the platform's revision of the key.
-type current struct {
-	doc inifile.Document
-	rev int64
+type storedDocument struct {
+	doc              inifile.Document
+	platformRevision int64
 }
 
 // errOutcome means that a write may have taken effect and that the platform
 // did not tell in time.
-var errOutcome = errors.New("outcome of the change is unknown")
+var errUnknownOutcome = errors.New("outcome of the change is unknown")
 
 func (s *session) kv() (port.KV, error) {
 	a := s.c.String("platform")
 	if _, err := netip.ParseAddrPort(a); err != nil {
-		return nil, exitf(ExitUsage, "--platform must be IP:PORT, is %q", a)
+		return nil, exitErrorf(ExitUsage, "--platform must be IP:PORT, is %q", a)
 	}
 	return s.KV(fleet.Address(a)), nil
 }
 
 // read returns the document, tried until the timeout. Revision 0 means that
 // there is none.
-func (s *session) read(ctx context.Context) (current, error) {
+func (s *session) readDocument(ctx context.Context) (storedDocument, error) {
 	kv, err := s.kv()
 	if err != nil {
-		return current{}, err
+		return storedDocument{}, err
 	}
 	until := s.deadline()
 	for {
-		c, err := readOnce(ctx, kv)
+		c, err := readDocumentOnce(ctx, kv)
 		if err == nil || !errors.Is(err, port.ErrUnavailable) {
 			return c, err
 		}
-		if !s.pause(ctx, until) {
-			return current{}, exit(ExitUnreachable, errors.Wrap(err, "platform does not answer"))
+		if !s.waitRetry(ctx, until) {
+			return storedDocument{}, withExitCode(ExitUnreachable, errors.Wrap(err, "platform does not answer"))
 		}
 	}
 }
 
-func readOnce(ctx context.Context, kv port.KV) (current, error) {
+func readDocumentOnce(ctx context.Context, kv port.KV) (storedDocument, error) {
 	e, err := kv.Get(ctx, inifile.Key)
 	if errors.Is(err, port.ErrNotFound) {
-		return current{}, nil
+		return storedDocument{}, nil
 	}
 	if err != nil {
-		return current{}, err
+		return storedDocument{}, err
 	}
 	doc, err := inifile.DecodeDocument(e.Value)
-	return current{doc, e.Rev}, err
+	return storedDocument{doc, e.Rev}, err
 }
 
 // deadline is the time at which this command gives up on the platform.
 func (s *session) deadline() time.Time { return s.Clock.Now().Add(s.c.Duration("timeout")) }
 
 // pause waits before the next call and returns false at the deadline.
-func (s *session) pause(ctx context.Context, until time.Time) bool {
+func (s *session) waitRetry(ctx context.Context, until time.Time) bool {
 	if !s.Clock.Now().Before(until) {
 		return false
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-s.Clock.After(retryPause):
+	case <-s.Clock.After(retryDelay):
 		return true
 	}
 }
 
 // newRecord describes a change by this operator.
-func (s *session) newRecord(summary string) inifile.ChangeRecord {
+func (s *session) newChangeRecord(summary string) inifile.ChangeRecord {
 	return inifile.ChangeRecord{
 		WriteID:  fmt.Sprintf("%016x%016x", s.Rand.Uint64(), s.Rand.Uint64()),
 		Operator: s.c.String("operator"), Time: s.Clock.Now().UTC().Truncate(time.Second), Summary: summary,
@@ -94,39 +94,39 @@
 }
 
 // conflict means that another change took effect first.
-type conflict struct{ now current }
+type conflictError struct{ now storedDocument }
 
 // Error implements error.
-func (conflict) Error() string { return "another operator changed the declaration first" }
+func (conflictError) Error() string { return "another operator changed the declaration first" }
 
 // write replaces the document that base was read from. If an answer is lost,
 // it repeats the same write, which can take effect at most once, until the
 // document shows what happened. It returns a conflict if another change won.
-func (s *session) write(ctx context.Context, base current, next inifile.Document) error {
+func (s *session) writeDocument(ctx context.Context, base storedDocument, next inifile.Document) error {
 	kv, err := s.kv()
 	if err != nil {
 		return err
 	}
 	b, err := next.Encode()
 	if err != nil {
-		return exit(ExitUsage, err)
+		return withExitCode(ExitUsage, err)
 	}
 	until := s.deadline()
 	sent := false
 	for {
-		_, err := kv.CompareAndSwap(ctx, inifile.Key, base.rev, b, port.NoLease)
+		_, err := kv.CompareAndSwap(ctx, inifile.Key, base.platformRevision, b, port.NoLease)
 		switch {
 		case err == nil:
 			return nil
 		case errors.Is(err, port.ErrConflict):
-			return s.settle(ctx, kv, base, next, sent, until)
+			return s.resolveConflict(ctx, kv, base, next, sent, until)
 		case errors.Is(err, port.ErrUnknownOutcome):
 			sent = true
 		case !errors.Is(err, port.ErrUnavailable):
 			return err
 		}
-		if !s.pause(ctx, until) {
-			return unsettled(sent, next, err)
+		if !s.waitRetry(ctx, until) {
+			return unreachableError(sent, next, err)
 		}
 	}
 }
@@ -134,43 +134,43 @@
 // settle finds out why a write met another revision. The document names every
 // write among the last changes, so a write whose answer was lost is found even
 // if others followed. A read that is not newer than base is from the past.
-func (s *session) settle(
-	ctx context.Context, kv port.KV, base current, next inifile.Document, sent bool, until time.Time,
+func (s *session) resolveConflict(
+	ctx context.Context, kv port.KV, base storedDocument, next inifile.Document, sent bool, until time.Time,
 ) error {
 	for {
-		now, err := readOnce(ctx, kv)
+		now, err := readDocumentOnce(ctx, kv)
 		if err == nil {
 			if _, own := now.doc.Wrote(next.WriteID); own {
 				return nil
 			}
-			if now.rev != base.rev && now.doc.Revision > base.doc.Revision {
-				return conflict{now}
+			if now.platformRevision != base.platformRevision && now.doc.Revision > base.doc.Revision {
+				return conflictError{now}
 			}
 		}
-		if !s.pause(ctx, until) {
+		if !s.waitRetry(ctx, until) {
 			if !sent && err == nil {
-				return conflict{now}
+				return conflictError{now}
 			}
-			return unsettled(sent, next, err)
+			return unreachableError(sent, next, err)
 		}
 	}
 }
 
-func unsettled(sent bool, next inifile.Document, err error) error {
+func unreachableError(sent bool, next inifile.Document, err error) error {
 	if !sent {
-		return exit(ExitUnreachable, errors.Wrap(err, "platform does not answer; nothing was changed"))
+		return withExitCode(ExitUnreachable, errors.Wrap(err, "platform does not answer; nothing was changed"))
 	}
-	return exit(ExitUnreachable, errors.Wrapf(errOutcome, "platform does not answer; look for write %s in the history", next.WriteID))
+	return withExitCode(ExitUnreachable, errors.Wrapf(errUnknownOutcome, "platform does not answer; look for write %s in the history", next.WriteID))
 }
 
 // table writes rows in aligned columns.
-func table(w io.Writer, rows [][]string) {
+func writeTable(w io.Writer, rows [][]string) {
 	var b strings.Builder
-	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
+	tw := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	for _, r := range rows {
-		fmt.Fprintln(t, strings.Join(r, "\t"))
+		fmt.Fprintln(tw, strings.Join(r, "\t"))
 	}
-	_ = t.Flush()
+	_ = tw.Flush()
 	for line := range strings.Lines(b.String()) {
 		fmt.Fprintln(w, strings.TrimRight(line, " \n"))
 	}
--- a/internal/app/ctl/view.go
+++ b/internal/app/ctl/view.go
@@ -32,12 +32,12 @@
 
 // seen reports whether the process is visible. A suspect is not: whatever is
 // in force there cannot be vouched for.
-func (p process) seen() bool { return p.State == "alive" || p.State == "leaving" }
+func (p process) visible() bool { return p.State == "alive" || p.State == "leaving" }
 
 var stateNames = []string{"alive", "suspect", "leaving", "dead"}
 
 // view is the member table as the peers together know it.
-type view struct {
+type memberTable struct {
 	// Revision is the highest that any process reports.
 	Revision uint64 `json:"revision"`
 	// AgeSeconds is the time since the platform confirmed it; negative if no
@@ -47,13 +47,13 @@
 }
 
 // look asks all peers at the same time and joins their tables.
-func (s *session) look(ctx context.Context) (view, error) {
+func (s *session) readMembers(ctx context.Context) (memberTable, error) {
 	if len(s.peers) == 0 {
-		return view{}, exitf(ExitUsage, "--peer is required")
+		return memberTable{}, exitErrorf(ExitUsage, "--peer is required")
 	}
 	var mu sync.Mutex
-	var answers []port.ExchangeMessage
-	var last error
+	var replies []port.ExchangeMessage
+	var lastErr error
 	var wg conc.WaitGroup
 	for _, a := range s.peers {
 		wg.Go(func() {
@@ -61,35 +61,35 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				last = err
+				lastErr = err
 				return
 			}
-			answers = append(answers, m)
+			replies = append(replies, m)
 		})
 	}
 	wg.Wait()
-	if len(answers) == 0 {
-		return view{}, exitf(ExitUnreachable, "no peer answers: %v", last)
+	if len(replies) == 0 {
+		return memberTable{}, exitErrorf(ExitUnreachable, "no peer answers: %v", lastErr)
 	}
-	return join(answers), nil
+	return mergeTables(replies), nil
 }
 
-func join(answers []port.ExchangeMessage) view {
-	v := view{AgeSeconds: -1}
-	recs := map[string]port.MemberRecord{}
-	for _, m := range answers {
+func mergeTables(replies []port.ExchangeMessage) memberTable {
+	v := memberTable{AgeSeconds: -1}
+	records := map[string]port.MemberRecord{}
+	for _, m := range replies {
 		if age := m.Age.Seconds(); m.Revision > v.Revision || m.Revision == v.Revision && m.Age >= 0 && (v.AgeSeconds < 0 || age < v.AgeSeconds) {
 			v.Revision, v.AgeSeconds = m.Revision, max(age, -1)
 		}
 		for _, r := range m.Records {
-			old, ok := recs[r.ID]
+			old, ok := records[r.ID]
 			if ok {
-				r = newer(old, r)
+				r = mergeRecords(old, r)
 			}
-			recs[r.ID] = r
+			records[r.ID] = r
 		}
 	}
-	for _, r := range recs {
+	for _, r := range records {
 		state := "unknown"
 		if int(r.State) < len(stateNames) {
 			state = stateNames[r.State]
@@ -105,13 +105,13 @@
 }
 
 // newer joins two peers' records of one process by the rules of the table.
-func newer(a, b port.MemberRecord) port.MemberRecord {
-	conv := func(r port.MemberRecord) membership.Record[port.MemberRecord] {
+func mergeRecords(a, b port.MemberRecord) port.MemberRecord {
+	toCore := func(r port.MemberRecord) membership.Record[port.MemberRecord] {
 		return membership.Record[port.MemberRecord]{
 			Incarnation: r.Incarnation, Version: r.Version, State: membership.State(r.State), Payload: r,
 		}
 	}
-	m, _ := membership.Merge(conv(a), conv(b))
+	m, _ := membership.Merge(toCore(a), toCore(b))
 	out := m.Payload
 	out.State, out.Age = port.MemberState(m.State), min(a.Age, b.Age)
 	return out
@@ -119,12 +119,12 @@
 
 // machines returns the machines that the peers know to be there. Without
 // peers it returns none, and the effect on machines stays unknown.
-func (s *session) machines(ctx context.Context) ([]declare.Machine, error) {
+func (s *session) knownMachines(ctx context.Context) ([]declare.Machine, error) {
 	if len(s.peers) == 0 {
 		s.warn("no --peer is given, so the machines are unknown and the effect on them is not checked")
 		return nil, nil
 	}
-	v, err := s.look(ctx)
+	v, err := s.readMembers(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -139,8 +139,8 @@
 
 // knownName refuses to cordon a name that neither the declaration nor the
 // peers know, since a slip would go unnoticed.
-func (s *session) knownName(ctx context.Context, doc inifile.Document, kind, name string, on bool) error {
-	if !on || s.c.Bool("force") {
+func (s *session) checkNameKnown(ctx context.Context, doc inifile.Document, kind, name string, cordoned bool) error {
+	if !cordoned || s.c.Bool("force") {
 		return nil
 	}
 	if d, faults := doc.Declaration(); len(faults) == 0 {
@@ -150,18 +150,18 @@
 			return nil
 		}
 	}
-	if v, err := s.look(ctx); err == nil {
+	if v, err := s.readMembers(ctx); err == nil {
 		for _, p := range v.Processes {
 			if kind == "domain" && p.Domain == name || kind == "vm" && p.ID == name {
 				return nil
 			}
 		}
 	}
-	return exitf(ExitRefused, "%s %q is not known; --force cordons it all the same", kind, name)
+	return exitErrorf(ExitRefused, "%s %q is not known; --force cordons it all the same", kind, name)
 }
 
 // waited is the result of --wait.
-type waited struct {
+type waitResult struct {
 	Done    bool      `json:"done"`
 	Seconds float64   `json:"seconds"`
 	Slowest string    `json:"slowest"`
@@ -170,20 +170,20 @@
 
 const (
 	// waitPoll is the time between two looks at the member table.
-	waitPoll = 250 * time.Millisecond
+	waitPollInterval = 250 * time.Millisecond
 	// waitAsks bounds the processes that are asked at the same time.
-	waitAsks = 64
+	maxConcurrentQueries = 64
 )
 
 // wait returns once every visible process reports the revision. The member
 // table lags by some exchanges, so those that seem to be behind are asked.
-func (s *session) wait(ctx context.Context, rev uint64) (waited, error) {
+func (s *session) waitInForce(ctx context.Context, rev uint64) (waitResult, error) {
 	began := s.Clock.Now()
-	out := waited{Behind: []process{}}
+	out := waitResult{Behind: []process{}}
 	for {
-		v, err := s.look(ctx)
+		v, err := s.readMembers(ctx)
 		if err == nil {
-			out.Behind = s.behind(ctx, v, rev)
+			out.Behind = s.processesBehind(ctx, v, rev)
 		}
 		out.Seconds = s.Clock.Now().Sub(began).Round(10 * time.Millisecond).Seconds()
 		if err == nil && len(out.Behind) == 0 {
@@ -197,46 +197,46 @@
 			if err != nil {
 				return out, err
 			}
-			return out, exitf(ExitFailed, "revision %d is accepted, but not in force at %d visible processes", rev, len(out.Behind))
+			return out, exitErrorf(ExitFailed, "revision %d is accepted, but not in force at %d visible processes", rev, len(out.Behind))
 		}
 		select {
 		case <-ctx.Done():
 			return out, ctx.Err()
-		case <-s.Clock.After(waitPoll):
+		case <-s.Clock.After(waitPollInterval):
 		}
 	}
 }
 
 // behind returns the visible processes that do not have the revision.
-func (s *session) behind(ctx context.Context, v view, rev uint64) []process {
-	ps := slices.DeleteFunc(v.Processes, func(p process) bool { return !p.seen() || p.Revision >= rev })
-	s.ask(ctx, ps, rev)
-	return slices.DeleteFunc(ps, func(p process) bool { return p.Revision >= rev })
+func (s *session) processesBehind(ctx context.Context, v memberTable, rev uint64) []process {
+	processes := slices.DeleteFunc(v.Processes, func(p process) bool { return !p.visible() || p.Revision >= rev })
+	s.refreshRevisions(ctx, processes, rev)
+	return slices.DeleteFunc(processes, func(p process) bool { return p.Revision >= rev })
 }
 
 // ask asks the visible processes that seem to be behind rev. Their records lag:
 // a revision alone does not rewrite them.
-func (s *session) ask(ctx context.Context, ps []process, rev uint64) {
-	asks := pool.New().WithMaxGoroutines(waitAsks)
-	for i := range ps {
-		if !ps[i].seen() || ps[i].Revision >= rev {
+func (s *session) refreshRevisions(ctx context.Context, processes []process, rev uint64) {
+	queries := pool.New().WithMaxGoroutines(maxConcurrentQueries)
+	for i := range processes {
+		if !processes[i].visible() || processes[i].Revision >= rev {
 			continue
 		}
-		asks.Go(func() {
-			m, err := s.Members.Exchange(ctx, ps[i].record.Address, port.ExchangeMessage{})
+		queries.Go(func() {
+			m, err := s.Members.Exchange(ctx, processes[i].record.Address, port.ExchangeMessage{})
 			if err == nil {
-				ps[i].Revision = max(ps[i].Revision, m.Revision)
+				processes[i].Revision = max(processes[i].Revision, m.Revision)
 			}
 		})
 	}
-	asks.Wait()
+	queries.Wait()
 }
 
 // lookClosely is look with the revisions that the processes report themselves.
-func (s *session) lookClosely(ctx context.Context) (view, error) {
-	v, err := s.look(ctx)
+func (s *session) readMembersWithRevisions(ctx context.Context) (memberTable, error) {
+	v, err := s.readMembers(ctx)
 	if err == nil {
-		s.ask(ctx, v.Processes, v.Revision)
+		s.refreshRevisions(ctx, v.Processes, v.Revision)
 	}
 	return v, err
 }
