--- a/internal/app/ctl/change.go
+++ b/internal/app/ctl/change.go
@@ -13,7 +13,7 @@
 	"github.com/masticwing/masticwing/internal/core/declare"
 )
 
-// changeRow is a machine whose assignment changes.
+// machineChange is the change of one machine's assignment.
 type machineChange struct {
 	Machine string `json:"machine"`
 	Domain  string `json:"domain"`
@@ -21,12 +21,13 @@
 	New     string `json:"new"`
 }
 
-// comparison is the effect of a change on the machines.
+// changeEffect is the effect of a new declaration on the known machines.
 type changeEffect struct {
 	From     uint64          `json:"from_revision"`
 	Machines int             `json:"machines_known"`
 	Changes  []machineChange `json:"changes"`
-	// Refused lists the reasons of the checks, which Forced overrides.
+	// Rejections lists the reasons of failed checks. Forced is set if --force
+	// overrode them.
 	Rejections []string `json:"refused"`
 	Forced     bool     `json:"forced"`
 }
@@ -48,7 +49,7 @@
 	}
 }
 
-// compare returns the effect of replacing cur by next.
+// computeEffect returns the effect of replacing current by next.
 func computeEffect(current inifile.Document, next inifile.Document, machines []declare.Machine) (changeEffect, error) {
 	out := changeEffect{From: current.Revision, Machines: len(machines), Changes: []machineChange{}, Rejections: []string{}}
 	after, faults := next.Declaration()
@@ -57,7 +58,7 @@
 	}
 	var before *declare.Declaration
 	if current.Revision > 0 {
-		// A stored document that cannot be read is replaced without checks.
+		// A stored document that cannot be parsed may be replaced without checks.
 		before, _ = current.Declaration()
 	}
 	for _, c := range declare.Diff(before, after, machines) {
@@ -78,20 +79,20 @@
 	if err != nil {
 		return err
 	}
-	ms, err := s.knownMachines(ctx)
+	machines, err := s.knownMachines(ctx)
 	if err != nil {
 		return err
 	}
 	next := cur.doc
 	next.Config = config
-	effect, err := computeEffect(cur.doc, next, ms)
+	effect, err := computeEffect(cur.doc, next, machines)
 	if err != nil {
 		return err
 	}
 	return s.print(effect, effect.writeText)
 }
 
-// applied is the result of a change.
+// applyResult is the output of a command that changed the declaration.
 type applyResult struct {
 	Revision uint64       `json:"revision"`
 	WriteID  string       `json:"write_id"`
@@ -100,7 +101,7 @@
 	Unseen   []process    `json:"unseen"`
 }
 
-// canWait refuses --wait without a peer before anything is changed.
+// checkWaitFlag rejects --wait without --peer, before anything is changed.
 func (s *session) checkWaitFlag() error {
 	if s.c.Bool("wait") && len(s.peers) == 0 {
 		return exitErrorf(ExitUsage, "--wait needs --peer")
@@ -132,7 +133,7 @@
 	var c conflictError
 	err = s.writeDocument(ctx, cur, next)
 	if errors.As(err, &c) {
-		return s.printConflict(cur.doc.Revision, c.now.doc, c)
+		return s.printConflict(cur.doc.Revision, c.stored.doc, c)
 	}
 	if err != nil {
 		return err
@@ -140,9 +141,9 @@
 	return s.reportChange(ctx, next, effect)
 }
 
-// check refuses a change that leaves a group without a machine or a version. If
-// no peer answers, a strict check refuses as well; a cordon may not wait for
-// that.
+// checkEffect rejects a change that leaves a group without a machine or a version,
+// unless --force is set. If no peer responds, a strict check fails too; a cordon
+// must not depend on reachable peers and is not strict.
 func (s *session) checkEffect(ctx context.Context, cur, next inifile.Document, strict bool) (changeEffect, error) {
 	machines, err := s.knownMachines(ctx)
 	switch {
@@ -168,8 +169,9 @@
 	return effect, exitErrorf(ExitRefused, "refused by a check; --force applies it all the same")
 }
 
-// wrongBase refuses a change that is based on another revision than the one in
-// the platform. One above it is no conflict between operators.
+// baseConflict returns the error for a change based on a revision other than the
+// stored one. A base above the stored revision is not a conflict between
+// operators.
 func (s *session) baseConflict(base uint64, cur storedDocument) error {
 	if base > cur.doc.Revision {
 		return exitErrorf(ExitConflict, "revision %d does not exist yet; the declaration is at revision %d", base, cur.doc.Revision)
@@ -177,7 +179,8 @@
 	return s.printConflict(base, cur.doc, conflictError{cur})
 }
 
-// showConflict prints what changed since the revision that the operator saw.
+// printConflict prints the changes since the base revision and returns c with its
+// exit code.
 func (s *session) printConflict(base uint64, now inifile.Document, c conflictError) error {
 	others := []inifile.ChangeRecord{}
 	for _, r := range now.History {
@@ -196,7 +199,8 @@
 	return withExitCode(ExitConflict, c)
 }
 
-// finish reports an accepted change, after waiting if that was asked for.
+// reportChange prints the result of an accepted change. With --wait it first waits
+// until the change is in force.
 func (s *session) reportChange(ctx context.Context, next inifile.Document, effect changeEffect) error {
 	result := applyResult{Revision: next.Revision, WriteID: next.WriteID, Effect: effect, Unseen: []process{}}
 	var failed error
@@ -223,8 +227,8 @@
 	return failed
 }
 
-// cordon sets or lifts a cordon. Cordons of two operators do not contradict
-// each other, so a lost race is tried again.
+// cordon sets or removes a cordon. Cordons of different operators are independent
+// of each other, so a write that lost a race is retried.
 func (s *session) cordon(ctx context.Context, cordoned bool) error {
 	kind, name := s.c.Args().Get(0), s.c.Args().Get(1)
 	if s.c.Args().Len() != 2 || kind != "domain" && kind != "vm" {
--- a/internal/app/ctl/ctl.go
+++ b/internal/app/ctl/ctl.go
@@ -1,9 +1,10 @@
-// Package ctl is the operators' command: it checks, compares and applies
-// declarations, cordons failure domains and VMs, and shows how far a change
-// has come.
+// Package ctl implements masticwingctl, the operators' command. It validates,
+// compares and applies declarations, cordons failure domains and VMs, and shows
+// the progress of a change.
 //
-// Every change is a compare-and-swap against the revision that the operator
-// saw, so that of two operators who race one wins and the other sees why.
+// Every change is a compare-and-swap against the revision that the operator saw.
+// Of two concurrent changes one takes effect; the other fails and prints the
+// conflicting change.
 package ctl
 
 import (
@@ -20,7 +21,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Exit codes.
+// Exit codes of masticwingctl.
 const (
 	ExitDone        = 0
 	ExitFailed      = 1
@@ -30,20 +31,20 @@
 	ExitRefused     = 5
 )
 
-// Deps are what the command uses of the outside.
+// Deps holds the ports and streams that the command uses.
 type Deps struct {
-	// KV opens the platform's key-value service.
+	// KV returns a client of the platform's key-value service.
 	KV      func(fleet.Address) port.KV
 	Members port.MemberClient
 	Clock   port.Clock
 	Rand    port.Rand
 	Out     io.Writer
 	Err     io.Writer
-	// Operator is the default name of the operator in the history.
+	// Operator is the operator's name in the history if no flag sets it.
 	Operator string
 }
 
-// exitError is an error with an exit code.
+// exitError is an error that determines the command's exit code.
 type exitError struct {
 	code int
 	error
@@ -141,7 +142,8 @@
 	}
 }
 
-// waitFlags returns new flags, since a flag holds the state of one command.
+// waitFlags returns new flags on each call, because a flag holds the parsed value
+// for one command.
 func waitFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.BoolFlag{Name: "wait", Usage: "wait until every visible process reports the revision"},
--- a/internal/app/ctl/ctl_test.go
+++ b/internal/app/ctl/ctl_test.go
@@ -23,8 +23,8 @@
 	"github.com/masticwing/masticwing/internal/standin/platform"
 )
 
-// steps is a clock that passes only while somebody waits, and a source of
-// numbers that counts.
+// fakeClock is a clock that advances only by calls of After, and a random source
+// that returns consecutive numbers.
 type fakeClock struct {
 	mu         sync.Mutex
 	now        time.Time
@@ -55,14 +55,15 @@
 	return s.lastNumber
 }
 
-// peers answers with a table that the test changes between looks.
-type fakePeers struct {
+// peers is a MemberClient with one reachable address, 127.0.0.1:1. It returns the
+// member table that reply computes for each call.
+type peers struct {
 	port.MemberClient
 	calls int
 	reply func(look int) port.ExchangeMessage
 }
 
-func (p *fakePeers) Members(_ context.Context, a fleet.Address) (port.ExchangeMessage, error) {
+func (p *peers) Members(_ context.Context, a fleet.Address) (port.ExchangeMessage, error) {
 	if a != "127.0.0.1:1" {
 		return port.ExchangeMessage{}, errors.New("connection refused")
 	}
@@ -70,7 +71,7 @@
 	return p.reply(p.calls), nil
 }
 
-func (p *fakePeers) Exchange(context.Context, fleet.Address, port.ExchangeMessage) (port.ExchangeMessage, error) {
+func (p *peers) Exchange(context.Context, fleet.Address, port.ExchangeMessage) (port.ExchangeMessage, error) {
 	return port.ExchangeMessage{}, errors.New("connection refused")
 }
 
@@ -81,14 +82,15 @@
 	}
 }
 
-// rig is a platform, peers, and a transcript of commands.
+// harness runs commands against a stand-in platform and fake peers, and keeps a
+// transcript.
 type harness struct {
 	t          *testing.T
 	fixtures   string
 	url        string
 	addr       fleet.Address
 	clock      *fakeClock
-	peers      *fakePeers
+	peers      *peers
 	transcript bytes.Buffer
 }
 
@@ -105,7 +107,7 @@
 		t: t, fixtures: fixtures, url: srv.URL, addr: fleet.Address(strings.TrimPrefix(srv.URL, "http://")),
 		clock: &fakeClock{now: time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)},
 	}
-	h.peers = &fakePeers{reply: func(int) port.ExchangeMessage {
+	h.peers = &peers{reply: func(int) port.ExchangeMessage {
 		return port.ExchangeMessage{Revision: 1, Records: []port.MemberRecord{
 			agent("a-w1", "a", "model", 1), agent("b-w1", "b", "model", 1), agent("a-s1", "a", "status", 1),
 		}}
@@ -132,7 +134,7 @@
 	return h.execContext(context.Background(), out, errOut, line)
 }
 
-// execUntil is exec with a context that interrupts the command.
+// execContext is exec with a context that can interrupt the command.
 func (h *harness) execContext(ctx context.Context, out, errOut io.Writer, line string) int {
 	args := []string{"masticwingctl"}
 	args = append(args, strings.Fields(line)...)
@@ -145,7 +147,7 @@
 	}, args)
 }
 
-// run adds a command and what it printed to the transcript.
+// run runs a command line and appends it with its output to the transcript.
 func (h *harness) run(line string) int {
 	var out bytes.Buffer
 	code := h.exec(&out, &out, line)
@@ -182,8 +184,9 @@
 
 const peer = " --peer 127.0.0.1:1"
 
-// TestChangeSession guards against a change in what operators see and against
-// wrong exit codes: faults, first apply, difference, refusal, conflict, cordon.
+// TestChangeCommands guards against changes of the output and exit codes of the
+// commands that change the declaration: faults, first apply, diff, failed checks,
+// conflicts and cordons.
 func TestChangeCommands(t *testing.T) {
 	h := newHarness(t)
 	h.writeFile("bad.ini", "[group g]\nvms = a in b\nsize = 3\n[zone x]\n")
@@ -210,8 +213,8 @@
 	h.assertGolden("change")
 }
 
-// TestFutureRevision guards against a base revision that does not exist and that
-// is reported as a change of another operator.
+// TestApplyToFutureRevision guards against a base revision that does not exist yet
+// being reported as a conflict with another operator.
 func TestApplyToFutureRevision(t *testing.T) {
 	h := newHarness(t)
 	h.writeFile("main.ini", config("one"))
@@ -226,8 +229,8 @@
 	}
 }
 
-// TestUsageSession guards against exit codes and messages that scripts depend
-// on: wrong usage, a platform or peers that cannot be reached.
+// TestUsageErrors guards against changes of exit codes and messages that scripts
+// depend on, for wrong usage and for an unreachable platform or peers.
 func TestUsageErrors(t *testing.T) {
 	h := newHarness(t)
 	h.writeFile("main.ini", config("one"))
@@ -249,8 +252,8 @@
 	h.assertGolden("usage")
 }
 
-// TestStatusSession guards against a status that hides processes that are
-// behind or unseen, and machines that are stuck.
+// TestStatusCommand guards against a status that does not show processes that are
+// behind or unreachable, or machines that make no progress.
 func TestStatusCommand(t *testing.T) {
 	h := newHarness(t)
 	h.writeFile("main.ini", config("one"))
@@ -288,9 +291,8 @@
 	h.assertGolden("status")
 }
 
-// TestWatchSession guards against a watch that shows no rate, time left or
-// reason while a version spreads, and against one that goes on after it was
-// interrupted.
+// TestStatusWatch guards against a watch that shows no rate, remaining time or
+// reason during a rollout, and against one that continues after an interrupt.
 func TestStatusWatch(t *testing.T) {
 	h := newHarness(t)
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/app/ctl/explain_test.go
+++ b/internal/app/ctl/explain_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestExplainSession guards against a change in what engineers see of a failed
-// request, and against a wrong exit code for one that no line names.
+// TestExplainCommand guards against changes of the output for a failed request,
+// and against a wrong exit code for a request that no log line names.
 func TestExplainCommand(t *testing.T) {
 	h := newHarness(t)
 	h.writeFile("gateway.log", `{"time":"2026-01-02T08:56:40.000Z","role":"masticwing-gateway","id":"g1","target":"i-1","service":"llm","address":"10.1.0.18:8724","domain":"a","message":"target"}
--- a/internal/app/ctl/view.go
+++ b/internal/app/ctl/members.go
@@ -18,7 +18,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// process is one line of the member table.
+// process is one entry of the member table.
 type process struct {
 	ID           string  `json:"id"`
 	Kind         string  `json:"kind"`
@@ -30,23 +30,23 @@
 	record port.MemberRecord
 }
 
-// seen reports whether the process is visible. A suspect is not: whatever is
-// in force there cannot be vouched for.
+// visible reports whether the process is known to be reachable. A suspect is not
+// visible, because the revision in force there cannot be confirmed.
 func (p process) visible() bool { return p.State == "alive" || p.State == "leaving" }
 
 var stateNames = []string{"alive", "suspect", "leaving", "dead"}
 
-// view is the member table as the peers together know it.
+// memberTable is the member table merged from all peers.
 type memberTable struct {
-	// Revision is the highest that any process reports.
+	// Revision is the highest revision that any peer reports.
 	Revision uint64 `json:"revision"`
-	// AgeSeconds is the time since the platform confirmed it; negative if no
-	// peer knows.
+	// AgeSeconds is the time since the platform confirmed Revision; negative if
+	// no peer knows it.
 	AgeSeconds float64   `json:"confirmed_seconds_ago"`
 	Processes  []process `json:"processes"`
 }
 
-// look asks all peers at the same time and joins their tables.
+// readMembers queries all peers concurrently and merges their tables.
 func (s *session) readMembers(ctx context.Context) (memberTable, error) {
 	if len(s.peers) == 0 {
 		return memberTable{}, exitErrorf(ExitUsage, "--peer is required")
@@ -75,11 +75,11 @@
 }
 
 func mergeTables(replies []port.ExchangeMessage) memberTable {
-	v := memberTable{AgeSeconds: -1}
+	table := memberTable{AgeSeconds: -1}
 	records := map[string]port.MemberRecord{}
 	for _, m := range replies {
-		if age := m.Age.Seconds(); m.Revision > v.Revision || m.Revision == v.Revision && m.Age >= 0 && (v.AgeSeconds < 0 || age < v.AgeSeconds) {
-			v.Revision, v.AgeSeconds = m.Revision, max(age, -1)
+		if age := m.Age.Seconds(); m.Revision > table.Revision || m.Revision == table.Revision && m.Age >= 0 && (table.AgeSeconds < 0 || age < table.AgeSeconds) {
+			table.Revision, table.AgeSeconds = m.Revision, max(age, -1)
 		}
 		for _, r := range m.Records {
 			old, ok := records[r.ID]
@@ -94,17 +94,18 @@
 		if int(r.State) < len(stateNames) {
 			state = stateNames[r.State]
 		}
-		v.Processes = append(v.Processes, process{
+		table.Processes = append(table.Processes, process{
 			r.ID, r.Kind.String(), string(r.Domain), r.Revision, state, r.Age.Round(100 * time.Millisecond).Seconds(), r,
 		})
 	}
-	slices.SortFunc(v.Processes, func(a, b process) int {
+	slices.SortFunc(table.Processes, func(a, b process) int {
 		return cmp.Or(strings.Compare(a.Domain, b.Domain), strings.Compare(a.ID, b.ID))
 	})
-	return v
+	return table
 }
 
-// newer joins two peers' records of one process by the rules of the table.
+// mergeRecords merges two peers' records of one process by the rules of package
+// membership.
 func mergeRecords(a, b port.MemberRecord) port.MemberRecord {
 	toCore := func(r port.MemberRecord) membership.Record[port.MemberRecord] {
 		return membership.Record[port.MemberRecord]{
@@ -117,19 +118,19 @@
 	return out
 }
 
-// machines returns the machines that the peers know to be there. Without
-// peers it returns none, and the effect on machines stays unknown.
+// knownMachines returns the machines whose agents the peers do not report as dead.
+// Without peers it warns and returns none.
 func (s *session) knownMachines(ctx context.Context) ([]declare.Machine, error) {
 	if len(s.peers) == 0 {
 		s.warn("no --peer is given, so the machines are unknown and the effect on them is not checked")
 		return nil, nil
 	}
-	v, err := s.readMembers(ctx)
+	table, err := s.readMembers(ctx)
 	if err != nil {
 		return nil, err
 	}
 	var out []declare.Machine
-	for _, p := range v.Processes {
+	for _, p := range table.Processes {
 		if p.record.Kind == fleet.KindAgent && p.State != "dead" {
 			out = append(out, declare.Machine{VM: fleet.VM(p.ID), Domain: p.record.Domain, Labels: p.record.Labels})
 		}
@@ -137,8 +138,8 @@
 	return out, nil
 }
 
-// knownName refuses to cordon a name that neither the declaration nor the
-// peers know, since a slip would go unnoticed.
+// checkNameKnown rejects a cordon of a name that neither the declaration nor the
+// peers know, because a typing error would go unnoticed.
 func (s *session) checkNameKnown(ctx context.Context, doc inifile.Document, kind, name string, cordoned bool) error {
 	if !cordoned || s.c.Bool("force") {
 		return nil
@@ -150,8 +151,8 @@
 			return nil
 		}
 	}
-	if v, err := s.readMembers(ctx); err == nil {
-		for _, p := range v.Processes {
+	if table, err := s.readMembers(ctx); err == nil {
+		for _, p := range table.Processes {
 			if kind == "domain" && p.Domain == name || kind == "vm" && p.ID == name {
 				return nil
 			}
@@ -160,7 +161,7 @@
 	return exitErrorf(ExitRefused, "%s %q is not known; --force cordons it all the same", kind, name)
 }
 
-// waited is the result of --wait.
+// waitResult is the result of --wait.
 type waitResult struct {
 	Done    bool      `json:"done"`
 	Seconds float64   `json:"seconds"`
@@ -169,53 +170,54 @@
 }
 
 const (
-	// waitPoll is the time between two looks at the member table.
+	// waitPollInterval is the time between two reads of the member table.
 	waitPollInterval = 250 * time.Millisecond
-	// waitAsks bounds the processes that are asked at the same time.
+	// maxConcurrentQueries bounds the concurrent queries to processes.
 	maxConcurrentQueries = 64
 )
 
-// wait returns once every visible process reports the revision. The member
-// table lags by some exchanges, so those that seem to be behind are asked.
+// waitInForce waits until every visible process reports the revision or the wait
+// timeout passes. The member table lags by some exchanges, so processes that seem
+// to be behind are queried directly.
 func (s *session) waitInForce(ctx context.Context, rev uint64) (waitResult, error) {
-	began := s.Clock.Now()
-	out := waitResult{Behind: []process{}}
+	start := s.Clock.Now()
+	result := waitResult{Behind: []process{}}
 	for {
-		v, err := s.readMembers(ctx)
+		table, err := s.readMembers(ctx)
 		if err == nil {
-			out.Behind = s.processesBehind(ctx, v, rev)
+			result.Behind = s.processesBehind(ctx, table, rev)
 		}
-		out.Seconds = s.Clock.Now().Sub(began).Round(10 * time.Millisecond).Seconds()
-		if err == nil && len(out.Behind) == 0 {
-			out.Done = true
-			return out, nil
+		result.Seconds = s.Clock.Now().Sub(start).Round(10 * time.Millisecond).Seconds()
+		if err == nil && len(result.Behind) == 0 {
+			result.Done = true
+			return result, nil
 		}
 		if err == nil {
-			out.Slowest = slices.MinFunc(out.Behind, func(a, b process) int { return cmp.Compare(a.Revision, b.Revision) }).ID
+			result.Slowest = slices.MinFunc(result.Behind, func(a, b process) int { return cmp.Compare(a.Revision, b.Revision) }).ID
 		}
-		if s.Clock.Now().Sub(began) >= s.c.Duration("wait-timeout") {
+		if s.Clock.Now().Sub(start) >= s.c.Duration("wait-timeout") {
 			if err != nil {
-				return out, err
+				return result, err
 			}
-			return out, exitErrorf(ExitFailed, "revision %d is accepted, but not in force at %d visible processes", rev, len(out.Behind))
+			return result, exitErrorf(ExitFailed, "revision %d is accepted, but not in force at %d visible processes", rev, len(result.Behind))
 		}
 		select {
 		case <-ctx.Done():
-			return out, ctx.Err()
+			return result, ctx.Err()
 		case <-s.Clock.After(waitPollInterval):
 		}
 	}
 }
 
-// behind returns the visible processes that do not have the revision.
-func (s *session) processesBehind(ctx context.Context, v memberTable, rev uint64) []process {
-	processes := slices.DeleteFunc(v.Processes, func(p process) bool { return !p.visible() || p.Revision >= rev })
+// processesBehind returns the visible processes that do not have the revision.
+func (s *session) processesBehind(ctx context.Context, table memberTable, rev uint64) []process {
+	processes := slices.DeleteFunc(table.Processes, func(p process) bool { return !p.visible() || p.Revision >= rev })
 	s.refreshRevisions(ctx, processes, rev)
 	return slices.DeleteFunc(processes, func(p process) bool { return p.Revision >= rev })
 }
 
-// ask asks the visible processes that seem to be behind rev. Their records lag:
-// a revision alone does not rewrite them.
+// refreshRevisions queries the visible processes that seem to be behind rev. Their
+// records lag, because a new revision alone does not change a member record.
 func (s *session) refreshRevisions(ctx context.Context, processes []process, rev uint64) {
 	queries := pool.New().WithMaxGoroutines(maxConcurrentQueries)
 	for i := range processes {
@@ -232,11 +234,12 @@
 	queries.Wait()
 }
 
-// lookClosely is look with the revisions that the processes report themselves.
+// readMembersWithRevisions is readMembers with the revisions of lagging records
+// updated by direct queries.
 func (s *session) readMembersWithRevisions(ctx context.Context) (memberTable, error) {
-	v, err := s.readMembers(ctx)
+	table, err := s.readMembers(ctx)
 	if err == nil {
-		s.refreshRevisions(ctx, v.Processes, v.Revision)
+		s.refreshRevisions(ctx, table.Processes, table.Revision)
 	}
-	return v, err
+	return table, err
 }
--- a/internal/app/ctl/race_test.go
+++ b/internal/app/ctl/race_test.go
@@ -14,8 +14,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// TestLostAnswer guards against reporting a change as failed, or making it
-// twice, when the platform's answer to the write is lost.
+// TestLostWriteResponse guards against reporting a change as failed, or applying
+// it twice, when the platform's response to the write is lost.
 func TestLostWriteResponse(t *testing.T) {
 	h := newHarness(t)
 	h.writeFile("main.ini", config("one"))
@@ -45,21 +45,21 @@
 	return doc.Revision
 }
 
-// action is what an operator did: apply a change based on a revision, or get.
+// operation is an operator's command: get, or apply based on a revision.
 type operation struct {
 	apply bool
 	base  uint64
 }
 
-// result is what the operator was told.
+// result is the outcome that the command reported.
 type result struct {
 	code int
 	rev  uint64
 }
 
-// register is the declaration as operators may see it: a change based on the
-// revision in force raises it by one, any other change is a conflict. A change
-// whose outcome is unknown may have taken effect at any later time.
+// revisionModel is the sequential model of the declaration's revision. A change
+// based on the current revision increments it; any other change is a conflict. A
+// change whose outcome is unknown may take effect at any later time.
 var revisionModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, in, out any) []any {
@@ -79,8 +79,9 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// TestOperatorsRace guards against two operators who both believe that their
-// change to the same revision took effect, with answers of the platform lost.
+// TestOperatorsRace guards against two operators who are both told that their
+// change to the same revision took effect, while responses of the platform are
+// lost.
 func TestOperatorsRace(t *testing.T) {
 	const operators, rounds = 5, 12
 	h := newHarness(t)
@@ -122,7 +123,7 @@
 	}
 	t.Logf("outcomes by exit code: %v", counts)
 	if counts[ExitConflict] == 0 {
-		t.Error("no two operators met")
+		t.Error("no two operators raced: no apply ended in a conflict")
 	}
 	if porcupine.CheckOperationsTimeout(revisionModel.ToModel(), history, 10*time.Second) != porcupine.Ok {
 		t.Error("history is not linearizable")
--- a/internal/app/ctl/session.go
+++ b/internal/app/ctl/session.go
@@ -19,7 +19,7 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// session is one run of the command.
+// session is the state of one invocation of the command.
 type session struct {
 	Deps
 	c     *cli.Command
@@ -27,7 +27,8 @@
 	peers []fleet.Address
 }
 
-// run adapts a method of session to the command-line library.
+// run returns a cli action that parses the global flags and calls f with a new
+// session.
 func run(d Deps, f func(*session, context.Context) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		s := &session{Deps: d, c: c}
@@ -51,7 +52,7 @@
 	}
 }
 
-// exitAny gives errors without a code the one for a failure.
+// ensureExitCode wraps errors without an exit code with ExitFailed.
 func ensureExitCode(err error) error {
 	var e exitError
 	if err == nil || errors.As(err, &e) {
@@ -60,7 +61,7 @@
 	return withExitCode(ExitFailed, err)
 }
 
-// print writes v as JSON, or as the text that f writes.
+// print writes v as JSON with --output json, and otherwise calls f to write text.
 func (s *session) print(v any, f func(io.Writer)) error {
 	if !s.json {
 		f(s.Out)
@@ -75,8 +76,9 @@
 	fmt.Fprintf(s.Err, "warning: "+format+"\n", args...)
 }
 
-// files reads the files named on the command line.
-func (s *session) readFiles() ([]inifile.File, error) {
+// files reads the files named by the arguments. A directory stands for its .ini
+// files.
+func (s *session) files() ([]inifile.File, error) {
 	args := s.c.Args().Slice()
 	if len(args) == 0 {
 		return nil, exitErrorf(ExitUsage, "a directory or file is required")
@@ -102,9 +104,10 @@
 	return out, nil
 }
 
-// parsed reads and checks the files named on the command line.
+// parseFiles reads and parses the files named by the arguments. It returns their
+// joined text and the declaration, or prints the faults and returns an error.
 func (s *session) parseFiles() (string, *declare.Declaration, error) {
-	files, err := s.readFiles()
+	files, err := s.files()
 	if err != nil {
 		return "", nil, err
 	}
--- a/internal/app/ctl/status.go
+++ b/internal/app/ctl/status.go
@@ -15,8 +15,8 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// spreadRow is how far the machines of a group in one failure domain are with
-// a version.
+// groupProgress is the progress of the machines of one group in one failure
+// domain towards a version.
 type groupProgress struct {
 	Group    string `json:"group"`
 	Version  string `json:"version"`
@@ -25,21 +25,22 @@
 	Done     int    `json:"done"`
 	Bytes    int64  `json:"bytes"`
 	Total    int64  `json:"bytes_total"`
-	// Rate is in bytes per second; negative if it is not known yet.
+	// Rate is in bytes per second; negative if unknown.
 	Rate float64 `json:"bytes_per_second"`
-	// LeftSeconds is negative if it is not known.
+	// LeftSeconds is the estimated time to completion; negative if unknown.
 	LeftSeconds float64        `json:"seconds_left"`
 	Stuck       []stuckMachine `json:"stuck"`
 }
 
-// stuckMachine is a machine that makes no progress.
+// stuckMachine is a machine that reports a reason for waiting, or that made no
+// progress between two reads of its record.
 type stuckMachine struct {
 	Machine string `json:"machine"`
 	Reason  string `json:"reason"`
 }
 
-// statusView is what status shows.
-type statusView struct {
+// statusReport is the output of the status command.
+type statusReport struct {
 	memberTable
 	Slowest string          `json:"slowest"`
 	Unseen  []process       `json:"unseen"`
@@ -47,14 +48,14 @@
 }
 
 func (s *session) status(ctx context.Context) error {
-	v, err := s.readMembersWithRevisions(ctx)
+	table, err := s.readMembersWithRevisions(ctx)
 	if err != nil {
 		return err
 	}
 	interval := s.c.Duration("interval")
-	out := summarize(v, nil, 0)
+	out := summarize(table, nil, 0)
 	if !s.c.Bool("watch") && out.unfinished() {
-		// Rates need a second look.
+		// Rates are computed from two reads.
 		if !s.sleep(ctx, interval) {
 			return ctx.Err()
 		}
@@ -62,7 +63,7 @@
 		if err != nil {
 			return err
 		}
-		out = summarize(next, &v, interval)
+		out = summarize(next, &table, interval)
 	}
 	if err := s.print(out, out.writeText); err != nil || !s.c.Bool("watch") {
 		return err
@@ -73,8 +74,8 @@
 			s.warn("%v", err)
 			continue
 		}
-		out = summarize(next, &v, interval)
-		v = next
+		out = summarize(next, &table, interval)
+		table = next
 		if err := s.print(out, out.writeText); err != nil {
 			return err
 		}
@@ -91,15 +92,16 @@
 	}
 }
 
-func (v statusView) unfinished() bool {
-	return slices.ContainsFunc(v.Groups, func(r groupProgress) bool { return r.Done < r.Machines })
+func (report statusReport) unfinished() bool {
+	return slices.ContainsFunc(report.Groups, func(r groupProgress) bool { return r.Done < r.Machines })
 }
 
-// summarize groups the member table. before is an earlier look, or nil.
-func summarize(v memberTable, before *memberTable, elapsed time.Duration) statusView {
-	out := statusView{memberTable: v, Unseen: []process{}}
+// summarize computes the status report of a member table. before is an earlier
+// table, read the time elapsed before, or nil; rates need it.
+func summarize(table memberTable, before *memberTable, elapsed time.Duration) statusReport {
+	out := statusReport{memberTable: table, Unseen: []process{}}
 	lowest := uint64(0)
-	for _, p := range v.Processes {
+	for _, p := range table.Processes {
 		switch {
 		case !p.visible():
 			out.Unseen = append(out.Unseen, p)
@@ -115,11 +117,11 @@
 			}
 		}
 	}
-	out.Groups = progressByGroup(v, earlierBytes, before != nil, elapsed)
+	out.Groups = progressByGroup(table, earlierBytes, before != nil, elapsed)
 	return out
 }
 
-// bytesHeld is the verified part of a version.
+// bytesHeld returns the size of the verified chunks of a version.
 func bytesHeld(p port.Progress) int64 {
 	if p.Chunks == 0 {
 		return 0
@@ -127,9 +129,9 @@
 	return p.BytesTotal / int64(p.Chunks) * int64(p.ChunksHave)
 }
 
-func progressByGroup(v memberTable, earlierBytes map[string]int64, ratesKnown bool, elapsed time.Duration) []groupProgress {
+func progressByGroup(table memberTable, earlierBytes map[string]int64, ratesKnown bool, elapsed time.Duration) []groupProgress {
 	rows := map[string]*groupProgress{}
-	for _, p := range v.Processes {
+	for _, p := range table.Processes {
 		status := p.record.Status
 		if status == nil || status.Group == "" || !p.visible() {
 			continue
@@ -160,7 +162,7 @@
 	return out
 }
 
-// add counts one machine.
+// addMachine adds the progress of one machine.
 func (r *groupProgress) addMachine(p process, target fleet.Version, earlierBytes map[string]int64, elapsed time.Duration) {
 	status := p.record.Status
 	held := bytesHeld(status.Progress)
@@ -181,35 +183,35 @@
 	}
 }
 
-func (v statusView) writeText(w io.Writer) {
+func (report statusReport) writeText(w io.Writer) {
 	behind := 0
-	for _, p := range v.Processes {
-		if p.visible() && p.Revision < v.Revision {
+	for _, p := range report.Processes {
+		if p.visible() && p.Revision < report.Revision {
 			behind++
 		}
 	}
 	fmt.Fprintf(w, "revision %d, confirmed %s; %d processes, %d behind, %d unseen\n",
-		v.Revision, formatAgo(v.AgeSeconds), len(v.Processes), behind, len(v.Unseen))
+		report.Revision, formatAgo(report.AgeSeconds), len(report.Processes), behind, len(report.Unseen))
 	rows := [][]string{{"PROCESS", "KIND", "DOMAIN", "REVISION", "STATE"}}
-	for _, p := range v.Processes {
+	for _, p := range report.Processes {
 		rows = append(rows, []string{p.ID, p.Kind, p.Domain, fmt.Sprint(p.Revision), p.State})
 	}
 	writeTable(w, rows)
 	if behind > 0 {
-		fmt.Fprintf(w, "slowest: %s\n", v.Slowest)
+		fmt.Fprintf(w, "slowest: %s\n", report.Slowest)
 	}
-	for _, p := range v.Unseen {
+	for _, p := range report.Unseen {
 		fmt.Fprintf(w, "unseen: %s, last at revision %d, heard %s\n", p.ID, p.Revision, formatAgo(p.HeardSeconds))
 	}
-	if len(v.Groups) == 0 {
+	if len(report.Groups) == 0 {
 		return
 	}
 	rows = [][]string{{"GROUP", "VERSION", "DOMAIN", "DONE", "BYTES", "RATE", "LEFT", "STUCK"}}
-	for _, r := range v.Groups {
+	for _, r := range report.Groups {
 		rows = append(rows, r.row())
 	}
 	writeTable(w, rows)
-	for _, r := range v.Groups {
+	for _, r := range report.Groups {
 		for _, x := range r.Stuck {
 			fmt.Fprintf(w, "stuck: %s: %s\n", x.Machine, x.Reason)
 		}
@@ -230,7 +232,8 @@
 	}
 }
 
-// size rounds to one decimal, so that odd numbers of bytes stay readable.
+// formatSize returns n in the largest fitting binary unit, rounded to one decimal
+// to stay readable.
 func formatSize(n int64) string {
 	for _, u := range []struct {
 		name  string
--- a/internal/app/ctl/store.go
+++ b/internal/app/ctl/store.go
@@ -16,18 +16,17 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// retryPause is the pause between two calls of a platform that does not
-// answer.
+// retryDelay is the pause between two calls to a platform that does not respond.
 const retryDelay = 200 * time.Millisecond
 
-// current is the stored document with the platform's revision of the key.
+// storedDocument is the stored document with the platform's revision of its key.
 type storedDocument struct {
 	doc              inifile.Document
 	platformRevision int64
 }
 
-// errOutcome means that a write may have taken effect and that the platform
-// did not tell in time.
+// errUnknownOutcome means that a write may have taken effect, but the platform did
+// not confirm it before the timeout.
 var errUnknownOutcome = errors.New("outcome of the change is unknown")
 
 func (s *session) kv() (port.KV, error) {
@@ -38,8 +37,8 @@
 	return s.KV(fleet.Address(a)), nil
 }
 
-// read returns the document, tried until the timeout. Revision 0 means that
-// there is none.
+// readDocument returns the stored document, retrying until the timeout. Revision 0
+// means that there is none.
 func (s *session) readDocument(ctx context.Context) (storedDocument, error) {
 	kv, err := s.kv()
 	if err != nil {
@@ -69,10 +68,11 @@
 	return storedDocument{doc, e.Rev}, err
 }
 
-// deadline is the time at which this command gives up on the platform.
+// deadline returns the time at which retries of the next operation end.
 func (s *session) deadline() time.Time { return s.Clock.Now().Add(s.c.Duration("timeout")) }
 
-// pause waits before the next call and returns false at the deadline.
+// waitRetry waits before the next attempt. It returns false after until or if ctx
+// ends.
 func (s *session) waitRetry(ctx context.Context, until time.Time) bool {
 	if !s.Clock.Now().Before(until) {
 		return false
@@ -85,7 +85,8 @@
 	}
 }
 
-// newRecord describes a change by this operator.
+// newChangeRecord returns the history record of a change by this operator, with a
+// random write ID.
 func (s *session) newChangeRecord(summary string) inifile.ChangeRecord {
 	return inifile.ChangeRecord{
 		WriteID:  fmt.Sprintf("%016x%016x", s.Rand.Uint64(), s.Rand.Uint64()),
@@ -93,15 +94,17 @@
 	}
 }
 
-// conflict means that another change took effect first.
-type conflictError struct{ now storedDocument }
+// conflictError means that another change took effect first. It holds the document
+// that this change wrote.
+type conflictError struct{ stored storedDocument }
 
 // Error implements error.
 func (conflictError) Error() string { return "another operator changed the declaration first" }
 
-// write replaces the document that base was read from. If an answer is lost,
-// it repeats the same write, which can take effect at most once, until the
-// document shows what happened. It returns a conflict if another change won.
+// writeDocument replaces the document base by next. If a response is lost, it
+// repeats the same write, which can take effect at most once, until the stored
+// document shows the outcome. It returns a conflictError if another change took
+// effect first.
 func (s *session) writeDocument(ctx context.Context, base storedDocument, next inifile.Document) error {
 	kv, err := s.kv()
 	if err != nil {
@@ -131,9 +134,10 @@
 	}
 }
 
-// settle finds out why a write met another revision. The document names every
-// write among the last changes, so a write whose answer was lost is found even
-// if others followed. A read that is not newer than base is from the past.
+// resolveConflict determines the outcome of a write that failed its comparison.
+// The document lists the latest writes by ID, so an own write whose response was
+// lost is found even if other writes followed. A document that is not newer than
+// base comes from a stale read and is read again.
 func (s *session) resolveConflict(
 	ctx context.Context, kv port.KV, base storedDocument, next inifile.Document, sent bool, until time.Time,
 ) error {
@@ -163,7 +167,7 @@
 	return withExitCode(ExitUnreachable, errors.Wrapf(errUnknownOutcome, "platform does not answer; look for write %s in the history", next.WriteID))
 }
 
-// table writes rows in aligned columns.
+// writeTable writes rows in aligned columns without trailing spaces.
 func writeTable(w io.Writer, rows [][]string) {
 	var b strings.Builder
 	tw := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
--- a/internal/app/daemon/admin.go
+++ b/internal/app/daemon/admin.go
@@ -7,7 +7,8 @@
 	"sync"
 )
 
-// Admin serves the state of a daemon to operators and to the platform.
+// Admin serves health, readiness, status, metrics and profiles of a daemon over
+// HTTP, to operators and to the platform.
 type Admin struct {
 	metrics http.Handler
 
@@ -20,17 +21,17 @@
 	return &Admin{metrics: metrics, reason: "starting"}
 }
 
-// SetNotReady sets the reason why the daemon serves nothing.
+// SetNotReady makes /readyz fail with the given reason.
 func (a *Admin) SetNotReady(reason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.reason = reason
 }
 
-// SetReady marks the daemon as serving.
+// SetReady makes /readyz succeed.
 func (a *Admin) SetReady() { a.SetNotReady("") }
 
-// SetStatus sets the function that returns the value of /status.
+// SetStatus sets the function whose result /status returns as JSON.
 func (a *Admin) SetStatus(f func() any) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon builds the command line and the life cycle that all
-// long-running binaries share: settings, logs, metrics, the admin address,
-// and graceful shutdown.
+// Package daemon implements the command line and life cycle shared by all
+// long-running binaries: settings, logs, metrics, the admin server, and graceful
+// shutdown.
 package daemon
 
 import (
@@ -25,52 +25,53 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// Version is set by the linker.
+// Version is the version of the binary. It is set by a linker flag.
 var Version = "dev"
 
-// Exit codes of all binaries. masticwingctl has further ones.
+// Exit codes of the daemons. masticwingctl defines its own, which extend these.
 const (
 	ExitDone     = 0
 	ExitFailed   = 1
 	ExitSettings = 2
 )
 
-// Common holds the settings that every daemon has.
+// Common holds the settings common to all daemons.
 type Common struct {
 	ID    string
 	Admin fleet.Address
 }
 
-// Register adds the common settings to a set.
+// Register declares the common settings in s.
 func (c *Common) Register(s *settings.Set) {
 	s.Name("node", "id", func(v string) { c.ID = v }, settings.Required, "Name of this process, unique in the deployment.")
 	s.Address("node", "admin", &c.Admin, settings.Required, "Address of /healthz, /readyz, /status and /metrics.")
 }
 
-// Env is what a running daemon gets.
+// Env holds what Main provides to Role.Run.
 type Env struct {
 	Log     *logging.Logger
 	Metrics *otelmetrics.Metrics
 	Admin   *Admin
 }
 
-// Role describes one binary.
+// Role defines the parts of a daemon that differ between binaries.
 type Role struct {
 	Name  string
 	Usage string
-	// Settings registers the settings and returns the common part.
+	// Settings declares the settings in the set and returns the common ones.
 	Settings func(*settings.Set) *Common
-	// NewRole returns the role once more, to check changed settings. It may be nil.
+	// NewRole returns a new role of the same kind, used to validate a changed
+	// settings file. It may be nil.
 	NewRole func() Role
-	// MemoryLimit returns the most that the process may use, after Settings. It may
-	// be nil.
+	// MemoryLimit returns the maximum memory of the process in bytes. It is called
+	// after the settings are loaded. It may be nil.
 	MemoryLimit func() int64
-	// Run runs until ctx ends, which happens on SIGTERM or SIGINT, and then
-	// finishes the work in progress.
+	// Run runs the daemon. When ctx ends, on SIGTERM or SIGINT, it finishes the
+	// work in progress and returns.
 	Run func(ctx context.Context, env Env) error
 }
 
-// Main runs the command line and returns the exit code.
+// Main runs the command line of a role and returns the exit code.
 func Main(r Role, args []string, out, errOut io.Writer) int {
 	code := ExitDone
 	cmd := command(r, out, errOut, &code)
@@ -83,7 +84,7 @@
 	return code
 }
 
-// configVariable names the settings file if no flag does.
+// configEnvVar names the settings file if the flag is absent.
 const configEnvVar = "MASTICWING_CONFIG"
 
 func command(r Role, out, errOut io.Writer, code *int) *cli.Command {
@@ -189,8 +190,8 @@
 	return serve(ctx, common, env, r)
 }
 
-// limitMemory makes the collector run more often, because a daemon shares its
-// VM with a target that needs the memory.
+// setGCPercent makes the garbage collector run more often than by default, because
+// a daemon shares its VM with a target that needs the memory. GOGC overrides it.
 func setGCPercent() {
 	const gcPercent = 50
 	if os.Getenv("GOGC") == "" {
@@ -198,17 +199,18 @@
 	}
 }
 
-// memoryShare is the part of the process's memory from which the collector runs
-// as often as needed. The rest is for the kernel's buffers.
+// memoryLimitFraction is the fraction of Role.MemoryLimit used as the memory limit
+// of the Go runtime. The rest is for kernel buffers.
 const memoryLimitFraction = 0.7
 
-// returnEvery is the time between two returns of unused memory. The first
-// seconds of a process in a large fleet, and later bursts, leave a heap that the
-// runtime gives back only over minutes. A collection of a daemon's heap takes
-// some milliseconds.
+// releaseInterval is the time between releases of unused memory to the operating
+// system. The start of a process in a large fleet, and later bursts, leave a large
+// heap that the runtime would release only over minutes. A forced collection of a
+// daemon's heap takes some milliseconds.
 const releaseInterval = 15 * time.Second
 
-// returnMemory gives unused memory back to the VM until ctx ends.
+// releaseMemory periodically releases unused memory to the operating system until
+// ctx ends.
 func releaseMemory(ctx context.Context) {
 	t := time.NewTicker(releaseInterval)
 	defer t.Stop()
@@ -245,5 +247,5 @@
 	return nil
 }
 
-// adminTimeout bounds the time to read a request's header.
+// adminHeaderTimeout bounds the time to read the header of a request.
 const adminHeaderTimeout = 5 * time.Second
--- a/internal/app/daemon/reload.go
+++ b/internal/app/daemon/reload.go
@@ -11,9 +11,9 @@
 	"github.com/masticwing/masticwing/internal/adapter/logging"
 )
 
-// watchReload handles SIGHUP until ctx ends. A daemon reads its settings at its
-// start; a change is checked and logged, and takes effect with the next start.
-// ready is closed once the signal is handled.
+// watchReload handles SIGHUP until ctx ends. It validates the changed settings file
+// and logs the changes, which take effect at the next start of the daemon.
+// installed is closed once the signal handler is installed.
 func watchReload(ctx context.Context, path string, validate func() []error, log *logging.Logger, installed chan<- struct{}) {
 	sighup := make(chan os.Signal, 1)
 	signal.Notify(sighup, syscall.SIGHUP)
@@ -47,7 +47,7 @@
 	return strings.Split(string(b), "\n"), err
 }
 
-// added returns the lines of b that a does not have.
+// addedLines returns the lines of b that are not in a.
 func addedLines(a, b []string) []string {
 	var out []string
 	for _, l := range b {
--- a/internal/app/daemon/reload_test.go
+++ b/internal/app/daemon/reload_test.go
@@ -34,8 +34,9 @@
 	return o.buf.String()
 }
 
-// TestHangup guards against a daemon that ends on SIGHUP, as the runtime does
-// without a handler, and against changed settings that nobody is told of.
+// TestReloadOnSIGHUP guards against a daemon that exits on SIGHUP, as the runtime
+// does without a handler, and against changed or invalid settings that are not
+// logged.
 func TestReloadOnSIGHUP(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.ini")
 	writeSettings := func(s string) {
