--- a/internal/app/agent/components.go
+++ b/internal/app/agent/components.go
@@ -25,8 +25,8 @@
 	Directory port.Directory
 	Peer      port.PeerHandler
 	Member    port.MemberHandler
-	// NotReady returns why the directory has no declaration, or "" if it has one.
-	NotReady func() string
+	// NotReadyReason returns why the directory has no declaration, or "" if it has one.
+	NotReadyReason func() string
 	// Traffic returns the bytes sent and received by kind.
 	Traffic func() []port.Traffic
 	// Run runs the components until ctx ends.
@@ -73,7 +73,7 @@
 	}
 	return components{
 		Weights: weightStore, Ledger: callLedger, Directory: directoryClient, Peer: weightStore, Member: directoryClient.Handler(),
-		NotReady: directoryClient.NotReadyReason, Traffic: directoryClient.Traffic, Run: run,
+		NotReadyReason: directoryClient.NotReadyReason, Traffic: directoryClient.Traffic, Run: run,
 	}
 }
 
--- a/internal/app/agent/lifecycle_test.go
+++ b/internal/app/agent/lifecycle_test.go
@@ -187,7 +187,7 @@
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	st := components{Run: func(ctx context.Context) { <-ctx.Done() }, NotReady: func() string { return "" }}
+	st := components{Run: func(ctx context.Context) { <-ctx.Done() }, NotReadyReason: func() string { return "" }}
 	env := daemon.Env{Log: b.agent.deps.Log, Admin: &daemon.Admin{}}
 	wg.Go(func() { done <- serve(ctx, b.agent, srv, lis, st, Settings{DrainTimeout: 10 * time.Second}, env) })
 	b.waitServing("v1")
--- a/internal/app/agent/run.go
+++ b/internal/app/agent/run.go
@@ -89,7 +89,7 @@
 	})
 	wg.Go(func() { parts.Run(workCtx) })
 	wg.Go(func() { a.Run(workCtx) })
-	wg.Go(func() { a.reportReadiness(workCtx, env.Admin, parts.NotReady) })
+	wg.Go(func() { a.reportReadiness(workCtx, env.Admin, parts.NotReadyReason) })
 	var err error
 	select {
 	case <-ctx.Done():
