--- a/internal/adapter/logging/logging.go
+++ b/internal/adapter/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging writes one structured line for each decision that touches a
-// request and for each change of what a process believes.
+// Package logging writes structured log lines: one for each decision about a
+// request and one for each change of a process's state.
 package logging
 
 import (
@@ -14,31 +14,31 @@
 
 // Logger writes JSON lines.
 type Logger struct {
-	l *log.Logger
-	// served writes the lines on served requests.
+	other *log.Logger
+	// served writes the lines about served requests, which may be dropped first.
 	served *log.Logger
 }
 
-// New returns a logger that writes lines with the process's role and id to w
-// before its methods return.
+// New returns a logger that writes synchronously to w. Each line has the role and
+// id of the process.
 func New(w io.Writer, role, id string) *Logger {
-	l := logger(&lines{w: w}, role, id)
+	l := newLogger(&lockedWriter{w: w}, role, id)
 	return &Logger{l, l}
 }
 
-// NewBounded returns a logger that never waits for w and drops lines beyond a
-// rate. The function writes the lines that wait; it is called before the process
-// ends.
-func NewBounded(w io.Writer, role, id string) (*Logger, func()) {
-	b := newBounded(w, dropLine(role, id))
+// NewAsync returns a logger that never waits for w and drops lines that exceed a
+// rate limit. The returned function writes the queued lines; it must be called
+// before the process ends.
+func NewAsync(w io.Writer, role, id string) (*Logger, func()) {
+	b := newAsyncWriter(w, droppedLineFormatter(role, id))
 	l := &Logger{
-		l:      logger(lane{&b.allowOther, b.other}, role, id),
-		served: logger(lane{&b.allowServed, b.served}, role, id),
+		other:  newLogger(limitedWriter{&b.otherLimit, b.otherQueue}, role, id),
+		served: newLogger(limitedWriter{&b.servedLimit, b.servedQueue}, role, id),
 	}
 	return l, b.close
 }
 
-func logger(w io.Writer, role, id string) *log.Logger {
+func newLogger(w io.Writer, role, id string) *log.Logger {
 	return &log.Logger{
 		Level:      log.InfoLevel,
 		TimeFormat: timeFormat,
@@ -47,15 +47,15 @@
 	}
 }
 
-// lines writes one line at a time, since any goroutine may log and not every
-// writer allows that.
-type lines struct {
+// lockedWriter serializes writes, since any goroutine may log and not every
+// writer is safe for concurrent use.
+type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(b []byte) (int, error) {
+func (l *lockedWriter) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.w.Write(b)
@@ -67,25 +67,25 @@
 	Value any
 }
 
-// F returns a field.
+// F returns a field with the given key and value.
 func F(key string, value any) Field { return Field{key, value} }
 
 // Millis returns a field with a duration in milliseconds.
 func Millis(key string, d time.Duration) Field { return Field{key, d.Milliseconds()} }
 
-// State logs a change of state.
-func (l *Logger) State(msg string, fields ...Field) { write(l.l.Info(), msg, fields) }
+// StateChange logs a change of state, at level info.
+func (l *Logger) StateChange(msg string, fields ...Field) { write(l.other.Info(), msg, fields) }
 
-// Fault logs a change to a faulty state.
-func (l *Logger) Fault(msg string, err error, fields ...Field) {
-	write(l.l.Error().Err(err), msg, fields)
+// Failure logs a change to a failed state, at level error.
+func (l *Logger) Failure(msg string, err error, fields ...Field) {
+	write(l.other.Error().Err(err), msg, fields)
 }
 
-// Served logs a request that was served.
-func (l *Logger) Served(msg string, fields ...Field) { write(l.served.Info(), msg, fields) }
+// ServedRequest logs a request that was served, at level info.
+func (l *Logger) ServedRequest(msg string, fields ...Field) { write(l.served.Info(), msg, fields) }
 
-// Failed logs a request that was not served.
-func (l *Logger) Failed(msg string, fields ...Field) { write(l.l.Warn(), msg, fields) }
+// FailedRequest logs a request that was not served, at level warn.
+func (l *Logger) FailedRequest(msg string, fields ...Field) { write(l.other.Warn(), msg, fields) }
 
 func write(e *log.Entry, msg string, fields []Field) {
 	for _, f := range fields {
--- a/internal/adapter/logging/logging_test.go
+++ b/internal/adapter/logging/logging_test.go
@@ -11,8 +11,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// TestConcurrentLines guards against lines of several goroutines that run into
-// each other in a writer that allows one write at a time.
+// TestConcurrentLines guards against interleaved lines of several goroutines in a
+// writer that is not safe for concurrent use.
 func TestConcurrentLines(t *testing.T) {
 	var out bytes.Buffer
 	l := New(&out, "entry", "e1")
@@ -20,7 +20,7 @@
 	for range 8 {
 		wg.Go(func() {
 			for range 50 {
-				l.State("changed", F("n", 1))
+				l.StateChange("changed", F("n", 1))
 			}
 		})
 	}
@@ -36,54 +36,55 @@
 	}
 }
 
-// stuck is a writer that nobody reads from.
-type stuck struct{ release chan struct{} }
+// blockedWriter blocks every write until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-// TestUnreadOutput guards against a process that waits for the reader of its log.
-func TestUnreadOutput(t *testing.T) {
-	w := stuck{make(chan struct{})}
+// TestBlockedOutput guards against a process that blocks because nobody reads its
+// log.
+func TestBlockedOutput(t *testing.T) {
+	w := blockedWriter{make(chan struct{})}
 	defer close(w.release)
-	l, end := NewBounded(w, "gateway", "g1")
+	l, closeLog := NewAsync(w, "gateway", "g1")
 	start := time.Now()
 	for range 5000 {
-		l.Served("request", F("n", 1))
-		l.Failed("request", F("n", 1))
+		l.ServedRequest("request", F("n", 1))
+		l.FailedRequest("request", F("n", 1))
 	}
-	end()
+	closeLog()
 	if d := time.Since(start); d > 2*time.Second {
-		t.Errorf("10,000 lines and the end took %v", d)
+		t.Errorf("writing 10,000 lines and closing the log took %v", d)
 	}
 }
 
-// TestBoundedVolume guards against a log that grows with the load, against lines
-// on failures that are lost among those on served requests, and against lines
-// that are dropped without a word.
-func TestBoundedVolume(t *testing.T) {
+// TestDroppedLines guards against a log that grows with the load, against lines
+// about failed requests that are dropped because of those about served requests,
+// and against dropped lines that are not reported.
+func TestDroppedLines(t *testing.T) {
 	var out bytes.Buffer
-	l, end := NewBounded(&out, "gateway", "g1")
+	l, closeLog := NewAsync(&out, "gateway", "g1")
 	for range 3000 {
-		l.Served("request", F("kind", "served"))
+		l.ServedRequest("request", F("kind", "served"))
 	}
 	for range 100 {
-		l.Failed("request", F("kind", "failed"))
+		l.FailedRequest("request", F("kind", "failed"))
 	}
-	end()
+	closeLog()
 	served, failed := strings.Count(out.String(), `"kind":"served"`), strings.Count(out.String(), `"kind":"failed"`)
 	if served > 2*servedPerSecond || failed != 100 || !strings.Contains(out.String(), "log lines dropped") {
-		t.Errorf("%d lines on served and %d on failed requests", served, failed)
+		t.Errorf("%d lines about served and %d about failed requests", served, failed)
 	}
 }
 
-// BenchmarkServedLine measures what a line costs the request that it is about.
+// BenchmarkServedLine measures the time that logging adds to a served request.
 func BenchmarkServedLine(b *testing.B) {
-	l, end := NewBounded(io.Discard, "gateway", "g1")
-	defer end()
+	l, closeLog := NewAsync(io.Discard, "gateway", "g1")
+	defer closeLog()
 	for b.Loop() {
-		l.Served("request", F("request", "9c41d07be2a35f68"), F("took_ms", int64(12)), F("sends", 1), F("load", 1.5))
+		l.ServedRequest("request", F("request", "9c41d07be2a35f68"), F("took_ms", int64(12)), F("sends", 1), F("load", 1.5))
 	}
 }
--- a/internal/app/agent/controller.go
+++ b/internal/app/agent/controller.go
@@ -104,7 +104,7 @@
 	a.updateSnapshot(func(v *snapshot) { v.declaration, v.assignment = d, assigned })
 	c.group = assigned.Group
 	if old.Group != assigned.Group || old.Service != assigned.Service || old.Version != assigned.Version || old.Cordoned != assigned.Cordoned {
-		a.deps.Log.State("assignment changed", logging.F("revision", d.Revision), logging.F("group", assigned.Group),
+		a.deps.Log.StateChange("assignment changed", logging.F("revision", d.Revision), logging.F("group", assigned.Group),
 			logging.F("service", assigned.Service), logging.F("version", assigned.Version), logging.F("cordoned", assigned.Cordoned))
 	}
 	a.notifyWatchers()
@@ -120,7 +120,7 @@
 	reachable := a.snapshot().reachable
 	if r.err != nil {
 		if reachable {
-			a.deps.Log.Fault("target does not answer", r.err)
+			a.deps.Log.Failure("target does not answer", r.err)
 		}
 		c.loaded = nil
 		a.rollouts.Apply(c.group, rollout.EngineLost())
@@ -128,7 +128,7 @@
 		return
 	}
 	if !reachable {
-		a.deps.Log.State("target answers", logging.F("boot", r.engine.BootID))
+		a.deps.Log.StateChange("target answers", logging.F("boot", r.engine.BootID))
 	}
 	if a.deps.Engine != nil && a.admissions.ObserveEngine(a.targetKey, observation(r.engine, r.sentAt), a.deps.Clock.Now()) {
 		a.deps.Metrics.Count("agent_cold_restarts", 1)
@@ -151,9 +151,9 @@
 		c.lastOrderFailed = a.deps.Clock.Now()
 		c.reason = "order failed: " + r.err.Error()
 		a.deps.Metrics.Count("agent_orders_failed", 1)
-		a.deps.Log.Fault("order failed", r.err, logging.F("version", r.action.Ref.Version))
+		a.deps.Log.Failure("order failed", r.err, logging.F("version", r.action.Ref.Version))
 	} else {
-		a.deps.Log.State("order done", logging.F("kind", orderKind(r.action)), logging.F("version", r.action.Ref.Version))
+		a.deps.Log.StateChange("order done", logging.F("kind", orderKind(r.action)), logging.F("version", r.action.Ref.Version))
 	}
 	signal(a.probeNow)
 }
@@ -286,7 +286,7 @@
 	}
 	a.updateSnapshot(func(v *snapshot) { v.serving, v.ready, v.progress = plan.Serving, ready, progress })
 	if old.serving != plan.Serving {
-		a.deps.Log.State("rotation changed", logging.F("version", plan.Serving.Version))
+		a.deps.Log.StateChange("rotation changed", logging.F("version", plan.Serving.Version))
 	}
 	a.notifyWatchers()
 }
--- a/internal/app/agent/run.go
+++ b/internal/app/agent/run.go
@@ -105,12 +105,12 @@
 // progress, for at most the drain timeout.
 func drain(ctx context.Context, a *Agent, server *rpc.Server, c Settings, env daemon.Env) {
 	env.Admin.SetNotReady("leaving")
-	env.Log.State("leaving")
+	env.Log.StateChange("leaving")
 	drainCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.DrainTimeout)
 	defer cancel()
 	finished := a.Drain(c.DrainTimeout)
 	if err := server.Drain(drainCtx); err != nil || !finished {
-		env.Log.Fault("drain timeout passed with requests in progress", err, logging.F("timeout", c.DrainTimeout.String()))
+		env.Log.Failure("drain timeout passed with requests in progress", err, logging.F("timeout", c.DrainTimeout.String()))
 	}
 }
 
--- a/internal/app/daemon/daemon.go
+++ b/internal/app/daemon/daemon.go
@@ -163,7 +163,7 @@
 	if err != nil {
 		return err
 	}
-	logger, flush := logging.NewBounded(out, r.Name, common.ID)
+	logger, flush := logging.NewAsync(out, r.Name, common.ID)
 	defer flush()
 	env := Env{Log: logger, Metrics: metrics, Admin: newAdmin(metrics.Handler())}
 	validate := func() []error {
@@ -234,16 +234,16 @@
 	wg.Go(func() { _ = srv.Serve(lis) })
 	releaseCtx, stopRelease := context.WithCancel(context.WithoutCancel(ctx))
 	wg.Go(func() { releaseMemory(releaseCtx) })
-	env.Log.State("started", logging.F("version", Version), logging.F("admin", common.Admin))
+	env.Log.StateChange("started", logging.F("version", Version), logging.F("admin", common.Admin))
 	err = r.Run(ctx, env)
 	_ = srv.Close()
 	stopRelease()
 	wg.Wait()
 	if err != nil {
-		env.Log.Fault("stopped", err)
+		env.Log.Failure("stopped", err)
 		return err
 	}
-	env.Log.State("stopped")
+	env.Log.StateChange("stopped")
 	return nil
 }
 
--- a/internal/app/daemon/reload.go
+++ b/internal/app/daemon/reload.go
@@ -20,7 +20,7 @@
 	defer signal.Stop(sighup)
 	previous, err := readLines(path)
 	if err != nil {
-		log.Fault("settings can't be read", err)
+		log.Failure("settings can't be read", err)
 	}
 	close(installed)
 	for {
@@ -31,13 +31,13 @@
 		}
 		current, err := readLines(path)
 		if err != nil {
-			log.Fault("settings can't be read", err)
+			log.Failure("settings can't be read", err)
 			continue
 		}
 		for _, fault := range validate() {
-			log.Fault("changed settings are not valid", fault)
+			log.Failure("changed settings are not valid", fault)
 		}
-		log.State("reload", logging.F("changed", strings.Join(addedLines(previous, current), "; ")))
+		log.StateChange("reload", logging.F("changed", strings.Join(addedLines(previous, current), "; ")))
 		previous = current
 	}
 }
--- a/internal/app/directory/directory.go
+++ b/internal/app/directory/directory.go
@@ -264,7 +264,7 @@
 
 func (d *Directory) logState(msg string, fields ...logging.Field) {
 	if d.deps.Log != nil {
-		d.deps.Log.State(msg, fields...)
+		d.deps.Log.StateChange(msg, fields...)
 	}
 }
 
--- a/internal/app/entry/run.go
+++ b/internal/app/entry/run.go
@@ -193,7 +193,7 @@
 		p.env.Admin.SetNotReady(cmp.Or(p.dir.NotReadyReason(), "no configuration is known yet"))
 		if d, _ := p.dir.Declaration(); d != nil && ctx.Err() == nil {
 			p.env.Admin.SetReady()
-			p.env.Log.State("ready", logging.F("revision", d.Revision))
+			p.env.Log.StateChange("ready", logging.F("revision", d.Revision))
 			break
 		}
 		select {
@@ -212,11 +212,11 @@
 func (p *process) shutDown() {
 	p.env.Admin.SetNotReady("shutting down")
 	p.dir.UpdateSelf(func(m *port.MemberRecord) { m.State = port.MemberLeaving })
-	p.env.Log.State("draining", logging.F("timeout", p.cfg.Drain.String()))
+	p.env.Log.StateChange("draining", logging.F("timeout", p.cfg.Drain.String()))
 	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.Drain)
 	defer cancel()
 	if err := p.api.Drain(ctx); err != nil {
-		p.env.Log.Fault("drain time passed", err)
+		p.env.Log.Failure("drain time passed", err)
 	}
 	closeCtx, cancelClose := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancelClose()
--- a/internal/app/feed/source.go
+++ b/internal/app/feed/source.go
@@ -203,14 +203,14 @@
 	}
 	s.skipUntil.Put(m.Address, s.clock.Now().Add(pause))
 	if _, fromReader := s.FromReader(prefix); fromReader {
-		s.log.Fault("lost the reader", err, logging.F("prefix", prefix), logging.F("reader", m.ID))
+		s.log.Failure("lost the reader", err, logging.F("prefix", prefix), logging.F("reader", m.ID))
 	}
 }
 
 // readerAnswered records that the changes of a prefix come from reader m.
 func (s *Source) readerAnswered(prefix string, m core.Member, confirmedAt time.Duration) {
 	if _, fromReader := s.FromReader(prefix); !fromReader {
-		s.log.State("following a reader", logging.F("prefix", prefix), logging.F("reader", m.ID))
+		s.log.StateChange("following a reader", logging.F("prefix", prefix), logging.F("reader", m.ID))
 	}
 	s.state.Put(prefix, prefixState{fromReader: true, confirmedAt: confirmedAt})
 }
--- a/internal/app/follow/follow.go
+++ b/internal/app/follow/follow.go
@@ -101,7 +101,7 @@
 		changes, next, err := f.changes(ctx, revision)
 		switch {
 		case errors.Is(err, port.ErrHistoryGone), errors.Is(err, errRelist):
-			f.Log.State("listing again", logging.F("prefix", f.Prefix), logging.F("after", revision), logging.F("reason", err.Error()))
+			f.Log.StateChange("listing again", logging.F("prefix", f.Prefix), logging.F("after", revision), logging.F("reason", err.Error()))
 			return
 		case err != nil:
 			f.markLost(ctx, err)
@@ -156,7 +156,7 @@
 func (f *Follower) markLost(ctx context.Context, err error) {
 	if !f.storeLost && ctx.Err() == nil {
 		f.storeLost = true
-		f.Log.Fault("lost the store", err, logging.F("prefix", f.Prefix))
+		f.Log.Failure("lost the store", err, logging.F("prefix", f.Prefix))
 	}
 }
 
@@ -164,7 +164,7 @@
 func (f *Follower) markRegained(revision int64) {
 	if f.storeLost {
 		f.storeLost = false
-		f.Log.State("regained the store", logging.F("prefix", f.Prefix), logging.F("revision", revision))
+		f.Log.StateChange("regained the store", logging.F("prefix", f.Prefix), logging.F("revision", revision))
 	}
 }
 
--- a/internal/app/gateway/follow.go
+++ b/internal/app/gateway/follow.go
@@ -100,7 +100,7 @@
 			return srv.Serve(ctx, lis)
 		}()
 		if err != nil {
-			g.deps.Log.Fault("serving the feed of store changes failed", err)
+			g.deps.Log.Failure("serving the feed of store changes failed", err)
 			g.sleep(ctx, time.Second)
 		}
 	}
@@ -183,7 +183,7 @@
 	} else {
 		g.operatorFollower.Relist()
 	}
-	g.deps.Log.State("operators' keys have changed", logging.F("known", len(expect)), logging.F("told", known))
+	g.deps.Log.StateChange("operators' keys have changed", logging.F("known", len(expect)), logging.F("told", known))
 }
 
 // viewAge returns the time since the store last confirmed the operator keys. It is
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -149,7 +149,7 @@
 func (g *Gateway) Stop() {
 	start := g.deps.Clock.Now()
 	g.closing.Store(true)
-	g.deps.Log.State("stopping", logging.Millis("grace_ms", g.settings.Grace))
+	g.deps.Log.StateChange("stopping", logging.Millis("grace_ms", g.settings.Grace))
 	<-g.deps.Clock.After(shutdownDelay)
 	g.refusing.Store(true)
 	deadline := g.deps.Clock.After(max(0, g.settings.Grace-exitMargin-g.deps.Clock.Now().Sub(start)))
@@ -157,7 +157,7 @@
 		select {
 		case <-g.active.IdleSignal():
 		case <-deadline:
-			g.deps.Log.State("stopping with requests in progress")
+			g.deps.Log.StateChange("stopping with requests in progress")
 			return
 		}
 	}
--- a/internal/app/gateway/loads.go
+++ b/internal/app/gateway/loads.go
@@ -14,7 +14,7 @@
 func (g *Gateway) receiveLoadReports(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := loadcast.Receive(ctx, g.settings.Internal, g); err != nil {
-			g.deps.Log.Fault("receiving load reports failed", err)
+			g.deps.Log.Failure("receiving load reports failed", err)
 			g.sleep(ctx, time.Second)
 		}
 	}
@@ -59,5 +59,5 @@
 			return
 		}
 	}
-	g.deps.Log.Fault("no notices are sent to other gateways", err)
+	g.deps.Log.Failure("no notices are sent to other gateways", err)
 }
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -247,9 +247,9 @@
 	if e != nil {
 		fs = append(fs, logging.F("code", string(e.Code)), logging.F("verdict", e.Verdict.String()),
 			logging.F("reason", e.Error()), logging.Millis("retry_after_ms", e.RetryAfter))
-		g.deps.Log.Failed("request", fs...)
+		g.deps.Log.FailedRequest("request", fs...)
 	} else {
-		g.deps.Log.Served("request", fs...)
+		g.deps.Log.ServedRequest("request", fs...)
 	}
 	g.deps.Metrics.Count("gateway_requests_total", 1, port.Attr{Key: "class", Value: class}, port.Attr{Key: "outcome", Value: outcome})
 	g.deps.Metrics.Seconds("gateway_request_seconds", now.Sub(c.in.ReceivedAt), port.Attr{Key: "class", Value: class})
--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -135,7 +135,7 @@
 			continue
 		}
 		if err != nil {
-			v.log.Fault("operator's item can't be read", err, logging.F("key", c.Key), logging.F("revision", c.Revision))
+			v.log.Failure("operator's item can't be read", err, logging.F("key", c.Key), logging.F("revision", c.Revision))
 			continue
 		}
 		v.applyFact(fact, c, next, earliest)
@@ -153,10 +153,10 @@
 		} else {
 			next.cordons[f.Domain] = true
 		}
-		v.log.State("cordon", logging.F("domain", string(f.Domain)), logging.F("cordoned", !c.Removed), logging.F("revision", c.Revision))
+		v.log.StateChange("cordon", logging.F("domain", string(f.Domain)), logging.F("cordoned", !c.Removed), logging.F("revision", c.Revision))
 	case port.WeightsItem:
 		next.weights[f.Model] = appendDeclaration(next.weights[f.Model], weightsDeclaration{f.Number, earliest})
-		v.log.State("weights declared", logging.F("model", string(f.Model)), logging.F("number", f.Number), logging.F("revision", c.Revision))
+		v.log.StateChange("weights declared", logging.F("model", string(f.Model)), logging.F("number", f.Number), logging.F("revision", c.Revision))
 	}
 }
 
@@ -166,7 +166,7 @@
 	}
 	current := v.routeTable.Load()
 	if current != nil && c.Version < current.Version {
-		v.log.Fault("older configuration ignored", nil, logging.F("version", c.Version), logging.F("held", current.Version))
+		v.log.Failure("older configuration ignored", nil, logging.F("version", c.Version), logging.F("held", current.Version))
 		return
 	}
 	t := routes.Compile(c)
@@ -176,7 +176,7 @@
 		}
 	}
 	v.routeTable.Store(t)
-	v.log.State("configuration in force", logging.F("version", c.Version), logging.F("revision", from.Revision),
+	v.log.StateChange("configuration in force", logging.F("version", c.Version), logging.F("revision", from.Revision),
 		logging.F("routes", len(c.Routes)), logging.F("accounts", len(c.Accounts)))
 }
 
@@ -233,13 +233,13 @@
 			if id, ok := v.instanceByKey[c.Key]; ok {
 				delete(v.instanceByKey, c.Key)
 				v.targets.Remove(id)
-				v.log.State("target gone", logging.F("target", string(id)), logging.F("revision", c.Revision))
+				v.log.StateChange("target gone", logging.F("target", string(id)), logging.F("revision", c.Revision))
 			}
 			continue
 		}
 		fact, err := v.facts.Decode(c.StoreItem)
 		if err != nil {
-			v.log.Fault("entry of a target can't be read", err, logging.F("key", c.Key), logging.F("revision", c.Revision))
+			v.log.Failure("entry of a target can't be read", err, logging.F("key", c.Key), logging.F("revision", c.Revision))
 			v.removeTarget(c.Key)
 			continue
 		}
@@ -274,7 +274,7 @@
 	}
 	v.instanceByKey[c.Key] = r.Instance
 	v.targets.Set(t)
-	v.log.State("target", logging.F("target", string(t.Instance)), logging.F("service", string(t.Service)),
+	v.log.StateChange("target", logging.F("target", string(t.Instance)), logging.F("service", string(t.Service)),
 		logging.F("address", string(t.Address)), logging.F("domain", string(t.Domain)), logging.F("draining", t.Draining),
 		logging.Millis("cold_ms", r.WarmUpLeft), logging.F("weights", t.WeightsVersion), logging.F("revision", c.Revision))
 }
@@ -291,6 +291,6 @@
 	n := int64(count)
 	v.otherGateways.Store(&otherGateways)
 	if old := v.gatewayCount.Swap(max(1, n)); old != max(1, n) {
-		v.log.State("number of gateways changed", logging.F("count", n))
+		v.log.StateChange("number of gateways changed", logging.F("count", n))
 	}
 }
--- a/internal/app/loader/converge.go
+++ b/internal/app/loader/converge.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		if err := l.startFetch(ctx, g); err != nil {
-			l.deps.Log.Fault("version can't be resolved", err, logging.F("number", g.Number))
+			l.deps.Log.Failure("version can't be resolved", err, logging.F("number", g.Number))
 			l.sleep(ctx, retryDelay)
 			continue
 		}
@@ -96,7 +96,7 @@
 	if g.mayBeStaged && l.engineReport.get() != nil {
 		l.reuseStaged(ctx, g, id)
 	}
-	l.deps.Log.State("fetching weights", logging.F("number", g.Number), logging.F("chunks", len(man.Chunks)), logging.F("from_origin", !ok))
+	l.deps.Log.StateChange("fetching weights", logging.F("number", g.Number), logging.F("chunks", len(man.Chunks)), logging.F("from_origin", !ok))
 	return nil
 }
 
@@ -121,7 +121,7 @@
 			continue
 		}
 		if err := l.load(ctx, g, v); err != nil && ctx.Err() == nil {
-			l.deps.Log.Fault("weights are not loaded yet", err, logging.F("number", v.Number))
+			l.deps.Log.Failure("weights are not loaded yet", err, logging.F("number", v.Number))
 			l.sleep(ctx, retryDelay)
 		}
 	}
@@ -164,7 +164,7 @@
 	if err := l.verifyStaged(ctx, v); err != nil {
 		return err
 	}
-	l.deps.Log.State("ordering the engine to load", logging.F("model", string(v.Model)), logging.F("number", v.Number),
+	l.deps.Log.StateChange("ordering the engine to load", logging.F("model", string(v.Model)), logging.F("number", v.Number),
 		logging.F("declared", g.Number), logging.Millis("stage_ms", l.deps.Clock.Now().Sub(start)),
 		logging.Millis("since_ms", start.Sub(g.learnedAt)), logging.F("rank", g.rank), logging.F("of", g.count))
 	return l.orderLoad(ctx, g, v)
@@ -174,7 +174,7 @@
 func (l *Loader) reuseStaged(ctx context.Context, g goal, id fleet.Version) {
 	staged, err := l.deps.Engine.StagedChunks(ctx, g.Model)
 	if err != nil {
-		l.deps.Log.Fault("staged chunks can't be listed", err)
+		l.deps.Log.Failure("staged chunks can't be listed", err)
 		return
 	}
 	intact := 0
@@ -184,7 +184,7 @@
 			intact++
 		}
 	}
-	l.deps.Log.State("staged chunks found", logging.F("number", g.Number), logging.F("staged", len(staged)), logging.F("intact", intact))
+	l.deps.Log.StateChange("staged chunks found", logging.F("number", g.Number), logging.F("staged", len(staged)), logging.F("intact", intact))
 }
 
 var errReleased = errors.New("version was released")
@@ -219,7 +219,7 @@
 			if n == maxRewrites {
 				return errors.Errorf("staged chunk %d is still corrupted", i)
 			}
-			l.deps.Log.State("staged chunk is spoilt", logging.F("chunk", i), logging.F("number", v.Number))
+			l.deps.Log.StateChange("staged chunk is spoilt", logging.F("chunk", i), logging.F("number", v.Number))
 			data, ok := l.chunks.Chunk(v.id, i)
 			if !ok {
 				return errReleased
@@ -272,7 +272,7 @@
 		if newestHeld(&now).Number < v.Number {
 			return errors.New("engine finished the order without loading the weights")
 		}
-		l.deps.Log.State("engine holds the weights", logging.F("model", string(v.Model)), logging.F("number", v.Number))
+		l.deps.Log.StateChange("engine holds the weights", logging.F("model", string(v.Model)), logging.F("number", v.Number))
 		return nil
 	}
 }
--- a/internal/app/loader/loader.go
+++ b/internal/app/loader/loader.go
@@ -133,7 +133,7 @@
 	defer wg.Wait()
 	wg.Go(func() {
 		if err := srv.Serve(ctx, lis); err != nil {
-			l.deps.Log.Fault("serving other loaders", err)
+			l.deps.Log.Failure("serving other loaders", err)
 		}
 	})
 	wg.Go(func() { l.chunks.Run(ctx) })
@@ -176,12 +176,12 @@
 		switch {
 		case err != nil && !lost && ctx.Err() == nil:
 			lost = true
-			l.deps.Log.Fault("lost the engine", err)
+			l.deps.Log.Failure("lost the engine", err)
 			l.engineReport.set(nil)
 		case err == nil:
 			if lost {
 				lost = false
-				l.deps.Log.State("regained the engine", logging.F("started", r.Started))
+				l.deps.Log.StateChange("regained the engine", logging.F("started", r.Started))
 			}
 			l.engineReport.set(&r)
 			l.recordGauges(&r, now)
--- a/internal/app/loader/view.go
+++ b/internal/app/loader/view.go
@@ -89,7 +89,7 @@
 		}
 		item, err := v.decoder.Decode(c.StoreItem)
 		if err != nil {
-			v.log.Fault("operator's item can't be read", err, logging.F("key", c.Key), logging.F("revision", c.Revision))
+			v.log.Failure("operator's item can't be read", err, logging.F("key", c.Key), logging.F("revision", c.Revision))
 			continue
 		}
 		switch it := item.(type) {
@@ -115,7 +115,7 @@
 	const maxKept = 8 // more than are declared within one WeightsBound
 	v.declarations = append(v.declarations, d)
 	v.declarations = v.declarations[max(0, len(v.declarations)-maxKept):]
-	v.log.State("weights declared", logging.F("model", string(d.Model)), logging.F("number", d.Number), logging.F("revision", revision))
+	v.log.StateChange("weights declared", logging.F("model", string(d.Model)), logging.F("number", d.Number), logging.F("revision", revision))
 }
 
 func (v *view) applyMembers(e follow.Event) {
@@ -401,8 +401,8 @@
 	o.mu.Unlock()
 	switch {
 	case changed && failed:
-		o.view.log.Fault("lost the origin", err)
+		o.view.log.Failure("lost the origin", err)
 	case changed:
-		o.view.log.State("regained the origin")
+		o.view.log.StateChange("regained the origin")
 	}
 }
--- a/internal/app/registration/members.go
+++ b/internal/app/registration/members.go
@@ -27,7 +27,7 @@
 		}
 		item, err := decoder.Decode(c.StoreItem)
 		if err != nil {
-			log.Fault("entry of a process can't be read", err, logging.F("key", c.Key))
+			log.Failure("entry of a process can't be read", err, logging.F("key", c.Key))
 			continue
 		}
 		if member, ok := item.(port.MemberItem); ok {
--- a/internal/app/registration/registrar.go
+++ b/internal/app/registration/registrar.go
@@ -40,11 +40,11 @@
 	for ctx.Err() == nil {
 		lease, err := r.register(ctx)
 		if err != nil {
-			r.Log.Fault("could not register in the store", err)
+			r.Log.Failure("could not register in the store", err)
 			r.sleep(ctx, retryDelay)
 			continue
 		}
-		r.Log.State("registered in the store", logging.F("address", r.Self.Address))
+		r.Log.StateChange("registered in the store", logging.F("address", r.Self.Address))
 		r.keepAlive(ctx, lease)
 		if ctx.Err() != nil {
 			// If the call fails, the registration expires with the lease.
@@ -77,7 +77,7 @@
 		}
 		err := r.Store.KeepAlive(ctx, lease)
 		if errors.Is(err, port.ErrNotFound) {
-			r.Log.Fault("lease of the entry has ended", err)
+			r.Log.Failure("lease of the entry has ended", err)
 			return
 		}
 		delay = keepAliveInterval
