--- a/internal/app/ctl/change.go
+++ b/internal/app/ctl/change.go
@@ -205,17 +205,17 @@
 	result := applyResult{Revision: next.Revision, WriteID: next.WriteID, Effect: effect, Unseen: []process{}}
 	var failed error
 	if s.c.Bool("wait") {
-		waited, err := s.waitInForce(ctx, next.Revision)
-		result.Wait, failed = &waited, err
+		w, err := s.waitInForce(ctx, next.Revision)
+		result.Wait, failed = &w, err
 	}
 	if members, err := s.readMembers(ctx); err == nil {
 		result.Unseen = slices.DeleteFunc(members.Processes, process.visible)
 	}
-	err := s.print(result, func(waited io.Writer) {
-		fmt.Fprintf(waited, "revision %d is accepted\n", result.Revision)
-		effect.writeText(waited)
+	err := s.print(result, func(w io.Writer) {
+		fmt.Fprintf(w, "revision %d is accepted\n", result.Revision)
+		effect.writeText(w)
 		if result.Wait != nil {
-			result.Wait.writeText(waited)
+			result.Wait.writeText(w)
 		}
 	})
 	for _, p := range result.Unseen {
--- a/internal/app/ctl/ctl_test.go
+++ b/internal/app/ctl/ctl_test.go
@@ -31,28 +31,28 @@
 	lastNumber uint64
 }
 
-func (s *fakeClock) Now() time.Time {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.now
+func (c *fakeClock) Now() time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.now
 }
 
-func (s *fakeClock) After(d time.Duration) <-chan time.Time {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.now = s.now.Add(d)
+func (c *fakeClock) After(d time.Duration) <-chan time.Time {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.now = c.now.Add(d)
 	ch := make(chan time.Time, 1)
-	ch <- s.now
+	ch <- c.now
 	return ch
 }
 
-func (s *fakeClock) IntN(int) int { return 0 }
+func (c *fakeClock) IntN(int) int { return 0 }
 
-func (s *fakeClock) Uint64() uint64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.lastNumber++
-	return s.lastNumber
+func (c *fakeClock) Uint64() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastNumber++
+	return c.lastNumber
 }
 
 // peers is a MemberClient with one reachable address, 127.0.0.1:1. It returns the
@@ -60,7 +60,7 @@
 type peers struct {
 	port.MemberClient
 	calls int
-	reply func(look int) port.ExchangeMessage
+	reply func(call int) port.ExchangeMessage
 }
 
 func (p *peers) Members(_ context.Context, a fleet.Address) (port.ExchangeMessage, error) {
@@ -75,7 +75,7 @@
 	return port.ExchangeMessage{}, errors.New("connection refused")
 }
 
-func agent(id string, dom fleet.Domain, pool string, rev uint64) port.MemberRecord {
+func agentRecord(id string, dom fleet.Domain, pool string, rev uint64) port.MemberRecord {
 	return port.MemberRecord{
 		ID: id, Kind: fleet.KindAgent, Domain: dom, Revision: rev, Incarnation: 1,
 		Labels: map[string]string{"pool": pool},
@@ -109,7 +109,7 @@
 	}
 	h.peers = &peers{reply: func(int) port.ExchangeMessage {
 		return port.ExchangeMessage{Revision: 1, Records: []port.MemberRecord{
-			agent("a-w1", "a", "model", 1), agent("b-w1", "b", "model", 1), agent("a-s1", "a", "status", 1),
+			agentRecord("a-w1", "a", "model", 1), agentRecord("b-w1", "b", "model", 1), agentRecord("a-s1", "a", "status", 1),
 		}}
 	}}
 	return h
@@ -269,8 +269,8 @@
 	}
 	h.peers.reply = func(call int) port.ExchangeMessage {
 		records := []port.MemberRecord{
-			agent("a-w1", "a", "model", 2), agent("a-w2", "a", "model", 2), agent("a-w3", "a", "model", 1),
-			agent("b-w1", "b", "model", 1), agent("c-w1", "c", "model", 2),
+			agentRecord("a-w1", "a", "model", 2), agentRecord("a-w2", "a", "model", 2), agentRecord("a-w3", "a", "model", 1),
+			agentRecord("b-w1", "b", "model", 1), agentRecord("c-w1", "c", "model", 2),
 		}
 		records[0].Status, records[1].Status = status(call, 100, ""), status(call, 10, "")
 		records[2].Status, records[4].Status = status(call, 0, "waiting for origin"), status(call, 0, "")
@@ -297,7 +297,7 @@
 	h := newHarness(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	h.peers.reply = func(call int) port.ExchangeMessage {
-		records := []port.MemberRecord{agent("a-w1", "a", "model", 2), agent("a-w2", "a", "model", 2)}
+		records := []port.MemberRecord{agentRecord("a-w1", "a", "model", 2), agentRecord("a-w2", "a", "model", 2)}
 		for i, have := range []int{min(100, 40*call), 10} {
 			records[i].Status = &port.AgentStatus{Group: "summaries", Progress: port.Progress{
 				Target: "2222", State: "fetching", Chunks: 100, ChunksHave: have, BytesTotal: 100 << 20,
--- a/internal/app/ctl/race_test.go
+++ b/internal/app/ctl/race_test.go
@@ -110,9 +110,9 @@
 	for id := range operators {
 		wg.Go(func() {
 			for range rounds {
-				seen := recordOperation(id, operation{}, func() result { return result{ExitDone, h.currentRevision(t)} })
-				in := operation{apply: true, base: seen.rev}
-				recordOperation(id, in, func() result { return h.applyAt(seen.rev) })
+				current := recordOperation(id, operation{}, func() result { return result{ExitDone, h.currentRevision(t)} })
+				in := operation{apply: true, base: current.rev}
+				recordOperation(id, in, func() result { return h.applyAt(current.rev) })
 			}
 		})
 	}
--- a/internal/app/ctl/status.go
+++ b/internal/app/ctl/status.go
@@ -92,12 +92,12 @@
 	}
 }
 
-func (report statusReport) unfinished() bool {
-	return slices.ContainsFunc(report.Groups, func(r groupProgress) bool { return r.Done < r.Machines })
+func (sr statusReport) unfinished() bool {
+	return slices.ContainsFunc(sr.Groups, func(r groupProgress) bool { return r.Done < r.Machines })
 }
 
-// summarize computes the status report of a member table. before is an earlier
-// table, read the time elapsed before, or nil; rates need it.
+// summarize computes the status report of a member table. before is the table read
+// elapsed earlier, from which rates are computed, or nil.
 func summarize(table memberTable, before *memberTable, elapsed time.Duration) statusReport {
 	out := statusReport{memberTable: table, Unseen: []process{}}
 	lowest := uint64(0)
@@ -183,35 +183,35 @@
 	}
 }
 
-func (report statusReport) writeText(w io.Writer) {
+func (sr statusReport) writeText(w io.Writer) {
 	behind := 0
-	for _, p := range report.Processes {
-		if p.visible() && p.Revision < report.Revision {
+	for _, p := range sr.Processes {
+		if p.visible() && p.Revision < sr.Revision {
 			behind++
 		}
 	}
 	fmt.Fprintf(w, "revision %d, confirmed %s; %d processes, %d behind, %d unseen\n",
-		report.Revision, formatAgo(report.AgeSeconds), len(report.Processes), behind, len(report.Unseen))
+		sr.Revision, formatAgo(sr.AgeSeconds), len(sr.Processes), behind, len(sr.Unseen))
 	rows := [][]string{{"PROCESS", "KIND", "DOMAIN", "REVISION", "STATE"}}
-	for _, p := range report.Processes {
+	for _, p := range sr.Processes {
 		rows = append(rows, []string{p.ID, p.Kind, p.Domain, fmt.Sprint(p.Revision), p.State})
 	}
 	writeTable(w, rows)
 	if behind > 0 {
-		fmt.Fprintf(w, "slowest: %s\n", report.Slowest)
+		fmt.Fprintf(w, "slowest: %s\n", sr.Slowest)
 	}
-	for _, p := range report.Unseen {
+	for _, p := range sr.Unseen {
 		fmt.Fprintf(w, "unseen: %s, last at revision %d, heard %s\n", p.ID, p.Revision, formatAgo(p.HeardSeconds))
 	}
-	if len(report.Groups) == 0 {
+	if len(sr.Groups) == 0 {
 		return
 	}
 	rows = [][]string{{"GROUP", "VERSION", "DOMAIN", "DONE", "BYTES", "RATE", "LEFT", "STUCK"}}
-	for _, r := range report.Groups {
+	for _, r := range sr.Groups {
 		rows = append(rows, r.row())
 	}
 	writeTable(w, rows)
-	for _, r := range report.Groups {
+	for _, r := range sr.Groups {
 		for _, x := range r.Stuck {
 			fmt.Fprintf(w, "stuck: %s: %s\n", x.Machine, x.Reason)
 		}
--- a/internal/app/ctl/store.go
+++ b/internal/app/ctl/store.go
@@ -19,7 +19,8 @@
 // retryDelay is the pause between two calls to a platform that does not respond.
 const retryDelay = 200 * time.Millisecond
 
-// storedDocument is the stored document with the platform's revision of its key.
+// storedDocument is the declaration as stored in the platform, together with the
+// platform's own revision of the key.
 type storedDocument struct {
 	doc              inifile.Document
 	platformRevision int64
@@ -95,7 +96,7 @@
 }
 
 // conflictError means that another change took effect first. It holds the document
-// that this change wrote.
+// now stored.
 type conflictError struct{ stored storedDocument }
 
 // Error implements error.
@@ -115,36 +116,36 @@
 		return withExitCode(ExitUsage, err)
 	}
 	until := s.deadline()
-	sent := false
+	maybeApplied := false
 	for {
 		_, err := kv.CompareAndSwap(ctx, inifile.Key, base.platformRevision, b, port.NoLease)
 		switch {
 		case err == nil:
 			return nil
 		case errors.Is(err, port.ErrConflict):
-			return s.resolveConflict(ctx, kv, base, next, sent, until)
+			return s.resolveConflict(ctx, kv, base, next, maybeApplied, until)
 		case errors.Is(err, port.ErrUnknownOutcome):
-			sent = true
+			maybeApplied = true
 		case !errors.Is(err, port.ErrUnavailable):
 			return err
 		}
 		if !s.waitRetry(ctx, until) {
-			return unreachableError(sent, next, err)
+			return unreachableError(maybeApplied, next, err)
 		}
 	}
 }
 
 // resolveConflict determines the outcome of a write that failed its comparison.
-// The document lists the latest writes by ID, so an own write whose response was
+// The document lists the latest writes by ID, so a write whose response was
 // lost is found even if other writes followed. A document that is not newer than
 // base comes from a stale read and is read again.
 func (s *session) resolveConflict(
-	ctx context.Context, kv port.KV, base storedDocument, next inifile.Document, sent bool, until time.Time,
+	ctx context.Context, kv port.KV, base storedDocument, next inifile.Document, maybeApplied bool, until time.Time,
 ) error {
 	for {
 		now, err := readDocumentOnce(ctx, kv)
 		if err == nil {
-			if _, own := now.doc.Wrote(next.WriteID); own {
+			if _, found := now.doc.Wrote(next.WriteID); found {
 				return nil
 			}
 			if now.platformRevision != base.platformRevision && now.doc.Revision > base.doc.Revision {
@@ -152,16 +153,16 @@
 			}
 		}
 		if !s.waitRetry(ctx, until) {
-			if !sent && err == nil {
+			if !maybeApplied && err == nil {
 				return conflictError{now}
 			}
-			return unreachableError(sent, next, err)
+			return unreachableError(maybeApplied, next, err)
 		}
 	}
 }
 
-func unreachableError(sent bool, next inifile.Document, err error) error {
-	if !sent {
+func unreachableError(maybeApplied bool, next inifile.Document, err error) error {
+	if !maybeApplied {
 		return withExitCode(ExitUnreachable, errors.Wrap(err, "platform does not answer; nothing was changed"))
 	}
 	return withExitCode(ExitUnreachable, errors.Wrapf(errUnknownOutcome, "platform does not answer; look for write %s in the history", next.WriteID))
--- a/internal/app/directory/convergence_test.go
+++ b/internal/app/directory/convergence_test.go
@@ -78,17 +78,17 @@
 	tf.waitFor("partitioned domain removes the others", 30*time.Second, inDomain("b"), seesMembers(10))
 	tf.waitFor("partitioned domain keeps its revision", time.Second, inDomain("b"), hasRevision(before))
 
-	least := fleetSize
+	fewest := fleetSize
 	tf.cutDomain.Store(fleet.Domain(""))
 	tf.waitFor("change after healing", changeDeadline, inDomain("b"), hasRevision(rev))
 	tf.waitFor("members join again", 15*time.Second, all, func(n *node) bool {
 		if n.cfg.Self.Domain != "b" {
-			least = min(least, len(n.Directory.Members(fleet.KindEntry))+len(n.Directory.Members(fleet.KindAgent)))
+			fewest = min(fewest, len(n.Directory.Members(fleet.KindEntry))+len(n.Directory.Members(fleet.KindAgent)))
 		}
 		return seesMembers(fleetSize)(n)
 	})
-	if least < 20 {
-		t.Errorf("a process saw only %d members while the partition healed, want its own side of 20", least)
+	if fewest < 20 {
+		t.Errorf("a process saw only %d members while the partition healed, want its own side of 20", fewest)
 	}
 	time.Sleep(4 * time.Second)
 	tf.waitFor("members stay joined", changeDeadline, all, seesMembers(fleetSize))
--- a/internal/app/directory/exchange.go
+++ b/internal/app/directory/exchange.go
@@ -259,17 +259,17 @@
 	res := d.gossip.MergeMessage(reply, d.deps.Clock.Now())
 	d.handleMerge(res)
 	d.observeRevision(wireReply, p.addr)
-	own := d.table.Digest()
-	if wireReply.Digest != own {
-		own = 0
+	agreed := d.table.Digest()
+	if wireReply.Digest != agreed {
+		agreed = 0
 	}
-	d.agreedDigest.Store(own)
+	d.agreedDigest.Store(agreed)
 	return reply, res.Refuted, true
 }
 
-// handleMerge wakes the announcements and subscribers concerned by what a
-// message changed in the table. New members are forwarded immediately only in a
-// small fleet and while the byte budget is at least half full.
+// handleMerge counts the merged records of a message and wakes announceLoop and
+// the subscribers if the table changed. New members are forwarded immediately only
+// in a small fleet and while the byte budget is at least half full.
 func (d *Directory) handleMerge(res membership.MergeResult) {
 	d.deps.Metrics.Count("directory_records_total", int64(res.NewRecords), port.Attr{Key: "known", Value: "false"})
 	d.deps.Metrics.Count("directory_records_total", int64(res.KnownRecords), port.Attr{Key: "known", Value: "true"})
--- a/internal/app/directory/fetch.go
+++ b/internal/app/directory/fetch.go
@@ -25,6 +25,7 @@
 	rev  uint64
 }
 
+// enqueueFetch adds req to the queue, or drops it if the queue is full.
 func (d *Directory) enqueueFetch(req fetchRequest) {
 	select {
 	case d.fetchQueue <- req:
--- a/internal/app/directory/reader.go
+++ b/internal/app/directory/reader.go
@@ -71,6 +71,7 @@
 	idleWatches int
 }
 
+// step makes one watch or read call and accepts the returned document.
 func (w *watcher) step(ctx context.Context) error {
 	if w.idleWatches >= maxIdleWatches {
 		w.idleWatches = 0
@@ -104,7 +105,7 @@
 	return err
 }
 
-// acceptEntry puts a document from the platform in force. A document older than
+// acceptEntry passes a document from the platform to accept. A document older than
 // the newest known one is counted and does not refresh the newest one's age.
 func (w *watcher) acceptEntry(e port.KVEntry) {
 	w.rev = e.Rev
--- a/internal/app/directory/startup.go
+++ b/internal/app/directory/startup.go
@@ -13,7 +13,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Values of startup.reason.
+// Reasons returned by NotReadyReason.
 var (
 	reasonStarting      = "waiting for the platform and the seeds"
 	reasonUnreachable   = "the platform does not answer and no reachable process holds a declaration"
