--- a/internal/app/agent/controller.go
+++ b/internal/app/agent/controller.go
@@ -180,7 +180,7 @@
 	// Requests are counted again after the rotation changed: from here on none
 	// is pinned to a version that left it.
 	p = a.roll.Apply(c.group, c.busy()...)
-	if p.Next.Kind == rollout.Wait || c.ordering || c.stale || a.d.Clock.Now().Sub(c.failed) < orderBackoff {
+	if p.Next.Kind == rollout.NoAction || c.ordering || c.stale || a.d.Clock.Now().Sub(c.failed) < orderBackoff {
 		return
 	}
 	c.ordering, c.orderGroup = true, c.group
@@ -194,7 +194,7 @@
 	target := rollout.Ref{Model: v.assign.Model, Version: v.assign.Version}
 	es := []rollout.Event{
 		rollout.Assigned(target, v.assign.Overlap, knownVersions(v)...),
-		rollout.Stays(!c.mayLeave(v)),
+		rollout.MustStay(!c.mayLeave(v)),
 		rollout.EngineLost(),
 	}
 	if v.up {
@@ -206,7 +206,7 @@
 			complete = append(complete, r.Version)
 		}
 	}
-	return append(append(es, rollout.HeldComplete(complete)), c.busy()...)
+	return append(append(es, rollout.VersionsComplete(complete)), c.busy()...)
 }
 
 // knownVersions lists the declared versions of the assigned model in order.
@@ -242,13 +242,13 @@
 	if !c.waitingAt.IsZero() {
 		waited = now.Sub(c.waitingAt)
 	}
-	return rollout.MayLeave(a.id.VM, v.assign.Version, peers, waited)
+	return rollout.MayLeaveRotation(a.id.VM, v.assign.Version, peers, waited)
 }
 
 func (c *controller) busy() []rollout.Event {
 	var es []rollout.Event
 	for _, v := range c.loaded {
-		es = append(es, rollout.Busy(v, c.a.adm.PinnedRequests(c.a.target, v)))
+		es = append(es, rollout.RequestsPinned(v, c.a.adm.PinnedRequests(c.a.target, v)))
 	}
 	return es
 }
--- a/internal/app/agent/life_test.go
+++ b/internal/app/agent/life_test.go
@@ -132,13 +132,13 @@
 	b.kv.SetDown(true)
 	b.weights.Put("v1", make([]byte, 4<<20))
 	b.dir.set(declaration(1, "v1", declare.KeepOld))
-	time.Sleep(rollout.LeaseTime + time.Second)
+	time.Sleep(rollout.LeaseDuration + time.Second)
 	b.eventually("order given", func() bool { return b.agent.Status().Progress.State == "loading" })
 	b.admin("/v1/unload?version=v0&fence=99", "")
 	b.eventually("order ended", func() bool {
 		return strings.Contains(b.agent.Status().Progress.Reason, errSucceeded.Error())
 	})
-	time.Sleep(2 * rollout.LeaseTime)
+	time.Sleep(2 * rollout.LeaseDuration)
 	if st := b.agent.Status(); st.Progress.Reason != "waiting for the order lease" {
 		t.Fatalf("an order was given after that of another agent: %+v", st.Progress)
 	}
--- a/internal/app/agent/orders.go
+++ b/internal/app/agent/orders.go
@@ -17,17 +17,17 @@
 // orderer gives orders to the engine, one at a time, under the order lease.
 type orderer struct {
 	a     *Agent
-	gate  rollout.Gate
+	gate  rollout.OrderGate
 	key   string
 	owner string
 	lease port.LeaseID
-	valid rollout.Validity
+	valid rollout.OrderValidity
 }
 
 func newOrderer(a *Agent) *orderer {
 	return &orderer{
 		a:     a,
-		gate:  rollout.NewGate(a.d.Clock.Now()),
+		gate:  rollout.NewOrderGate(a.d.Clock.Now()),
 		key:   "order/" + string(a.id.VM),
 		owner: fmt.Sprintf("%s/%016x", a.id.VM, a.id.BootID),
 	}
@@ -52,16 +52,16 @@
 	if err != nil {
 		return false, err
 	}
-	o.gate.EngineFence(st.Fence)
-	d := o.gate.Next(o.a.d.Clock.Now())
-	if d.Step == rollout.Acquire {
+	o.gate.SetEngineFence(st.Fence)
+	d := o.gate.NextStep(o.a.d.Clock.Now())
+	if d.Step == rollout.AcquireLease {
 		o.acquire(ctx)
-		d = o.gate.Next(o.a.d.Clock.Now())
+		d = o.gate.NextStep(o.a.d.Clock.Now())
 	}
 	switch d.Step {
-	case rollout.Give:
+	case rollout.GiveOrder:
 		return false, o.order(ctx, x, d)
-	case rollout.Hold:
+	case rollout.HoldOrder:
 		select {
 		case <-o.a.d.Clock.After(d.Wait):
 		case <-ctx.Done():
@@ -78,16 +78,16 @@
 	now := o.a.d.Clock.Now()
 	switch {
 	case err == nil:
-		o.gate.Acquired(rev, sent)
+		o.gate.LeaseAcquired(rev, sent)
 	case errors.Is(err, port.ErrConflict) || errors.Is(err, port.ErrNotFound):
-		o.gate.Refused(now)
+		o.gate.LeaseRefused(now)
 	default:
-		o.gate.Unreachable(now)
+		o.gate.PlatformUnreachable(now)
 	}
 }
 
 func (o *orderer) take(ctx context.Context) (int64, error) {
-	id, err := o.a.d.KV.Grant(ctx, rollout.LeaseTime)
+	id, err := o.a.d.KV.Grant(ctx, rollout.LeaseDuration)
 	if err != nil {
 		return 0, err
 	}
@@ -168,7 +168,7 @@
 	return nil
 }
 
-const keepEvery = rollout.LeaseTime / 3
+const keepEvery = rollout.LeaseDuration / 3
 
 // keep extends the lease, or the time of an order without one, until ctx ends.
 // The gate is not used by anything else during an order.
@@ -194,18 +194,18 @@
 		if st, err := o.a.d.Engine.Status(ctx); err == nil && st.Fence > d.Fence {
 			return errSucceeded
 		}
-		o.valid.Alive(sent)
+		o.valid.ExtendUnleased(sent)
 		return o.check()
 	}
 	err := o.a.d.KV.KeepAlive(ctx, o.lease)
 	switch {
 	case err == nil:
-		o.gate.Extended(sent)
-		o.valid.Extended(sent)
+		o.gate.LeaseExtended(sent)
+		o.valid.LeaseExtended(sent)
 	case errors.Is(err, port.ErrNotFound):
 		return errLeaseLost
 	case ctx.Err() == nil:
-		o.gate.Unreachable(o.a.d.Clock.Now())
+		o.gate.PlatformUnreachable(o.a.d.Clock.Now())
 	}
 	return o.check()
 }
--- a/internal/app/agent/orders_test.go
+++ b/internal/app/agent/orders_test.go
@@ -66,11 +66,11 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"order": func(t *rapid.T) {
 				took := until(t, o, c)
-				if down && !o.gate.Held(c.now) && c.now.Sub(started) < rollout.LeaseTime {
+				if down && !o.gate.LeaseHeld(c.now) && c.now.Sub(started) < rollout.LeaseDuration {
 					t.Fatalf("order without the platform %v after the start, took %v", c.now.Sub(started), took)
 				}
 			},
-			"pause":   func(*rapid.T) { c.now = c.now.Add(2 * rollout.LeaseTime) },
+			"pause":   func(*rapid.T) { c.now = c.now.Add(2 * rollout.LeaseDuration) },
 			"outage":  func(t *rapid.T) { down = rapid.Bool().Draw(t, "down"); kv.SetDown(down) },
 			"lose":    func(*rapid.T) { kv.LoseAnswers(1) },
 			"replace": func(*rapid.T) { boot++; started = c.now; o = newTestOrderer(c, kv, e, boot) },
@@ -105,8 +105,8 @@
 		c := &skipClock{time.Unix(1000, 0)}
 		e := porttest.NewEngine()
 		o := newTestOrderer(c, porttest.NewKV(c.Now), e, 1)
-		d := rollout.Decision{Step: rollout.Give, Fence: 5, Until: c.now.Add(time.Second), Leased: leased}
-		c.now = d.Until
+		d := rollout.Decision{Step: rollout.GiveOrder, Fence: 5, ValidUntil: c.now.Add(time.Second), Leased: leased}
+		c.now = d.ValidUntil
 		for _, x := range []rollout.Action{unload, {Kind: rollout.Load, Ref: rollout.Ref{Version: "v1"}}} {
 			if err := o.order(context.Background(), x, d); !errors.Is(err, errLeaseLost) || len(e.Orders()) > 0 {
 				t.Fatalf("leased %v: got %v, orders %v", leased, err, e.Orders())
--- a/internal/core/rollout/plan.go
+++ b/internal/core/rollout/plan.go
@@ -7,60 +7,64 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-func (m *Machine) has(v fleet.Version) bool { return v != "" && slices.Contains(m.loaded, v) }
+func (m *StateMachine) engineHolds(v fleet.Version) bool {
+	return v != "" && slices.Contains(m.loaded, v)
+}
 
-// Plan returns what to hold, what to serve and which order is next.
-func (m *Machine) Plan() Plan {
-	return Plan{Want: m.want(), Serving: m.serving(), Next: m.next()}
+// Plan returns the versions to hold, the version to serve and the next order.
+func (m *StateMachine) Plan() Plan {
+	return Plan{Want: m.wantedVersions(), Serving: m.serving(), Next: m.nextAction()}
 }
 
-// want keeps the version served last beside the target until the target
-// serves, so that an engine that restarts meanwhile can have it again. It does
-// not fetch that version anew.
-func (m *Machine) want() []Ref {
-	var w []Ref
+// wantedVersions returns the target and, until the target serves, the version served
+// last, so that an engine that restarts in between can load the latter again. That
+// version is only kept if it is complete; it is not fetched again.
+func (m *StateMachine) wantedVersions() []Ref {
+	var wanted []Ref
 	if m.target.Version != "" {
-		w = append(w, m.target)
+		wanted = append(wanted, m.target)
 	}
-	if m.keepsLast() && m.complete[m.last.Version] {
-		w = append(w, m.last)
+	if m.keepsLastServed() && m.complete[m.lastServed.Version] {
+		wanted = append(wanted, m.lastServed)
 	}
-	return w
+	return wanted
 }
 
-func (m *Machine) keepsLast() bool {
-	return m.target.Version != "" && m.last.Version != "" && m.last != m.target && !m.usable(m.target.Version)
+func (m *StateMachine) keepsLastServed() bool {
+	return m.target.Version != "" && m.lastServed.Version != "" && m.lastServed != m.target && !m.usable(m.target.Version)
 }
 
-// serving returns the target once it is loaded, and before that the version
-// served last, unless it must leave to make room.
-func (m *Machine) serving() Ref {
+// serving returns the target once it is loaded. Before that it returns the version
+// served last, unless that version must be unloaded to make room for the target.
+func (m *StateMachine) serving() Ref {
 	switch {
-	case !m.up || m.target.Version == "":
+	case !m.engineUp || m.target.Version == "":
 		return Ref{}
 	case m.usable(m.target.Version):
 		return m.target
-	case m.overlap == declare.DrainFirst && m.complete[m.target.Version] && !m.stays:
+	case m.overlap == declare.DrainFirst && m.complete[m.target.Version] && !m.mustStay:
 		return Ref{}
-	case m.keepsLast() && m.usable(m.last.Version):
-		return m.last
+	case m.keepsLastServed() && m.usable(m.lastServed.Version):
+		return m.lastServed
 	default:
 		return Ref{}
 	}
 }
 
-// usable reports whether the engine holds v and is not about to release it.
-func (m *Machine) usable(v fleet.Version) bool { return m.has(v) && !m.orders(Unload, v) }
+// usable reports whether the engine holds v and has no order to release it.
+func (m *StateMachine) usable(v fleet.Version) bool {
+	return m.engineHolds(v) && !m.isOrdered(Unload, v)
+}
 
-func (m *Machine) orders(k Kind, v fleet.Version) bool {
-	return m.order.Kind == k && m.order.Ref.Version == v
+func (m *StateMachine) isOrdered(k Kind, v fleet.Version) bool {
+	return m.currentOrder.Kind == k && m.currentOrder.Ref.Version == v
 }
 
-// next returns the next order. One order is given at a time. Versions that are
-// not served leave the engine before another one is loaded, so that it holds
-// at most the served version and the target.
-func (m *Machine) next() Action {
-	if !m.up || m.order.Kind != Wait {
+// nextAction returns the next order. Only one order is in progress at a time.
+// Versions that are not served are unloaded before another one is loaded, so that
+// the engine holds at most the served version and the target.
+func (m *StateMachine) nextAction() Action {
+	if !m.engineUp || m.currentOrder.Kind != NoAction {
 		return Action{}
 	}
 	serving := m.serving()
@@ -70,39 +74,41 @@
 			continue
 		}
 		retiring++
-		if m.busy[v] == 0 {
+		if m.pinned[v] == 0 {
 			return Action{Unload, Ref{Version: v}}
 		}
 	}
 	if retiring > 0 {
 		return Action{}
 	}
-	return m.load(serving)
+	return m.nextLoad(serving)
 }
 
-func (m *Machine) load(serving Ref) Action {
+// nextLoad returns the order to load the target, or to load the version served last
+// again if no version is served, or no order.
+func (m *StateMachine) nextLoad(serving Ref) Action {
 	switch {
-	case m.target.Version == "" || m.has(m.target.Version):
+	case m.target.Version == "" || m.engineHolds(m.target.Version):
 		return Action{}
 	case m.complete[m.target.Version] && (m.overlap == declare.KeepOld || serving.Version == ""):
 		return Action{Load, m.target}
-	case serving.Version == "" && m.keepsLast() && m.complete[m.last.Version]:
-		return Action{Load, m.last}
+	case serving.Version == "" && m.keepsLastServed() && m.complete[m.lastServed.Version]:
+		return Action{Load, m.lastServed}
 	default:
 		return Action{}
 	}
 }
 
 // State returns the state of v.
-func (m *Machine) State(v fleet.Version) State {
+func (m *StateMachine) State(v fleet.Version) State {
 	switch {
 	case v == "":
 		return Absent
-	case m.orders(Load, v):
+	case m.isOrdered(Load, v):
 		return Loading
 	case m.serving().Version == v:
 		return Serving
-	case m.has(v):
+	case m.engineHolds(v):
 		return Retiring
 	case m.complete[v]:
 		return Complete
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -1,10 +1,10 @@
 // Package rollout decides which versions an agent holds, which one its engine
-// serves, and which order the engine gets next.
+// serves, and which order the engine receives next.
 //
-// A Machine is driven by what is known: the assignment, the versions that are
-// complete in memory, the versions that the engine reports, and the requests
-// still pinned to each. The next action follows from that alone, so a change
-// in mid-flight or an engine that restarts needs no special path.
+// The inputs of a StateMachine are the assignment, the versions that are complete in
+// memory, the versions that the engine reports, and the requests pinned to each
+// version. The next order is a function of these inputs alone, so a new assignment
+// in the middle of a rollout, or a restart of the engine, needs no special handling.
 package rollout
 
 import (
@@ -18,7 +18,7 @@
 // State is the state of one version on one agent.
 type State uint8
 
-// The states of a version.
+// States of a version.
 const (
 	// Absent means that the version is neither held nor wanted.
 	Absent State = iota
@@ -26,16 +26,16 @@
 	Fetching
 	// Complete means that all chunks are verified and in memory.
 	Complete
-	// Loading means that the engine has the order to load the version.
+	// Loading means that the engine has received the order to load the version.
 	Loading
 	// Serving means that new requests are pinned to the version.
 	Serving
-	// Retiring means that the engine holds the version and no new request is
+	// Retiring means that the engine still holds the version, but no new request is
 	// pinned to it.
 	Retiring
 )
 
-// String returns the name shown in status.
+// String returns the name that the agent's status shows.
 func (s State) String() string {
 	names := [...]string{"absent", "fetching", "complete", "loading", "serving", "retiring"}
 	if int(s) < len(names) {
@@ -44,7 +44,7 @@
 	return "unknown"
 }
 
-// Ref names a version of a model.
+// Ref identifies a version of a model.
 type Ref struct {
 	Model   fleet.Model
 	Version fleet.Version
@@ -53,25 +53,25 @@
 // Kind is the kind of an Action.
 type Kind uint8
 
-// The kinds of actions.
+// Kinds of actions.
 const (
-	// Wait means that nothing can be done until the next event.
-	Wait Kind = iota
+	// NoAction means that there is no order to give until the next event.
+	NoAction Kind = iota
 	// Load orders the engine to load a version.
 	Load
 	// Unload orders the engine to release a version.
 	Unload
 )
 
-// Action is the next order for the engine.
+// Action is an order for the engine.
 type Action struct {
 	Kind Kind
 	Ref  Ref
 }
 
-// Plan is what follows from a Machine.
+// Plan is the output of a StateMachine.
 type Plan struct {
-	// Want lists the versions to hold in memory, most important first.
+	// Want lists the versions to hold in memory; the first is the most important.
 	Want []Ref
 	// Serving is the version that new requests are pinned to, or empty.
 	Serving Ref
@@ -79,126 +79,130 @@
 	Next Action
 }
 
-// Machine is the state of the versions of one agent. It is a plain value.
-type Machine struct {
+// StateMachine holds the inputs that determine the Plan of an agent for one group.
+// It is not safe for concurrent use.
+type StateMachine struct {
 	target  Ref
 	overlap declare.Overlap
-	// known lists the declared versions of the target's model.
-	known []fleet.Version
-	// stays is true while a machine with overlap drain-first has to remain in
-	// rotation for the sake of its group.
-	stays bool
-	// last is the version served most recently; it answers until the target
-	// does, also after a restart of the engine.
-	last     Ref
-	complete map[fleet.Version]bool
-	up       bool
-	loaded   []fleet.Version
-	busy     map[fleet.Version]int
-	order    Action
+	// declared lists the declared versions of the target's model.
+	declared []fleet.Version
+	// mustStay is true while an agent with the overlap drain-first has to remain in
+	// rotation, because too many members of its group are out of rotation.
+	mustStay bool
+	// lastServed is the version served most recently. It is served until the target
+	// is, also after a restart of the engine.
+	lastServed   Ref
+	complete     map[fleet.Version]bool
+	engineUp     bool
+	loaded       []fleet.Version
+	pinned       map[fleet.Version]int
+	currentOrder Action
 }
 
-// Event changes a Machine.
-type Event func(m *Machine)
+// Event changes an input of a StateMachine.
+type Event func(m *StateMachine)
 
-// Assigned is the event of a new assignment. An empty version asks for nothing.
-// known lists the declared versions of the same model: an agent that starts
-// beside an engine that holds one of them serves it until the target is there.
-func Assigned(target Ref, o declare.Overlap, known ...fleet.Version) Event {
-	return func(m *Machine) { m.target, m.overlap, m.known = target, o, slices.Clone(known) }
+// Assigned is the event of a new assignment. A target with an empty version means
+// that nothing is assigned. declared lists the declared versions of the same model:
+// if an agent starts while its engine holds one of them, it serves that version until
+// the target is loaded.
+func Assigned(target Ref, o declare.Overlap, declared ...fleet.Version) Event {
+	return func(m *StateMachine) { m.target, m.overlap, m.declared = target, o, slices.Clone(declared) }
 }
 
-// Stays is the event that the machine may not leave rotation yet, or may again.
-func Stays(on bool) Event { return func(m *Machine) { m.stays = on } }
+// MustStay is the event that the agent must remain in rotation, or no longer has to.
+func MustStay(required bool) Event { return func(m *StateMachine) { m.mustStay = required } }
 
-// HeldComplete is the event that exactly the versions vs are complete in
+// VersionsComplete is the event that exactly the given versions are complete in
 // memory.
-func HeldComplete(vs []fleet.Version) Event {
-	return func(m *Machine) {
+func VersionsComplete(versions []fleet.Version) Event {
+	return func(m *StateMachine) {
 		m.complete = map[fleet.Version]bool{}
-		for _, v := range vs {
+		for _, v := range versions {
 			m.complete[v] = true
 		}
 	}
 }
 
-// EngineReported is the event of a status report of the engine.
+// EngineReported is the event that the engine reported its loaded versions.
 func EngineReported(loaded []fleet.Version) Event {
-	return func(m *Machine) { m.up, m.loaded = true, slices.Clone(loaded) }
+	return func(m *StateMachine) { m.engineUp, m.loaded = true, slices.Clone(loaded) }
 }
 
-// EngineLost is the event that the engine does not answer.
+// EngineLost is the event that the engine does not respond.
 func EngineLost() Event {
-	return func(m *Machine) { m.up, m.loaded = false, nil }
+	return func(m *StateMachine) { m.engineUp, m.loaded = false, nil }
 }
 
-// Busy is the event that exactly n requests in progress are pinned to v.
-func Busy(v fleet.Version, n int) Event {
-	return func(m *Machine) {
-		if m.busy == nil {
-			m.busy = map[fleet.Version]int{}
+// RequestsPinned is the event that n requests in progress are pinned to v.
+func RequestsPinned(v fleet.Version, n int) Event {
+	return func(m *StateMachine) {
+		if m.pinned == nil {
+			m.pinned = map[fleet.Version]int{}
 		}
-		m.busy[v] = n
+		m.pinned[v] = n
 	}
 }
 
-// OrderStarted is the event that the engine was given an order.
-func OrderStarted(a Action) Event { return func(m *Machine) { m.order = a } }
+// OrderStarted is the event that an order was given to the engine.
+func OrderStarted(a Action) Event { return func(m *StateMachine) { m.currentOrder = a } }
 
-// OrderEnded is the event that the order ended, well or not. A report of the
-// engine follows and says what came of it.
-func OrderEnded() Event { return func(m *Machine) { m.order = Action{} } }
+// OrderEnded is the event that the order succeeded or failed. The next report of the
+// engine shows its effect.
+func OrderEnded() Event { return func(m *StateMachine) { m.currentOrder = Action{} } }
 
-// Table holds the machines of an agent by group.
+// Table holds the state machines of an agent by group.
 type Table struct {
-	m *shard.Map[fleet.Group, *Machine]
+	m *shard.Map[fleet.Group, *StateMachine]
 }
 
 // NewTable returns an empty table.
-func NewTable() *Table { return &Table{shard.New[fleet.Group, *Machine](0)} }
+func NewTable() *Table { return &Table{shard.New[fleet.Group, *StateMachine](0)} }
 
-// Apply applies the events to the machine of g in order and returns its plan.
-func (t *Table) Apply(g fleet.Group, es ...Event) Plan {
+// Apply applies the events in order to the state machine of g and returns its plan.
+func (t *Table) Apply(g fleet.Group, events ...Event) Plan {
 	var p Plan
-	t.m.Update(g, func(m *Machine, ok bool) (*Machine, bool) {
+	t.m.Update(g, func(m *StateMachine, ok bool) (*StateMachine, bool) {
 		if !ok {
-			m = &Machine{}
+			m = &StateMachine{}
 		}
-		for _, e := range es {
+		for _, e := range events {
 			e(m)
 		}
-		m.adopt()
+		m.adoptLoadedVersion()
 		p = m.Plan()
-		m.last = p.lastServed(m.last)
+		m.lastServed = p.servingOr(m.lastServed)
 		return m, true
 	})
 	return p
 }
 
-// adopt takes a declared version that the engine holds as the one served last.
-func (m *Machine) adopt() {
-	if m.last.Version != "" {
+// adoptLoadedVersion sets the version served last to a declared version that the
+// engine holds, if no version was served yet.
+func (m *StateMachine) adoptLoadedVersion() {
+	if m.lastServed.Version != "" {
 		return
 	}
-	for _, v := range m.known {
-		if m.has(v) {
-			m.last = Ref{m.target.Model, v}
+	for _, v := range m.declared {
+		if m.engineHolds(v) {
+			m.lastServed = Ref{m.target.Model, v}
 			return
 		}
 	}
 }
 
-func (p Plan) lastServed(last Ref) Ref {
+// servingOr returns the version that the plan serves, or else last.
+func (p Plan) servingOr(last Ref) Ref {
 	if p.Serving.Version != "" {
 		return p.Serving
 	}
 	return last
 }
 
-// State returns the state of a version in the machine of g.
+// State returns the state of a version in the state machine of g.
 func (t *Table) State(g fleet.Group, v fleet.Version) State {
 	s := Absent
-	t.m.Update(g, func(m *Machine, ok bool) (*Machine, bool) {
+	t.m.Update(g, func(m *StateMachine, ok bool) (*StateMachine, bool) {
 		if ok {
 			s = m.State(v)
 		}
--- a/internal/core/rollout/rollout_test.go
+++ b/internal/core/rollout/rollout_test.go
@@ -12,10 +12,11 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// world is an engine and its requests, driven by a machine's plans.
-type world struct {
+// harness simulates an engine and its requests, controlled by the plans of a state
+// machine.
+type harness struct {
 	t        *rapid.T
-	tb       *Table
+	table    *Table
 	target   Ref
 	overlap  declare.Overlap
 	complete map[fleet.Version]bool
@@ -25,140 +26,144 @@
 	plan     Plan
 }
 
-func (w *world) step() {
+// applyEvents applies the harness's state as events, checks the new plan, and
+// releases the versions that the plan does not want.
+func (h *harness) applyEvents() {
 	var held []fleet.Version
-	for v := range w.complete {
+	for v := range h.complete {
 		held = append(held, v)
 	}
-	es := []Event{Assigned(w.target, w.overlap, "v1", "v2", "v3"), HeldComplete(held), EngineReported(w.loaded)}
-	for v, n := range w.busy {
-		es = append(es, Busy(v, n))
+	es := []Event{Assigned(h.target, h.overlap, "v1", "v2", "v3"), VersionsComplete(held), EngineReported(h.loaded)}
+	for v, n := range h.busy {
+		es = append(es, RequestsPinned(v, n))
 	}
-	old := w.plan
-	w.plan = w.tb.Apply("g", es...)
-	w.check(old)
-	// What is not wanted is released.
-	for v := range w.complete {
-		if !slices.ContainsFunc(w.plan.Want, func(r Ref) bool { return r.Version == v }) {
-			delete(w.complete, v)
+	old := h.plan
+	h.plan = h.table.Apply("g", es...)
+	h.checkPlan(old)
+	for v := range h.complete {
+		if !slices.ContainsFunc(h.plan.Want, func(r Ref) bool { return r.Version == v }) {
+			delete(h.complete, v)
 		}
 	}
 }
 
-func (w *world) check(old Plan) {
-	s, next := w.plan.Serving.Version, w.plan.Next
-	if s != "" && !slices.Contains(w.loaded, s) {
-		w.t.Fatalf("serves %s, engine holds %v", s, w.loaded)
+func (h *harness) checkPlan(old Plan) {
+	s, next := h.plan.Serving.Version, h.plan.Next
+	if s != "" && !slices.Contains(h.loaded, s) {
+		h.t.Fatalf("serves %s, engine holds %v", s, h.loaded)
 	}
 	switch next.Kind {
 	case Load:
-		if !w.complete[next.Ref.Version] {
-			w.t.Fatalf("order to load %s, which is not complete", next.Ref.Version)
+		if !h.complete[next.Ref.Version] {
+			h.t.Fatalf("order to load %s, which is not complete", next.Ref.Version)
 		}
-		if len(w.loaded) > 1 || w.overlap == declare.DrainFirst && len(w.loaded) > 0 {
-			w.t.Fatalf("order to load %s beside %v", next.Ref.Version, w.loaded)
+		if len(h.loaded) > 1 || h.overlap == declare.DrainFirst && len(h.loaded) > 0 {
+			h.t.Fatalf("order to load %s although %v are loaded", next.Ref.Version, h.loaded)
 		}
 	case Unload:
-		if v := next.Ref.Version; w.busy[v] > 0 || v == s {
-			w.t.Fatalf("order to unload %s in use", v)
+		if v := next.Ref.Version; h.busy[v] > 0 || v == s {
+			h.t.Fatalf("order to unload %s, which is in use", v)
 		}
 	}
 	was := old.Serving
-	if w.overlap == declare.KeepOld && was.Version != "" && slices.Contains(w.loaded, was.Version) && s == "" {
-		w.t.Fatalf("left rotation without need; %s is loaded", was.Version)
+	if h.overlap == declare.KeepOld && was.Version != "" && slices.Contains(h.loaded, was.Version) && s == "" {
+		h.t.Fatalf("left rotation although %s is still loaded", was.Version)
 	}
 }
 
-// give starts the next order; end finishes it, well or not.
-func (w *world) give() {
-	if w.plan.Next.Kind == Wait {
+// startOrder starts the next order of the plan.
+func (h *harness) startOrder() {
+	if h.plan.Next.Kind == NoAction {
 		return
 	}
-	w.order = w.plan.Next
-	w.tb.Apply("g", OrderStarted(w.order))
-	w.step()
+	h.order = h.plan.Next
+	h.table.Apply("g", OrderStarted(h.order))
+	h.applyEvents()
 }
 
-func (w *world) end(ok bool) {
-	if w.order.Kind == Wait {
+// endOrder ends the order in progress. It takes effect if ok is true.
+func (h *harness) endOrder(ok bool) {
+	if h.order.Kind == NoAction {
 		return
 	}
-	v := w.order.Ref.Version
+	v := h.order.Ref.Version
 	switch {
-	case ok && w.order.Kind == Load:
-		w.loaded = append(w.loaded, v)
+	case ok && h.order.Kind == Load:
+		h.loaded = append(h.loaded, v)
 	case ok:
-		w.loaded = slices.DeleteFunc(w.loaded, func(x fleet.Version) bool { return x == v })
+		h.loaded = slices.DeleteFunc(h.loaded, func(x fleet.Version) bool { return x == v })
 	}
-	w.order = Action{}
-	w.tb.Apply("g", OrderEnded())
-	w.step()
+	h.order = Action{}
+	h.table.Apply("g", OrderEnded())
+	h.applyEvents()
 }
 
-func (w *world) requests(n int) {
-	for v := range w.busy {
-		w.busy[v] = 0
+// setRequests sets the number of requests on the version being served to n, and on
+// all others to zero.
+func (h *harness) setRequests(n int) {
+	for v := range h.busy {
+		h.busy[v] = 0
 	}
-	if s := w.plan.Serving.Version; s != "" {
-		w.busy[s] = n
+	if s := h.plan.Serving.Version; s != "" {
+		h.busy[s] = n
 	}
-	w.step()
+	h.applyEvents()
 }
 
-// TestMachineProperty guards against orders for incomplete versions, an unload
-// under requests, a third version in the engine, a gap in service, and a
-// rollout that never arrives, under any order of events.
-func TestMachineProperty(t *testing.T) {
+// TestStateMachineInvariants guards, for any order of events, against an order to
+// load an incomplete version, an unload of a version with requests, a third version
+// in the engine, an interruption of service, and a rollout that never completes.
+func TestStateMachineInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, tb: NewTable(), complete: map[fleet.Version]bool{}, busy: map[fleet.Version]int{}}
-		w.overlap = rapid.SampledFrom([]declare.Overlap{declare.KeepOld, declare.DrainFirst}).Draw(t, "overlap")
+		h := &harness{t: t, table: NewTable(), complete: map[fleet.Version]bool{}, busy: map[fleet.Version]int{}}
+		h.overlap = rapid.SampledFrom([]declare.Overlap{declare.KeepOld, declare.DrainFirst}).Draw(t, "overlap")
 		retarget := func(t *rapid.T) {
-			w.target = Ref{"m", fleet.Version(fmt.Sprint("v", rapid.IntRange(1, 3).Draw(t, "v")))}
-			w.step()
+			h.target = Ref{"m", fleet.Version(fmt.Sprint("v", rapid.IntRange(1, 3).Draw(t, "v")))}
+			h.applyEvents()
 		}
-		finish := func(*rapid.T) { w.complete[w.target.Version] = true; w.step() }
+		completeTarget := func(*rapid.T) { h.complete[h.target.Version] = true; h.applyEvents() }
 		t.Repeat(map[string]func(*rapid.T){
 			"retarget": retarget,
-			"complete": finish,
-			"give":     func(*rapid.T) { w.give() },
-			"done":     func(*rapid.T) { w.end(true) },
-			"failed":   func(*rapid.T) { w.end(false) },
-			"requests": func(t *rapid.T) { w.requests(rapid.IntRange(0, 3).Draw(t, "n")) },
-			"restart":  func(*rapid.T) { w.loaded = nil; w.end(false); w.step() },
+			"complete": completeTarget,
+			"give":     func(*rapid.T) { h.startOrder() },
+			"done":     func(*rapid.T) { h.endOrder(true) },
+			"failed":   func(*rapid.T) { h.endOrder(false) },
+			"requests": func(t *rapid.T) { h.setRequests(rapid.IntRange(0, 3).Draw(t, "n")) },
+			"restart":  func(*rapid.T) { h.loaded = nil; h.endOrder(false); h.applyEvents() },
 		})
 		retarget(t)
-		finish(t)
-		w.end(true)
+		completeTarget(t)
+		h.endOrder(true)
 		for range 10 {
-			w.requests(0)
-			w.complete[w.target.Version] = true
-			w.step()
-			w.give()
-			w.end(true)
+			h.setRequests(0)
+			h.complete[h.target.Version] = true
+			h.applyEvents()
+			h.startOrder()
+			h.endOrder(true)
 		}
-		if w.plan.Serving != w.target || len(w.loaded) != 1 {
-			t.Fatalf("target %v, serves %v, engine holds %v", w.target, w.plan.Serving, w.loaded)
+		if h.plan.Serving != h.target || len(h.loaded) != 1 {
+			t.Fatalf("target %v, serves %v, engine holds %v", h.target, h.plan.Serving, h.loaded)
 		}
 	})
 }
 
-// TestAgentRestart guards against an agent that starts beside a serving engine
-// and takes it out of rotation, or fetches the old version again.
+// TestAgentRestart guards against an agent that starts while its engine serves, and
+// takes the engine out of rotation or fetches the old version again.
 func TestAgentRestart(t *testing.T) {
 	target := Ref{"m", "v2"}
 	p := NewTable().Apply("g", Assigned(target, declare.KeepOld, "v1", "v2"), EngineReported([]fleet.Version{"v1"}))
-	if p.Serving.Version != "v1" || p.Next.Kind != Wait || len(p.Want) != 1 || p.Want[0] != target {
+	if p.Serving.Version != "v1" || p.Next.Kind != NoAction || len(p.Want) != 1 || p.Want[0] != target {
 		t.Fatalf("plan %+v", p)
 	}
 	p = NewTable().Apply("g", Assigned(target, declare.KeepOld, "v2"), EngineReported([]fleet.Version{"v0"}))
 	if p.Serving.Version != "" || p.Next.Kind != Unload {
-		t.Fatalf("a version that is not declared is served: %+v", p)
+		t.Fatalf("an undeclared version is served: %+v", p)
 	}
 }
 
-// TestTurns guards against a group that leaves rotation all at once, and
-// against a change that waits for ever for members that do not come back.
-func TestTurns(t *testing.T) {
+// TestMayLeaveRotation guards against a group whose members all leave rotation at
+// once, and against a rollout that waits forever for members that do not return.
+func TestMayLeaveRotation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "members")
 		peers := make([]Peer, n)
@@ -168,7 +173,7 @@
 		for range 10 * n {
 			var leave []int
 			for i, p := range peers {
-				if p.Serving && !p.Updated && MayLeave(p.VM, "v", peers, 0) {
+				if p.Serving && !p.Updated && MayLeaveRotation(p.VM, "v", peers, 0) {
 					leave = append(leave, i)
 				}
 			}
@@ -197,96 +202,96 @@
 		}
 	})
 	dead := []Peer{{VM: "a", Serving: true}, {VM: "b"}, {VM: "c"}, {VM: "d"}}
-	if MayLeave("a", "v", dead, 0) || !MayLeave("a", "v", dead, TurnPatience) {
-		t.Fatal("the wait for dead members must end, and not before its time")
+	if MayLeaveRotation("a", "v", dead, 0) || !MayLeaveRotation("a", "v", dead, MaxTurnWait) {
+		t.Fatal("the wait for dead members must end after MaxTurnWait, and not earlier")
 	}
 }
 
-// TestGate guards against an order without a valid lease, before an unknown
-// lease has lapsed, or under a number that a checking engine refuses.
-func TestGate(t *testing.T) {
+// TestOrderGate guards against an order that is given without a valid lease, before
+// an unknown lease has lapsed, or with a fencing number that the engine refuses.
+func TestOrderGate(t *testing.T) {
 	t0 := time.Unix(1000, 0)
-	expect := func(g *Gate, now time.Time, want Step, fence int64) {
+	expect := func(g *OrderGate, now time.Time, want Step, fence int64) {
 		t.Helper()
-		if d := g.Next(now); d.Step != want || d.Fence != fence || want == Hold && d.Wait <= 0 {
+		if d := g.NextStep(now); d.Step != want || d.Fence != fence || want == HoldOrder && d.Wait <= 0 {
 			t.Fatalf("at %v got %+v, want step %d fence %d", now.Sub(t0), d, want, fence)
 		}
 	}
 	at := func(d time.Duration) time.Time { return t0.Add(d) }
 
-	g := NewGate(t0)
-	expect(&g, t0, Acquire, 0)
-	g.Acquired(7, t0)
-	expect(&g, at(time.Second), Give, 7)
-	expect(&g, at(LeaseTime), Acquire, 0) // paused past the lease
-	g.EngineFence(20)
-	g.Acquired(9, at(LeaseTime))
-	expect(&g, at(LeaseTime), Give, 21)
+	g := NewOrderGate(t0)
+	expect(&g, t0, AcquireLease, 0)
+	g.LeaseAcquired(7, t0)
+	expect(&g, at(time.Second), GiveOrder, 7)
+	expect(&g, at(LeaseDuration), AcquireLease, 0) // paused past the end of the lease
+	g.SetEngineFence(20)
+	g.LeaseAcquired(9, at(LeaseDuration))
+	expect(&g, at(LeaseDuration), GiveOrder, 21)
 
-	g = NewGate(t0)
-	g.EngineFence(4)
-	g.Unreachable(at(time.Millisecond))
-	expect(&g, at(2*time.Millisecond), Hold, 0)
-	g.Unreachable(at(LeaseTime - time.Millisecond))
-	expect(&g, at(LeaseTime-time.Millisecond), Hold, 0)
-	g.Unreachable(at(LeaseTime))
-	expect(&g, at(LeaseTime), Hold, 0) // a lease taken before the outage may last a little longer
-	g.Unreachable(at(LeaseTime + time.Millisecond))
-	expect(&g, at(LeaseTime+time.Millisecond), Give, 5)
+	g = NewOrderGate(t0)
+	g.SetEngineFence(4)
+	g.PlatformUnreachable(at(time.Millisecond))
+	expect(&g, at(2*time.Millisecond), HoldOrder, 0)
+	g.PlatformUnreachable(at(LeaseDuration - time.Millisecond))
+	expect(&g, at(LeaseDuration-time.Millisecond), HoldOrder, 0)
+	g.PlatformUnreachable(at(LeaseDuration))
+	expect(&g, at(LeaseDuration), HoldOrder, 0) // a lease acquired just before the outage is still valid
+	g.PlatformUnreachable(at(LeaseDuration + time.Millisecond))
+	expect(&g, at(LeaseDuration+time.Millisecond), GiveOrder, 5)
 
-	g = NewGate(t0)
-	g.Refused(at(time.Minute))
-	expect(&g, at(time.Minute), Hold, 0)
-	expect(&g, at(time.Minute+retryEvery), Acquire, 0)
-	g.Unreachable(at(time.Minute + retryEvery))
-	expect(&g, at(time.Minute+retryEvery), Hold, 0)
-	g.Unreachable(at(time.Minute + LeaseTime))
-	expect(&g, at(time.Minute+LeaseTime), Hold, 0)
-	g.Unreachable(at(time.Minute + retryEvery + LeaseTime))
-	expect(&g, at(time.Minute+retryEvery+LeaseTime), Give, 1)
+	g = NewOrderGate(t0)
+	g.LeaseRefused(at(time.Minute))
+	expect(&g, at(time.Minute), HoldOrder, 0)
+	expect(&g, at(time.Minute+retryInterval), AcquireLease, 0)
+	g.PlatformUnreachable(at(time.Minute + retryInterval))
+	expect(&g, at(time.Minute+retryInterval), HoldOrder, 0)
+	g.PlatformUnreachable(at(time.Minute + LeaseDuration))
+	expect(&g, at(time.Minute+LeaseDuration), HoldOrder, 0)
+	g.PlatformUnreachable(at(time.Minute + retryInterval + LeaseDuration))
+	expect(&g, at(time.Minute+retryInterval+LeaseDuration), GiveOrder, 1)
 
-	// Another agent has given an order since; an engine that restarted has none.
-	g.EngineFence(2)
-	g.Unreachable(at(time.Minute + 2*LeaseTime))
-	expect(&g, at(time.Minute+2*LeaseTime), Hold, 0)
-	g.EngineFence(0)
-	expect(&g, at(time.Minute+2*LeaseTime), Give, 1)
+	// Another agent gave an order in between. An engine that restarted reports none.
+	g.SetEngineFence(2)
+	g.PlatformUnreachable(at(time.Minute + 2*LeaseDuration))
+	expect(&g, at(time.Minute+2*LeaseDuration), HoldOrder, 0)
+	g.SetEngineFence(0)
+	expect(&g, at(time.Minute+2*LeaseDuration), GiveOrder, 1)
 
-	// Its own lease has lapsed long ago; another holder may have come since.
-	g = NewGate(t0)
-	g.Acquired(7, t0)
-	g.Unreachable(at(time.Minute))
-	expect(&g, at(time.Minute), Hold, 0)
-	g.Unreachable(at(time.Minute + LeaseTime))
-	expect(&g, at(time.Minute+LeaseTime), Give, 1)
-	g.Unreachable(at(time.Hour)) // the platform may have been back meanwhile
-	expect(&g, at(time.Hour), Hold, 0)
+	// The agent's own lease lapsed long ago; another agent may have acquired one since.
+	g = NewOrderGate(t0)
+	g.LeaseAcquired(7, t0)
+	g.PlatformUnreachable(at(time.Minute))
+	expect(&g, at(time.Minute), HoldOrder, 0)
+	g.PlatformUnreachable(at(time.Minute + LeaseDuration))
+	expect(&g, at(time.Minute+LeaseDuration), GiveOrder, 1)
+	g.PlatformUnreachable(at(time.Hour)) // the platform may have been reachable in between
+	expect(&g, at(time.Hour), HoldOrder, 0)
 }
 
-// TestOrderLapses guards against an order that goes on after the process was
-// paused between the decision and the order, or in the middle of it.
-func TestOrderLapses(t *testing.T) {
+// TestOrderValidityLapses guards against an order that is sent although the process
+// was paused between the decision and the order, or in the middle of the order.
+func TestOrderValidityLapses(t *testing.T) {
 	t0 := time.Unix(1000, 0)
-	end := t0.Add(LeaseTime - leaseMargin)
-	leased := NewGate(t0)
-	leased.Acquired(7, t0)
-	alone := NewGate(t0.Add(-LeaseTime))
-	alone.Unreachable(t0.Add(-LeaseTime))
-	alone.Unreachable(t0)
-	for name, g := range map[string]*Gate{"leased": &leased, "without the platform": &alone} {
-		d := g.Next(t0)
-		var v Validity
+	end := t0.Add(LeaseDuration - leaseMargin)
+	leased := NewOrderGate(t0)
+	leased.LeaseAcquired(7, t0)
+	unleased := NewOrderGate(t0.Add(-LeaseDuration))
+	unleased.PlatformUnreachable(t0.Add(-LeaseDuration))
+	unleased.PlatformUnreachable(t0)
+	for name, g := range map[string]*OrderGate{"leased": &leased, "without the platform": &unleased} {
+		d := g.NextStep(t0)
+		var v OrderValidity
 		v.Start(d)
-		if d.Step != Give || v.Lapsed(end.Add(-1)) || !v.Lapsed(end) {
+		if d.Step != GiveOrder || v.Lapsed(end.Add(-1)) || !v.Lapsed(end) {
 			t.Fatalf("%s: decision %+v ends at another time than %v", name, d, end)
 		}
-		v.Alive(end)
+		v.ExtendUnleased(end)
 		if !v.Lapsed(end) {
-			t.Fatalf("%s: lapsed order is alive again", name)
+			t.Fatalf("%s: lapsed order is valid again", name)
 		}
-		v.Extended(t0.Add(time.Second))
+		v.LeaseExtended(t0.Add(time.Second))
 		if v.Lapsed(end) || !v.Lapsed(end.Add(time.Second)) {
-			t.Fatalf("%s: not extended by a second", name)
+			t.Fatalf("%s: validity not extended by a second", name)
 		}
 	}
 }
