--- a/internal/adapter/httpapi/callers_test.go
+++ b/internal/adapter/httpapi/caller_memory_test.go
@@ -13,41 +13,41 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// TestOpenAnswersAreCounted guards against open answers that cost memory and
-// are not counted, and against a request that runs although there is no memory
-// for its answer. None of the callers is slow, so none may be ended.
-func TestOpenAnswersAreCounted(t *testing.T) {
+// TestMemoryOfOpenAnswers guards against open answers whose memory is not counted,
+// and against a request that runs although there is no memory for its answer. None
+// of the callers is slow, so none may be disconnected.
+func TestMemoryOfOpenAnswers(t *testing.T) {
 	const open = 4
-	// The bodies of these callers have no stated length and count as bodyStep.
-	const held = open * (openBytes + bodyStep)
+	// These requests have no Content-Length, so each body counts as bodyGrowBytes.
+	const held = open * (openAnswerBytes + bodyGrowBytes)
 	for _, c := range []struct {
 		cfg      Config
 		customer int64
 		status   int
 		code     string
 	}{
-		{Config{Memory: held + bodyStep, MaxBody: 1 << 10}, 0, 503, "overloaded"},
-		{plain, held + bodyStep, 429, "customer_limit"},
+		{Config{Memory: held + bodyGrowBytes, MaxBody: 1 << 10}, 0, 503, "overloaded"},
+		{defaultConfig, held + bodyGrowBytes, 429, "customer_limit"},
 	} {
 		var closed, ran atomic.Int32
 		release := make(chan struct{})
 		api, addr := listen(t, c.cfg, &fakeBackend{
-			bounds: Bounds{CustomerBytes: c.customer},
+			limits: RequestLimits{CustomerBytes: c.customer},
 			serve: func(context.Context, port.ServeRequest) (port.Answer, error) {
 				ran.Add(1)
 				return &fakeAnswer{closed: &closed, next: func(int) ([]byte, error) { <-release; return nil, io.EOF }}, nil
 			},
 		})
 		var wg conc.WaitGroup
-		var whole atomic.Int32
+		var complete atomic.Int32
 		for range open {
 			wg.Go(func() {
 				if _, b, err := post(t, addr, groupPath, "{}"); err == nil && strings.Contains(b, `"verdict":"ran"`) {
-					whole.Add(1)
+					complete.Add(1)
 				}
 			})
 		}
-		until(t, "all answers are open", func() bool { return ran.Load() == open })
+		waitUntil(t, "all answers are open", func() bool { return ran.Load() == open })
 		res, b, _ := post(t, addr, groupPath, "{}")
 		if res.StatusCode != c.status || !strings.Contains(b, c.code) || res.Header.Get(headerVerdict) != verdict.NotRun.String() || !res.Close {
 			t.Errorf("one more: status %d, headers %v, body %q", res.StatusCode, res.Header, b)
@@ -57,9 +57,9 @@
 		}
 		close(release)
 		wg.Wait()
-		until(t, "all bytes are returned", func() bool { return api.BytesHeld() == 0 })
-		if ran.Load() != open || whole.Load() != open {
-			t.Errorf("%d ran, %d whole answers, want %d", ran.Load(), whole.Load(), open)
+		waitUntil(t, "all memory is released", func() bool { return api.BytesHeld() == 0 })
+		if ran.Load() != open || complete.Load() != open {
+			t.Errorf("%d ran, %d complete answers, want %d", ran.Load(), complete.Load(), open)
 		}
 	}
 }
--- a/internal/adapter/httpapi/conns_test.go
+++ b/internal/adapter/httpapi/conn_tracker_test.go
@@ -16,14 +16,14 @@
 	"github.com/sourcegraph/conc"
 )
 
-// idleCaller keeps a connection open on which no answer is expected.
+// idleCaller has an open connection on which no response is pending.
 type idleCaller struct {
-	conn net.Conn
-	in   *bufio.Reader
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
-// idleCallers connects n callers. Every third one has sent nothing yet, the
-// rest have had one answer.
+// idleCallers connects n callers. Every third one has sent nothing; the others have
+// received one response.
 func idleCallers(t *testing.T, addr string, n int) []idleCaller {
 	t.Helper()
 	all := make([]idleCaller, n)
@@ -33,7 +33,7 @@
 		if i%3 == 0 {
 			c, err = net.Dial("tcp", addr)
 		} else {
-			c = dial(t, addr)
+			c = sendRequest(t, addr)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -43,17 +43,17 @@
 		if i%3 == 0 {
 			continue
 		}
-		if status, v, err := all[i].answer(); status != http.StatusOK || v != "ran" {
+		if status, v, err := all[i].readResponse(); status != http.StatusOK || v != "ran" {
 			t.Fatalf("first answer: %d %q %v", status, v, err)
 		}
 	}
 	return all
 }
 
-// answer reads a whole answer.
-func (c idleCaller) answer() (status int, verdict string, err error) {
+// readResponse reads a complete response and returns its status and verdict.
+func (c idleCaller) readResponse() (status int, verdict string, err error) {
 	_ = c.conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	res, err := http.ReadResponse(c.in, nil)
+	res, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, "", err
 	}
@@ -74,38 +74,39 @@
 	return res.StatusCode, res.Header.Get(headerVerdict), nil
 }
 
-// TestIdleConnectionsEndWithAVerdict guards against a request that gets no
-// verdict, or runs, because its caller sends it at the moment in which a
-// stopping entry closes the idle connection.
-func TestIdleConnectionsEndWithAVerdict(t *testing.T) {
+// TestShutdownOfIdleConnections guards against a request that gets no verdict, or
+// runs, because its caller sends it at the moment at which an entry that shuts down
+// closes the idle connection.
+func TestShutdownOfIdleConnections(t *testing.T) {
 	const callers, window = 300, 3 * time.Millisecond
 	var ran atomic.Int32
-	api, addr := listen(t, plain, backend(&ran, io.EOF, "a\n"))
+	api, addr := listen(t, defaultConfig, backend(&ran, io.EOF, "a\n"))
 	all := idleCallers(t, addr, callers)
 	before := ran.Load()
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
 	rnd := rand.New(rand.NewPCG(seed, 0))
 	start := make(chan struct{})
-	var silent, crossed atomic.Int32
+	var withoutVerdict, timedOut atomic.Int32
 	var wg conc.WaitGroup
 	for i, c := range all {
-		delay, gap := time.Duration(rnd.Int64N(int64(window))), time.Duration(rnd.Int64N(int64(window)))
+		delay, pause := time.Duration(rnd.Int64N(int64(window))), time.Duration(rnd.Int64N(int64(window)))
 		wg.Go(func() {
 			<-start
 			time.Sleep(delay)
-			// A write fails once the connection has closed; the answer is there.
+			// The write may fail because the connection is closed; the final response
+			// has arrived in this case.
 			_, _ = fmt.Fprintf(c.conn, "POST %s HTTP/1.1\r\nHost: x\r\n%s: resort\r\nContent-Length: 2\r\n", groupPath, headerCustomer)
 			if i%2 == 0 {
-				time.Sleep(gap)
+				time.Sleep(pause)
 			}
 			_, _ = io.WriteString(c.conn, "\r\n{}")
-			status, v, err := c.answer()
+			status, v, err := c.readResponse()
 			if status == http.StatusRequestTimeout {
-				crossed.Add(1)
+				timedOut.Add(1)
 			}
 			if v != "not-run" {
-				silent.Add(1)
+				withoutVerdict.Add(1)
 				t.Logf("caller %d: status %d, verdict %q, %v", i, status, v, err)
 			}
 		})
@@ -118,8 +119,8 @@
 	defer cancelLast()
 	api.Close(last)
 	wg.Wait()
-	t.Logf("%d of %d requests crossed the close", crossed.Load(), callers)
-	if n := silent.Load(); n > 0 {
+	t.Logf("%d of %d requests got the final response", timedOut.Load(), callers)
+	if n := withoutVerdict.Load(); n > 0 {
 		t.Errorf("%d of %d callers got no verdict", n, callers)
 	}
 	if n := ran.Load() - before; n != 0 {
--- a/internal/adapter/httpapi/decode.go
+++ b/internal/adapter/httpapi/decode.go
@@ -15,34 +15,35 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Headers of requests and answers.
+// Headers of requests and responses.
 const (
-	headerCustomer = "X-Masticwing-Customer"
-	headerClass    = "X-Masticwing-Class"
-	headerKey      = "Idempotency-Key"
-	headerTimeout  = "X-Request-Timeout-Ms"
-	headerRequest  = "X-Masticwing-Request"
-	headerVersion  = "X-Masticwing-Version"
-	headerVerdict  = "X-Masticwing-Verdict"
-	headerReplayed = "X-Masticwing-Replayed"
+	headerCustomer       = "X-Masticwing-Customer"
+	headerClass          = "X-Masticwing-Class"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerTimeout        = "X-Request-Timeout-Ms"
+	headerRequest        = "X-Masticwing-Request"
+	headerVersion        = "X-Masticwing-Version"
+	headerVerdict        = "X-Masticwing-Verdict"
+	headerReplayed       = "X-Masticwing-Replayed"
 )
 
 const (
-	// DefaultTimeout applies to requests that name none.
+	// DefaultTimeout applies to requests without a timeout header.
 	DefaultTimeout = 60 * time.Second
-	// MaxTimeout bounds the time that a caller may ask for.
+	// MaxTimeout is the maximum timeout that a caller may request.
 	MaxTimeout = 10 * time.Minute
-	// maxName bounds names of groups, services, calls and customers.
+	// maxName limits the names of groups, services, calls and customers, in bytes.
 	maxName = 128
-	// maxContentType bounds the content type that is passed on.
+	// maxContentType limits the content type that is forwarded, in bytes.
 	maxContentType = 256
-	// prefixBytes is the part of a prompt that selects a target by affinity.
-	// Shorter prompts have none, since a cache saves little for them.
+	// prefixBytes is the length of the prompt prefix that selects a target by
+	// affinity. Shorter prompts have no affinity, since a prefix cache saves little
+	// for them.
 	prefixBytes = 256
-	// maxAnswerTokens bounds the length of an answer that a caller may ask for. It
-	// is far above the context of any model served.
+	// maxAnswerTokens is the maximum of max_tokens. It is far above the context
+	// length of any model served.
 	maxAnswerTokens = 1 << 20
-	// uuidLength is the length of a UUID in its usual text form.
+	// uuidLength is the length of a UUID in its text form with hyphens.
 	uuidLength = 36
 )
 
@@ -50,9 +51,9 @@
 	return verdict.New(verdict.NotRun, verdict.CodeBadRequest, format, args...)
 }
 
-// decodeHead decodes everything but the body. The target's names are already
-// set in r.
-func decodeHead(h http.Header, r *port.ServeRequest) error {
+// decodeHeaders decodes the headers. It also validates the group, service and call,
+// which the caller has set in r.
+func decodeHeaders(h http.Header, r *port.ServeRequest) error {
 	for _, n := range []string{string(r.Group), string(r.Service), r.Call} {
 		if n != "" && !validName(n) {
 			return badRequest("name in the path is not valid")
@@ -89,8 +90,8 @@
 	return true
 }
 
-// decodeClass uses summary for models and status for services if the caller
-// names no class.
+// decodeClass sets the class. Without a class header it is summary for groups and
+// status for services.
 func decodeClass(h http.Header, r *port.ServeRequest) error {
 	r.Class = fleet.ClassStatus
 	if r.Group != "" {
@@ -122,24 +123,24 @@
 	return nil
 }
 
-// decodeKey accepts a UUID of version 7 and keeps its lower-case form, so that
-// two spellings of one key are one call.
+// decodeKey accepts a UUID of version 7 and stores it in lower case, so that two
+// spellings of a key identify the same call.
 func decodeKey(h http.Header, r *port.ServeRequest) error {
-	v := h.Get(headerKey)
+	v := h.Get(headerIdempotencyKey)
 	if v == "" {
 		return nil
 	}
 	u, err := uuid.Parse(v)
 	if err != nil || len(v) != uuidLength || u.Version() != 7 || u.Variant() != uuid.RFC4122 {
-		return badRequest("%s must be a UUID of version 7", headerKey)
+		return badRequest("%s must be a UUID of version 7", headerIdempotencyKey)
 	}
 	r.IdempotencyKey = u.String()
 	return nil
 }
 
-// decodeBody checks the body of a generate request and derives the hash of its
-// prompt's prefix. Customers do not share a hash, so that none learns from the
-// latency whether another sent the same prompt.
+// decodeBody validates the body of a generate request and computes the hash of the
+// prompt's prefix. The hash includes the customer, so that no customer can learn
+// from the latency whether another sent the same prompt.
 func decodeBody(r *port.ServeRequest) error {
 	if r.Group == "" {
 		return nil
--- a/internal/adapter/httpapi/errors.go
+++ b/internal/adapter/httpapi/errors.go
@@ -11,8 +11,8 @@
 	"github.com/masticwing/masticwing/internal/core/verdict"
 )
 
-// statusClientClosed is the usual status for a caller that left; it is seen
-// only in metrics.
+// statusClientClosed is the conventional status for a request that the client has
+// canceled. The client does not receive it.
 const statusClientClosed = 499
 
 // statuses maps codes to HTTP statuses. Codes that are not listed become 500.
@@ -68,8 +68,8 @@
 	RequestID    fleet.RequestID `json:"request_id"`
 }
 
-// errorJSON encodes an error. It ends with a newline, so that it is also a
-// line of a stream. Causes are not shown to callers.
+// errorJSON encodes an error without its cause. The result ends with a newline, so
+// that it can also be a line of a stream.
 func errorJSON(e *verdict.Error, id fleet.RequestID) []byte {
 	b, err := json.Marshal(errorBody{errorDetail{
 		Code: e.Code, Message: e.Message, Verdict: e.Verdict.String(),
@@ -81,12 +81,13 @@
 	return append(b, '\n')
 }
 
-// shuttingDown is the error of a request that comes after the drain began.
-func shuttingDown() *verdict.Error {
+// shuttingDownError returns the error of a request that arrives after the start of
+// the drain.
+func shuttingDownError() *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.CodeShuttingDown, "entry is shutting down").WithRetryAfter(time.Second)
 }
 
-// errorHeaders sets the headers of an answer whose body is errorJSON.
+// errorHeaders sets the headers of a response whose body is errorJSON.
 func errorHeaders(h http.Header, e *verdict.Error, id fleet.RequestID) {
 	h.Set("Content-Type", "application/json")
 	h.Set(headerRequest, string(id))
--- a/internal/adapter/httpapi/exchange.go
+++ b/internal/adapter/httpapi/exchange.go
@@ -14,78 +14,78 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// codeOK is the value of the code attribute of answers without an error.
+// codeOK is the value of the metric attribute "code" for requests without an error.
 const codeOK verdict.Code = "ok"
 
-// exchange is one request and its answer.
+// exchange is one HTTP request and its response.
 type exchange struct {
-	api    *API
-	w      http.ResponseWriter
-	rc     *http.ResponseController
-	r      *port.ServeRequest
-	caller *caller
-	start  time.Time
-	known  bool
-	held   int64 // bytes counted for the body
-	frames int
-	// newline is true if the last byte sent ends a line.
-	newline bool
+	api       *API
+	w         http.ResponseWriter
+	rc        *http.ResponseController
+	r         *port.ServeRequest
+	caller    *caller
+	start     time.Time
+	admitted  bool  // the customer is known and may be named in metrics
+	bodyBytes int64 // memory reserved for the body
+	frames    int
+	// endsWithNewline is true if the last byte sent is a newline.
+	endsWithNewline bool
 }
 
-// interrupt makes a blocked write return.
+// interrupt unblocks a write to the caller, which then fails.
 func (x *exchange) interrupt() { _ = x.rc.SetWriteDeadline(time.Now()) }
 
-// fail answers a request before the first byte.
-func (x *exchange) fail(err error) {
+// failBeforeHead sends an error as the response.
+func (x *exchange) failBeforeHead(err error) {
 	e := verdict.FromError(err)
-	x.finish(e.Verdict, e.Code)
-	if x.caller != nil && x.caller.refused {
-		// An idle connection would keep its buffers.
+	x.recordEnd(e.Verdict, e.Code)
+	if x.caller != nil && x.caller.refusedForMemory {
+		// Frees the buffers of the connection, which stay allocated while it is idle.
 		x.w.Header().Set("Connection", "close")
 	}
 	writeError(x.w, e, x.r.ID)
 }
 
-func (x *exchange) finish(v verdict.Verdict, code verdict.Code) {
-	x.api.count(x.r, v, code)
-	x.seconds("masticwing_entry_request_seconds")
+func (x *exchange) recordEnd(v verdict.Verdict, code verdict.Code) {
+	x.api.countVerdict(x.r, v, code)
+	x.recordSeconds("masticwing_entry_request_seconds")
 }
 
-func (x *exchange) seconds(name string) {
-	if x.known {
+func (x *exchange) recordSeconds(name string) {
+	if x.admitted {
 		x.api.metrics.Seconds(name, time.Since(x.start),
 			port.Attr{Key: "customer", Value: string(x.r.Customer)},
 			port.Attr{Key: "class", Value: x.r.Class.String()})
 	}
 }
 
-// copy sends the answer. It holds one frame at a time.
-func (x *exchange) copy(ctx context.Context, a port.Answer) {
+// copyAnswer sends the answer to the caller, one frame at a time.
+func (x *exchange) copyAnswer(ctx context.Context, a port.Answer) {
 	frame, err := a.Next()
 	if err != nil && !errors.Is(err, io.EOF) {
-		x.fail(err)
+		x.failBeforeHead(err)
 		return
 	}
-	x.head(a.Head())
+	x.writeHead(a.Head())
 	for err == nil {
 		if x.frames == 0 {
-			x.seconds("masticwing_entry_first_byte_seconds")
+			x.recordSeconds("masticwing_entry_first_byte_seconds")
 		}
-		if werr := x.send(ctx, frame); werr != nil {
-			x.cut(werr)
+		if werr := x.sendFrame(ctx, frame); werr != nil {
+			x.abort(werr)
 			return
 		}
 		x.frames++
 		frame, err = a.Next()
 	}
 	if !errors.Is(err, io.EOF) {
-		x.failLate(verdict.FromError(err))
+		x.failAfterHead(verdict.FromError(err))
 		return
 	}
-	x.end(a.Head())
+	x.writeEnd(a.Head())
 }
 
-func (x *exchange) head(h port.AnswerHead) {
+func (x *exchange) writeHead(h port.AnswerHead) {
 	out := x.w.Header()
 	out.Set("Trailer", headerVerdict)
 	out.Set(headerRequest, string(x.r.ID))
@@ -106,49 +106,49 @@
 	x.w.WriteHeader(status)
 }
 
-// send writes one frame and returns once the connection has taken it.
-func (x *exchange) send(ctx context.Context, frame []byte) error {
+// sendFrame writes one frame and returns once it is in the socket buffer.
+func (x *exchange) sendFrame(ctx context.Context, frame []byte) error {
 	if len(frame) == 0 {
 		return nil
 	}
-	if err := x.api.callers.beginWrite(ctx, x.caller, len(frame)); err != nil {
+	if err := x.api.callerMemory.reserveFrame(ctx, x.caller, len(frame)); err != nil {
 		return err
 	}
-	defer x.api.callers.endWrite(x.caller)
-	x.newline = frame[len(frame)-1] == '\n'
+	defer x.api.callerMemory.releaseFrame(x.caller)
+	x.endsWithNewline = frame[len(frame)-1] == '\n'
 	if _, err := x.w.Write(frame); err != nil {
-		return x.writeError(err)
+		return x.writeFailure(err)
 	}
 	if err := x.rc.Flush(); err != nil {
-		return x.writeError(err)
+		return x.writeFailure(err)
 	}
 	return nil
 }
 
-func (x *exchange) writeError(err error) error {
-	if x.caller.ended.Load() {
+func (x *exchange) writeFailure(err error) error {
+	if x.caller.disconnected.Load() {
 		return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeSlowCaller, "caller is the slowest over the memory bound")
 	}
 	return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeCanceled, "caller left")
 }
 
-// cut closes the connection of a caller that did not take the answer. Nothing
-// more can be sent: a part of a frame may be in the connection.
-func (x *exchange) cut(err error) {
+// abort closes the connection in the middle of the response. No error can be sent,
+// since a part of a frame may have been written.
+func (x *exchange) abort(err error) {
 	e := verdict.FromError(err)
-	x.finish(e.Verdict, e.Code)
+	x.recordEnd(e.Verdict, e.Code)
 	panic(http.ErrAbortHandler)
 }
 
-// failLate ends an answer after its first byte. A stream of lines ends with
-// the error as its last line. The body of a service call has no place for an
-// error, so its connection is closed before the end of the body.
-func (x *exchange) failLate(e *verdict.Error) {
+// failAfterHead ends a response after its head was sent. The answer of a group ends
+// with the error as its last line. The body of a service's answer has no place for
+// an error, so the connection is closed before the end of the body.
+func (x *exchange) failAfterHead(e *verdict.Error) {
 	if x.r.Group == "" {
-		x.cut(e)
+		x.abort(e)
 	}
-	x.finish(e.Verdict, e.Code)
-	x.line(errorJSON(e, x.r.ID))
+	x.recordEnd(e.Verdict, e.Code)
+	x.writeLastLine(errorJSON(e, x.r.ID))
 	x.w.Header().Set(headerVerdict, e.Verdict.String())
 }
 
@@ -163,20 +163,21 @@
 	RequestID fleet.RequestID `json:"request_id"`
 }
 
-func (x *exchange) end(h port.AnswerHead) {
-	x.finish(verdict.Ran, codeOK)
+func (x *exchange) writeEnd(h port.AnswerHead) {
+	x.recordEnd(verdict.Ran, codeOK)
 	if x.r.Group != "" {
 		b, err := json.Marshal(endBody{endDetail{verdict.Ran.String(), h.Version, x.frames, x.r.ID}})
 		if err == nil {
-			x.line(append(b, '\n'))
+			x.writeLastLine(append(b, '\n'))
 		}
 	}
 	x.w.Header().Set(headerVerdict, verdict.Ran.String())
 }
 
-// line writes the last line of a stream on a line of its own.
-func (x *exchange) line(b []byte) {
-	if x.frames > 0 && !x.newline {
+// writeLastLine writes the last line of a stream, after a newline if the previous
+// frame did not end with one.
+func (x *exchange) writeLastLine(b []byte) {
+	if x.frames > 0 && !x.endsWithNewline {
 		_, _ = x.w.Write([]byte{'\n'})
 	}
 	_, _ = x.w.Write(b)
--- a/internal/adapter/httpapi/gate.go
+++ b/internal/adapter/httpapi/gate.go
@@ -5,31 +5,32 @@
 	"sync"
 )
 
-// gate counts the requests in progress and refuses new ones once closed.
+// gate counts the requests in progress and admits no new ones once it is closed.
 type gate struct {
-	mu     sync.Mutex
-	n      int
-	closed bool
-	idle   chan struct{}
+	mu         sync.Mutex
+	inProgress int
+	closed     bool
+	idle       chan struct{}
 }
 
 func newGate() *gate { return &gate{idle: make(chan struct{})} }
 
-func (g *gate) enter() bool {
+// tryStart counts a new request. It returns false if the gate is closed.
+func (g *gate) tryStart() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
 		return false
 	}
-	g.n++
+	g.inProgress++
 	return true
 }
 
-func (g *gate) leave() {
+func (g *gate) done() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.n--
-	if g.closed && g.n == 0 {
+	g.inProgress--
+	if g.closed && g.inProgress == 0 {
 		close(g.idle)
 	}
 }
@@ -41,13 +42,14 @@
 		return
 	}
 	g.closed = true
-	if g.n == 0 {
+	if g.inProgress == 0 {
 		close(g.idle)
 	}
 }
 
-// wait returns nil once the closed gate has no request in progress.
-func (g *gate) wait(ctx context.Context) error {
+// awaitIdle waits until the gate is closed and no request is in progress, or ctx
+// ends.
+func (g *gate) awaitIdle(ctx context.Context) error {
 	select {
 	case <-g.idle:
 		return nil
--- a/internal/adapter/httpapi/httpapi_test.go
+++ b/internal/adapter/httpapi/httpapi_test.go
@@ -19,14 +19,14 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// fakeBackend answers with what next returns.
+// fakeBackend admits requests with fixed results and serves them with a function.
 type fakeBackend struct {
 	admit  error
-	bounds Bounds
+	limits RequestLimits
 	serve  func(ctx context.Context, r port.ServeRequest) (port.Answer, error)
 }
 
-func (b *fakeBackend) Admit(port.ServeRequest) (Bounds, error) { return b.bounds, b.admit }
+func (b *fakeBackend) Admit(port.ServeRequest) (RequestLimits, error) { return b.limits, b.admit }
 
 func (b *fakeBackend) Serve(ctx context.Context, r port.ServeRequest, begin func() error) (port.Answer, error) {
 	if err := begin(); err != nil {
@@ -35,7 +35,8 @@
 	return b.serve(ctx, r)
 }
 
-// fakeAnswer sends frames and then the error.
+// fakeAnswer returns the frames and errors of next, which gets the index of the
+// frame.
 type fakeAnswer struct {
 	head   port.AnswerHead
 	next   func(i int) ([]byte, error)
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// backend returns a backend that answers with the pieces and then err.
+// backend returns a backend whose answers consist of pieces and end with err.
 func backend(closed *atomic.Int32, err error, pieces ...string) *fakeBackend {
 	return &fakeBackend{serve: func(context.Context, port.ServeRequest) (port.Answer, error) {
 		return &fakeAnswer{head: port.AnswerHead{Version: "v1", ContentType: "text/plain", Status: 201}, closed: closed,
@@ -85,22 +86,22 @@
 // listen serves an API on loopback and returns its address.
 func listen(t *testing.T, cfg Config, b Backend) (*API, string) {
 	t.Helper()
-	return listenCounted(t, cfg, b, noMetrics{})
+	return listenWithMetrics(t, cfg, b, noMetrics{})
 }
 
-// countEnds counts the requests that have ended, refused ones included.
-type countEnds struct {
+// endCounter counts the requests that have ended, including refused ones.
+type endCounter struct {
 	noMetrics
 	ended *atomic.Int32
 }
 
-func (c countEnds) Count(name string, n int64, _ ...port.Attr) {
+func (c endCounter) Count(name string, n int64, _ ...port.Attr) {
 	if name == "masticwing_entry_verdicts_total" {
 		c.ended.Add(int32(n))
 	}
 }
 
-func listenCounted(t *testing.T, cfg Config, b Backend, m port.Metrics) (*API, string) {
+func listenWithMetrics(t *testing.T, cfg Config, b Backend, m port.Metrics) (*API, string) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,7 +119,7 @@
 	return a, lis.Addr().String()
 }
 
-var plain = Config{Memory: 32 << 20, MaxBody: 1 << 10}
+var defaultConfig = Config{Memory: 32 << 20, MaxBody: 1 << 10}
 
 const (
 	groupPath   = "/v1/groups/g/generate"
@@ -144,29 +145,29 @@
 	return res, string(b), err
 }
 
-// TestAnswers guards against an answer whose end, verdict or version a caller
-// cannot see.
-func TestAnswers(t *testing.T) {
-	lost := verdict.New(verdict.MayHaveRun, verdict.CodeTargetLost, "gone")
+// TestAnswerFormat guards against a response that does not tell the caller its
+// verdict or version, or whether it is complete.
+func TestAnswerFormat(t *testing.T) {
+	lostError := verdict.New(verdict.MayHaveRun, verdict.CodeTargetLost, "gone")
 	for _, c := range []struct {
-		path    string
-		err     error
-		pieces  []string
-		status  int
-		body    string
-		trailer string
-		cut     bool
+		path      string
+		err       error
+		pieces    []string
+		status    int
+		body      string
+		trailer   string
+		truncated bool
 	}{
 		{groupPath, io.EOF, []string{"a\n", "b"}, 200, "a\nb\n{\"end\":{\"verdict\":\"ran\",\"version\":\"v1\",\"frames\":2,", "ran", false},
-		{groupPath, lost, []string{"a"}, 200, "a\n{\"error\":{\"code\":\"target_lost\",", "may-have-run", false},
-		{groupPath, lost, nil, 502, "{\"error\":{\"code\":\"target_lost\",", "", false},
+		{groupPath, lostError, []string{"a"}, 200, "a\n{\"error\":{\"code\":\"target_lost\",", "may-have-run", false},
+		{groupPath, lostError, nil, 502, "{\"error\":{\"code\":\"target_lost\",", "", false},
 		{servicePath, io.EOF, []string{"a", "b"}, 201, "ab", "ran", false},
-		{servicePath, lost, []string{"a"}, 201, "a", "", true},
+		{servicePath, lostError, []string{"a"}, 201, "a", "", true},
 	} {
 		var closed atomic.Int32
-		_, addr := listen(t, plain, backend(&closed, c.err, c.pieces...))
+		_, addr := listen(t, defaultConfig, backend(&closed, c.err, c.pieces...))
 		res, body, err := post(t, addr, c.path, "{}")
-		if res.StatusCode != c.status || !strings.HasPrefix(body, c.body) || res.Trailer.Get(headerVerdict) != c.trailer || (err != nil) != c.cut {
+		if res.StatusCode != c.status || !strings.HasPrefix(body, c.body) || res.Trailer.Get(headerVerdict) != c.trailer || (err != nil) != c.truncated {
 			t.Errorf("%s, %v: status %d, body %q, trailer %v, %v", c.path, c.err, res.StatusCode, body, res.Trailer, err)
 		}
 		if closed.Load() != 1 {
@@ -175,11 +176,11 @@
 	}
 }
 
-// TestRefusals guards against input that passes its limit, and against an
-// error that a caller's program cannot read.
+// TestRefusals guards against input above its limit that is accepted, and against
+// an error that a program cannot parse.
 func TestRefusals(t *testing.T) {
 	var closed atomic.Int32
-	api, addr := listen(t, plain, backend(&closed, io.EOF))
+	api, addr := listen(t, defaultConfig, backend(&closed, io.EOF))
 	for _, c := range []struct {
 		path, body string
 		headers    []string
@@ -191,7 +192,7 @@
 		{groupPath, "{}", []string{headerCustomer, ""}, 400, "bad_request"},
 		{groupPath, "{}", []string{headerClass, "urgent"}, 400, "bad_request"},
 		{groupPath, "{}", []string{headerTimeout, "0"}, 400, "bad_request"},
-		{groupPath, "{}", []string{headerKey, "6ba7b810-9dad-11d1-80b4-00c04fd430c8"}, 400, "bad_request"},
+		{groupPath, "{}", []string{headerIdempotencyKey, "6ba7b810-9dad-11d1-80b4-00c04fd430c8"}, 400, "bad_request"},
 		{groupPath, "not json", nil, 400, "bad_request"},
 		{servicePath, strings.Repeat("x", 1025), nil, 413, "too_large"},
 	} {
@@ -212,18 +213,18 @@
 	}
 }
 
-// open sends a request and reads nothing.
-func open(t *testing.T, addr string) net.Conn {
+// sendWithoutReading sends a request on a connection with a small receive buffer.
+func sendWithoutReading(t *testing.T, addr string) net.Conn {
 	t.Helper()
-	c := dial(t, addr)
+	c := sendRequest(t, addr)
 	if err := c.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// dial sends a request.
-func dial(t *testing.T, addr string) net.Conn {
+// sendRequest sends a request on a new connection.
+func sendRequest(t *testing.T, addr string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -237,33 +238,33 @@
 	return c
 }
 
-func until(t *testing.T, what string, f func() bool) {
+func waitUntil(t *testing.T, condition string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if f() {
 			return
 		}
 	}
-	t.Fatalf("not reached: %s", what)
+	t.Fatalf("not reached: %s", condition)
 }
 
-// TestSlowCallersAreBounded guards against callers that read nothing and fill
-// the entry's memory, and against healthy callers that suffer from them.
-func TestSlowCallersAreBounded(t *testing.T) {
+// TestMemoryOfSlowCallers guards against callers that read nothing and fill the
+// entry's memory, and against an effect of such callers on others.
+func TestMemoryOfSlowCallers(t *testing.T) {
 	const bound, slow = 1 << 20, 60
 	var closed, ended atomic.Int32
-	api, addr := listenCounted(t, Config{Memory: bound, MaxBody: 1 << 10}, endless(&closed), countEnds{ended: &ended})
+	api, addr := listenWithMetrics(t, Config{Memory: bound, MaxBody: 1 << 10}, endless(&closed), endCounter{ended: &ended})
 	for range slow {
-		open(t, addr)
+		sendWithoutReading(t, addr)
 	}
-	fits := bound / (openBytes + 2048)
-	// A caller that waits for memory for a second is refused before its answer is
-	// opened; all others that do not fit are cut.
-	until(t, "the callers that do not fit are ended", func() bool { return ended.Load() >= int32(slow-fits) })
+	fits := bound / (openAnswerBytes + 2048)
+	// A request that has waited for memory for a second is refused before its answer
+	// is opened; the other callers that do not fit are disconnected.
+	waitUntil(t, "the callers that do not fit are disconnected", func() bool { return ended.Load() >= int32(slow-fits) })
 	if n := api.BytesHeld(); n > bound || n == 0 {
 		t.Errorf("%d bytes held, bound %d", n, bound)
 	}
-	c := dial(t, addr)
+	c := sendRequest(t, addr)
 	start := time.Now()
 	if _, err := io.CopyN(io.Discard, bufio.NewReader(c), 4<<20); err != nil {
 		t.Errorf("a caller that reads: %v", err)
@@ -271,31 +272,32 @@
 	t.Logf("a caller that reads gets 4 MiB in %v", time.Since(start))
 }
 
-// TestCallerLeaves guards against work that goes on after its caller has left.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerDisconnects guards against a request that continues after its caller has
+// disconnected.
+func TestCallerDisconnects(t *testing.T) {
 	var closed atomic.Int32
-	api, addr := listen(t, plain, endless(&closed))
+	api, addr := listen(t, defaultConfig, endless(&closed))
 	stopped := make(chan struct{})
 	waiting := &fakeBackend{serve: func(ctx context.Context, _ port.ServeRequest) (port.Answer, error) {
 		<-ctx.Done()
 		close(stopped)
 		return nil, verdict.Wrap(ctx.Err(), verdict.NotRun, verdict.CodeCanceled, "caller left")
 	}}
-	_, addr2 := listen(t, plain, waiting)
-	blocked, queued := open(t, addr), open(t, addr2)
-	until(t, "the caller's frame is held", func() bool { return api.BytesHeld() > 0 })
+	_, addr2 := listen(t, defaultConfig, waiting)
+	blocked, queued := sendWithoutReading(t, addr), sendWithoutReading(t, addr2)
+	waitUntil(t, "memory is held for the frame", func() bool { return api.BytesHeld() > 0 })
 	time.Sleep(50 * time.Millisecond)
 	_, _ = blocked.Close(), queued.Close()
-	until(t, "the answer is closed", func() bool { return closed.Load() == 1 && api.BytesHeld() == 0 })
+	waitUntil(t, "the answer is closed", func() bool { return closed.Load() == 1 && api.BytesHeld() == 0 })
 	select {
 	case <-stopped:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the queued request goes on")
+		t.Fatal("the queued request was not canceled")
 	}
 }
 
-// TestDrain guards against a planned stop that interrupts a request in
-// progress, or that starts a new one.
+// TestDrain guards against a graceful shutdown that interrupts a request in progress
+// or admits a new one.
 func TestDrain(t *testing.T) {
 	release := make(chan struct{})
 	var closed atomic.Int32
@@ -307,7 +309,7 @@
 		<-release
 		return inner(ctx, r)
 	}
-	api, addr := listen(t, plain, slow)
+	api, addr := listen(t, defaultConfig, slow)
 	var wg conc.WaitGroup
 	var body string
 	wg.Go(func() { _, body, _ = post(t, addr, groupPath, "{}") })
@@ -331,17 +333,17 @@
 	}
 }
 
-// FuzzDecode guards against input of callers that stops the process or passes
-// its limits.
+// FuzzDecode guards against input of callers that crashes the process or exceeds
+// the limits.
 func FuzzDecode(f *testing.F) {
 	f.Add("g", "c", "status", "1000", "0193a0b0-0000-7000-8000-000000000001", []byte(`{"prompt":"x"}`))
 	f.Add("../g", "", "x", "-1", "{0193a0b0-0000-7000-8000-000000000001}", []byte(`{"prompt":{"a":[`))
 	f.Fuzz(func(t *testing.T, name, customer, class, timeout, key string, body []byte) {
-		h := http.Header{headerCustomer: {customer}, headerClass: {class}, headerTimeout: {timeout}, headerKey: {key}}
+		h := http.Header{headerCustomer: {customer}, headerClass: {class}, headerTimeout: {timeout}, headerIdempotencyKey: {key}}
 		r := port.ServeRequest{Body: body}
 		r.Group = "g"
 		r.Call = name
-		if decodeHead(h, &r) != nil || decodeBody(&r) != nil {
+		if decodeHeaders(h, &r) != nil || decodeBody(&r) != nil {
 			return
 		}
 		if len(r.Customer) == 0 || len(r.Customer) > maxName || len(r.Call) > maxName || r.Timeout <= 0 || r.Timeout > MaxTimeout ||
@@ -351,10 +353,10 @@
 	})
 }
 
-// TestMaxTokens guards against a bound on the answer that no engine can keep and
-// that is taken without a word.
-func TestMaxTokens(t *testing.T) {
-	_, addr := listen(t, plain, backend(new(atomic.Int32), io.EOF, "a\n"))
+// TestMaxTokensRange guards against a value of max_tokens that no engine supports
+// but that is accepted.
+func TestMaxTokensRange(t *testing.T) {
+	_, addr := listen(t, defaultConfig, backend(new(atomic.Int32), io.EOF, "a\n"))
 	for body, want := range map[string]int{
 		`{"max_tokens":1}`: 200, `{"max_tokens":1048576}`: 200, `{}`: 200,
 		`{"max_tokens":-5}`: 400, `{"max_tokens":0}`: 400, `{"max_tokens":12345678901234567890}`: 400,
@@ -366,10 +368,10 @@
 	}
 }
 
-// TestHiddenRequest guards against a second request that is read from the body
-// of a first one whose length and chunks contradict each other.
-func TestHiddenRequest(t *testing.T) {
-	_, addr := listen(t, plain, backend(new(atomic.Int32), io.EOF, "a\n"))
+// TestRequestSmuggling guards against a second request that is read from the body of
+// a request with both a Content-Length and a chunked encoding.
+func TestRequestSmuggling(t *testing.T) {
+	_, addr := listen(t, defaultConfig, backend(new(atomic.Int32), io.EOF, "a\n"))
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -56,20 +56,20 @@
 }
 
 // Admit implements httpapi.Backend.
-func (e *Entry) Admit(r port.ServeRequest) (httpapi.Bounds, error) {
+func (e *Entry) Admit(r port.ServeRequest) (httpapi.RequestLimits, error) {
 	d, _ := e.Directory.Declaration()
 	if d == nil {
-		return httpapi.Bounds{}, verdict.New(verdict.NotRun, verdict.CodeNoConfiguration,
+		return httpapi.RequestLimits{}, verdict.New(verdict.NotRun, verdict.CodeNoConfiguration,
 			"no configuration is known yet").WithRetryAfter(time.Second)
 	}
 	c, ok := d.Customers[r.Customer]
 	if !ok {
-		return httpapi.Bounds{}, verdict.New(verdict.NotRun, verdict.CodeUnknownCustomer, "customer is not declared")
+		return httpapi.RequestLimits{}, verdict.New(verdict.NotRun, verdict.CodeUnknownCustomer, "customer is not declared")
 	}
 	if err := checkTarget(d, &r); err != nil {
-		return httpapi.Bounds{}, err
+		return httpapi.RequestLimits{}, err
 	}
-	return httpapi.Bounds{CustomerBytes: c.MaxBytes}, nil
+	return httpapi.RequestLimits{CustomerBytes: c.MaxBytes}, nil
 }
 
 // Serve implements httpapi.Backend. The request holds its permit until the
