--- a/internal/app/ctl/ctl.go
+++ b/internal/app/ctl/ctl.go
@@ -1,9 +1,10 @@
-// Package ctl is the operators' command: it checks, compares and applies
-// declarations, cordons failure domains and VMs, and shows how far a change
-// has come.
+// Package ctl implements masticwingctl, the operators' command. It validates,
+// compares and applies declarations, cordons failure domains and VMs, and shows
+// the progress of a change.
 //
-// Every change is a compare-and-swap against the revision that the operator
-// saw, so that of two operators who race one wins and the other sees why.
+// Every change is a compare-and-swap against the revision that the operator saw.
+// Of two concurrent changes one takes effect; the other fails and prints the
+// conflicting change.
 package ctl
 
 import (
@@ -20,7 +21,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Exit codes.
+// Exit codes of masticwingctl.
 const (
 	ExitDone        = 0
 	ExitFailed      = 1
@@ -30,20 +31,20 @@
 	ExitRefused     = 5
 )
 
-// Deps are what the command uses of the outside.
+// Deps holds the ports and streams that the command uses.
 type Deps struct {
-	// KV opens the platform's key-value service.
+	// KV returns a client of the platform's key-value service.
 	KV      func(fleet.Address) port.KV
 	Members port.MemberClient
 	Clock   port.Clock
 	Rand    port.Rand
 	Out     io.Writer
 	Err     io.Writer
-	// Operator is the default name of the operator in the history.
+	// Operator is the operator's name in the history if no flag sets it.
 	Operator string
 }
 
-// exitError is an error with an exit code.
+// exitError is an error that determines the command's exit code.
 type exitError struct {
 	code int
 	error
@@ -51,14 +52,14 @@
 
 func (e exitError) Unwrap() error { return e.error }
 
-func exit(code int, err error) error {
+func withExitCode(code int, err error) error {
 	if err == nil {
 		return nil
 	}
 	return exitError{code, err}
 }
 
-func exitf(code int, format string, args ...any) error {
+func exitErrorf(code int, format string, args ...any) error {
 	return exitError{code, errors.Errorf(format, args...)}
 }
 
@@ -95,33 +96,33 @@
 		Writer:         d.Out,
 		ErrWriter:      d.Err,
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
-		OnUsageError:   onUsage,
+		OnUsageError:   onUsageError,
 		Flags:          globalFlags(d),
 		Action: func(_ context.Context, c *cli.Command) error {
 			_ = cli.ShowAppHelp(c)
 			if c.Args().Present() {
-				return exitf(ExitUsage, "unknown command %q", c.Args().First())
+				return exitErrorf(ExitUsage, "unknown command %q", c.Args().First())
 			}
-			return exitf(ExitUsage, "a command is required")
+			return exitErrorf(ExitUsage, "a command is required")
 		},
 		Commands: []*cli.Command{
 			{
 				Name: "validate", Usage: "check files and report every fault", ArgsUsage: "DIR|FILE...",
-				Description: "Example:\n  masticwingctl validate config/", OnUsageError: onUsage, Action: run(d, (*session).validate),
+				Description: "Example:\n  masticwingctl validate config/", OnUsageError: onUsageError, Action: run(d, (*session).validate),
 			},
 			{
 				Name: "diff", Usage: "show the machines whose assignment files would change", ArgsUsage: "DIR|FILE...",
-				Description: "Example:\n  masticwingctl diff config/ --peer 10.0.1.1:7100", OnUsageError: onUsage,
+				Description: "Example:\n  masticwingctl diff config/ --peer 10.0.1.1:7100", OnUsageError: onUsageError,
 				Action: run(d, (*session).diff),
 			},
 			applyCommand(d),
 			{
-				Name: "get", Usage: "print the declaration in force", OnUsageError: onUsage, Action: run(d, (*session).get),
+				Name: "get", Usage: "print the declaration in force", OnUsageError: onUsageError, Action: run(d, (*session).get),
 				Description: "Example:\n  masticwingctl get > current.ini",
 			},
 			statusCommand(d),
 			{
-				Name: "history", Usage: "list the last changes", OnUsageError: onUsage, Action: run(d, (*session).history),
+				Name: "history", Usage: "list the last changes", OnUsageError: onUsageError, Action: run(d, (*session).history),
 				Description: "Example:\n  masticwingctl history --output json",
 			},
 			explainCommand(d),
@@ -141,7 +142,8 @@
 	}
 }
 
-// waitFlags returns new flags, since a flag holds the state of one command.
+// waitFlags returns new flags on each call, because a flag holds the parsed value
+// for one command.
 func waitFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.BoolFlag{Name: "wait", Usage: "wait until every visible process reports the revision"},
@@ -152,7 +154,7 @@
 
 func applyCommand(d Deps) *cli.Command {
 	return &cli.Command{
-		Name: "apply", Usage: "put files in force", ArgsUsage: "DIR|FILE...", OnUsageError: onUsage,
+		Name: "apply", Usage: "put files in force", ArgsUsage: "DIR|FILE...", OnUsageError: onUsageError,
 		Description: "Examples:\n  masticwingctl apply config/ --wait\n  masticwingctl apply config/ --revision 41\n\n" +
 			"The change takes effect only if nobody else has changed the declaration since\n" +
 			"the revision given, or since this command read it.",
@@ -161,18 +163,18 @@
 	}
 }
 
-func cordonCommand(d Deps, name, usage string, on bool) *cli.Command {
+func cordonCommand(d Deps, name, usage string, cordoned bool) *cli.Command {
 	return &cli.Command{
-		Name: name, Usage: usage, ArgsUsage: "domain|vm NAME", OnUsageError: onUsage,
+		Name: name, Usage: usage, ArgsUsage: "domain|vm NAME", OnUsageError: onUsageError,
 		Description: "Examples:\n  masticwingctl " + name + " domain a --wait\n  masticwingctl " + name + " vm a-w1",
 		Flags:       waitFlags(),
-		Action:      run(d, func(s *session, ctx context.Context) error { return s.cordon(ctx, on) }),
+		Action:      run(d, func(s *session, ctx context.Context) error { return s.cordon(ctx, cordoned) }),
 	}
 }
 
 func statusCommand(d Deps) *cli.Command {
 	return &cli.Command{
-		Name: "status", Usage: "show the revision of every process and the progress of every group", OnUsageError: onUsage,
+		Name: "status", Usage: "show the revision of every process and the progress of every group", OnUsageError: onUsageError,
 		Description: "Examples:\n  masticwingctl status --peer 10.0.1.1:7100,10.0.2.1:7100\n  masticwingctl status --watch",
 		Flags: []cli.Flag{
 			&cli.BoolFlag{Name: "watch", Usage: "repeat until interrupted"},
@@ -182,4 +184,6 @@
 	}
 }
 
-func onUsage(_ context.Context, _ *cli.Command, err error, _ bool) error { return exit(ExitUsage, err) }
+func onUsageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
+	return withExitCode(ExitUsage, err)
+}
