--- a/cmd/masticwing-gateway/main.go
+++ b/cmd/masticwing-gateway/main.go
@@ -62,7 +62,7 @@
 		return err
 	}
 	idle := idleconns.New(func() time.Duration { return g.RequestLimits().Idle })
-	front := &http.Server{Handler: platform.IngressHandler(g, g.Closing), ReadHeaderTimeout: headerTimeout, ConnState: idle.Follow}
+	front := &http.Server{Handler: platform.IngressHandler(g, g.Closing), ReadHeaderTimeout: headerTimeout, ConnState: idle.OnStateChange}
 	checks := &http.Server{Handler: platform.ReadinessHandler(g), ReadHeaderTimeout: headerTimeout}
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg conc.WaitGroup
--- a/internal/adapter/idleconns/idleconns.go
+++ b/internal/adapter/idleconns/idleconns.go
@@ -1,5 +1,5 @@
-// Package idleconns closes the connections of an HTTP server that were idle for
-// longer than a limit that may change while the server runs.
+// Package idleconns closes idle connections of an HTTP server after a timeout that
+// may change while the server runs.
 package idleconns
 
 import (
@@ -10,32 +10,32 @@
 	"github.com/masticwing/masticwing/internal/core/shard"
 )
 
-// Limiter follows the connections of one server.
+// Limiter has a timer for each idle connection of one server.
 type Limiter struct {
-	limit  func() time.Duration
-	timers *shard.Map[net.Conn, *time.Timer]
+	idleTimeout func() time.Duration
+	timers      *shard.Map[net.Conn, *time.Timer]
 }
 
-// New returns a limiter. limit returns the longest idle time; zero means none.
-func New(limit func() time.Duration) *Limiter {
-	return &Limiter{limit: limit, timers: shard.New[net.Conn, *time.Timer](0)}
+// New returns a limiter. idleTimeout returns the current timeout; zero means none.
+func New(idleTimeout func() time.Duration) *Limiter {
+	return &Limiter{idleTimeout: idleTimeout, timers: shard.New[net.Conn, *time.Timer](0)}
 }
 
-// Follow is the ConnState hook of the server.
-func (l *Limiter) Follow(c net.Conn, state http.ConnState) {
-	var old *time.Timer
+// OnStateChange is the server's ConnState hook.
+func (l *Limiter) OnStateChange(c net.Conn, state http.ConnState) {
+	var previous *time.Timer
 	l.timers.Update(c, func(t *time.Timer, _ bool) (*time.Timer, bool) {
-		old = t
+		previous = t
 		return nil, false
 	})
-	if old != nil {
-		old.Stop()
+	if previous != nil {
+		previous.Stop()
 	}
-	limit := l.limit()
-	if limit <= 0 || state != http.StateIdle && state != http.StateNew {
+	idleTimeout := l.idleTimeout()
+	if idleTimeout <= 0 || state != http.StateIdle && state != http.StateNew {
 		return
 	}
-	// A request may arrive at this moment; callers do not use a connection that
-	// was idle for nearly the limit.
-	l.timers.Put(c, time.AfterFunc(limit, func() { _ = c.Close() }))
+	// A request that arrives when the timer fires is lost. Callers avoid this by
+	// not using a connection that has been idle for nearly the timeout.
+	l.timers.Put(c, time.AfterFunc(idleTimeout, func() { _ = c.Close() }))
 }
--- a/internal/adapter/idleconns/idleconns_test.go
+++ b/internal/adapter/idleconns/idleconns_test.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// TestIdleLimit guards against connections that stay open for ever, against ones
-// that are closed while a request is in progress, and against a limit that does
-// not follow the operators' change.
-func TestIdleLimit(t *testing.T) {
-	var limit atomic.Int64
-	limit.Store(int64(80 * time.Millisecond))
-	l := New(func() time.Duration { return time.Duration(limit.Load()) })
+// TestIdleTimeout guards against idle connections that stay open forever, against
+// connections that are closed while a request is in progress, and against a changed
+// timeout that has no effect.
+func TestIdleTimeout(t *testing.T) {
+	var idleTimeout atomic.Int64
+	idleTimeout.Store(int64(80 * time.Millisecond))
+	l := New(func() time.Duration { return time.Duration(idleTimeout.Load()) })
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(200 * time.Millisecond)
 		_, _ = io.WriteString(w, "ok")
 	}))
-	srv.Config.ConnState = l.Follow
+	srv.Config.ConnState = l.OnStateChange
 	srv.Start()
 	defer srv.Close()
 	closedAfter := func() time.Duration {
@@ -34,7 +34,7 @@
 		_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		b := make([]byte, 4096)
 		if n, err := c.Read(b); err != nil || !strings.Contains(string(b[:n]), "ok") {
-			t.Fatalf("answer %q, %v", b[:n], err)
+			t.Fatalf("response %q, %v", b[:n], err)
 		}
 		start := time.Now()
 		_ = c.SetReadDeadline(start.Add(2 * time.Second))
@@ -42,10 +42,10 @@
 		return time.Since(start)
 	}
 	if d := closedAfter(); d < 60*time.Millisecond || d > 300*time.Millisecond {
-		t.Errorf("closed after %v, the limit is 80 ms", d)
+		t.Errorf("closed after %v, the timeout is 80 ms", d)
 	}
-	limit.Store(int64(500 * time.Millisecond))
+	idleTimeout.Store(int64(500 * time.Millisecond))
 	if d := closedAfter(); d < 400*time.Millisecond || d > 900*time.Millisecond {
-		t.Errorf("closed after %v, the limit is 500 ms", d)
+		t.Errorf("closed after %v, the timeout is 500 ms", d)
 	}
 }
--- a/internal/adapter/targetconn/targetconn.go
+++ b/internal/adapter/targetconn/targetconn.go
@@ -1,6 +1,6 @@
-// Package targetconn sends HTTP/1.1 requests to targets over connections that it
-// keeps. Unlike net/http's client it never sends a request twice, asks for no
-// encoding, and tells whether anything of a request left the process.
+// Package targetconn sends HTTP/1.1 requests to targets over pooled connections.
+// Unlike net/http's client it never retries a request, does not request an encoding,
+// and reports whether any part of a request was sent.
 package targetconn
 
 import (
@@ -21,31 +21,35 @@
 )
 
 const (
-	// dialTimeout bounds the time to open a connection. Targets are at most a
-	// few milliseconds away; the first packet may have to be sent again once.
+	// dialTimeout limits the time to open a connection. The round trip to targets
+	// is at most a few milliseconds; the timeout allows for one retransmission of
+	// the first packet.
 	dialTimeout = 1200 * time.Millisecond
-	// unackedTimeout ends a connection on which sent bytes stay unacknowledged.
+	// unackedTimeout is the time after which the kernel closes a connection if
+	// sent data is not acknowledged.
 	unackedTimeout = 1500 * time.Millisecond
-	// idleMargin is the part of the announced idle time of a target for which a
-	// connection is kept, so that the target does not close it first.
-	idleMargin = 0.7
-	// idleDefault is the idle time of targets that announce none.
-	idleDefault = 4 * time.Second
-	// maxStale bounds the answers to earlier requests that are skipped.
-	maxStale  = 3
-	readBytes = 2 << 10
+	// idleFraction is the fraction of a target's announced keep-alive timeout for
+	// which an idle connection is kept, so that the target does not close it first.
+	idleFraction = 0.7
+	// defaultIdleTime is for targets that announce no keep-alive timeout.
+	defaultIdleTime = 4 * time.Second
+	// maxResponsesRead limits the responses that are read to find that of the
+	// request. Those to earlier requests are skipped.
+	maxResponsesRead = 3
+	bufferBytes      = 2 << 10
 )
 
-// ErrUnsent means that nothing of the request was sent.
-var ErrUnsent = errors.New("nothing of the request was sent")
+// ErrNotSent means that no part of the request was sent.
+var ErrNotSent = errors.New("no part of the request was sent")
 
-// Pool keeps idle connections by address.
+// Pool sends requests and keeps idle connections by address.
 type Pool struct {
 	idle *shard.Map[fleet.Address, []*conn]
-	// Owner reports whether an answer belongs to a request. It may be nil.
-	Owner func(req *http.Request, res *http.Response) bool
-	// Opened is called for each new connection. It may be nil.
-	Opened func()
+	// MatchesRequest reports whether a response belongs to a request. If it is nil,
+	// every response does.
+	MatchesRequest func(req *http.Request, res *http.Response) bool
+	// OnOpen is called for each new connection. It may be nil.
+	OnOpen func()
 }
 
 // New returns a pool without connections.
@@ -53,54 +57,55 @@
 
 type conn struct {
 	net.Conn
-	r     *bufio.Reader
-	until time.Time
-	stop  func() bool
+	r         *bufio.Reader
+	expiresAt time.Time
+	// stopCancel unregisters the function that aborts the connection at the end of ctx.
+	stopCancel func() bool
 }
 
-// Do sends a request once and returns its answer. The end of ctx closes the
-// connection, also while the body of the answer is read. The body must be
-// closed. An error has ErrUnsent in its chain if the target saw nothing.
+// Do sends a request once and returns its response. The end of ctx aborts the
+// request, also while the body of the response is read. The caller must close the
+// body. An error matches ErrNotSent if no part of the request was sent.
 func (p *Pool) Do(ctx context.Context, addr fleet.Address, req *http.Request) (*http.Response, error) {
-	c, err := p.take(ctx, addr)
+	c, err := p.acquire(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	c.stop = context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
-	w := bufio.NewWriterSize(c, readBytes)
+	c.stopCancel = context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
+	w := bufio.NewWriterSize(c, bufferBytes)
 	if err = req.Write(w); err == nil {
 		err = w.Flush()
 	}
 	if err != nil {
-		c.drop()
+		c.discard()
 		return nil, errors.Wrap(err, "sending request")
 	}
-	for range maxStale {
+	for range maxResponsesRead {
 		res, err := http.ReadResponse(c.r, req)
 		if err != nil {
-			c.drop()
-			return nil, errors.Wrap(err, "reading answer")
+			c.discard()
+			return nil, errors.Wrap(err, "reading response")
 		}
-		if p.Owner == nil || p.Owner(req, res) {
-			res.Body = &body{ReadCloser: res.Body, p: p, c: c, addr: addr, res: res}
+		if p.MatchesRequest == nil || p.MatchesRequest(req, res) {
+			res.Body = &responseBody{ReadCloser: res.Body, p: p, c: c, addr: addr, res: res}
 			return res, nil
 		}
 		if _, err = io.Copy(io.Discard, res.Body); err != nil {
 			break
 		}
 	}
-	c.drop()
-	return nil, errors.New("answers belong to other requests")
+	c.discard()
+	return nil, errors.New("responses belong to other requests")
 }
 
-// take returns an idle connection that is still quiet, or opens one.
-func (p *Pool) take(ctx context.Context, addr fleet.Address) (*conn, error) {
+// acquire returns a usable idle connection, or opens one.
+func (p *Pool) acquire(ctx context.Context, addr fleet.Address) (*conn, error) {
 	for {
 		c := p.pop(addr)
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.until) && c.quiet() {
+		if time.Now().Before(c.expiresAt) && c.isQuiet() {
 			return c, nil
 		}
 		_ = c.Close()
@@ -108,25 +113,25 @@
 	d := net.Dialer{Timeout: dialTimeout}
 	nc, err := d.DialContext(ctx, "tcp", string(addr))
 	if err != nil {
-		return nil, errors.Wrap(unsent{err}, "connecting")
+		return nil, errors.Wrap(notSentError{err}, "connecting")
 	}
-	if p.Opened != nil {
-		p.Opened()
+	if p.OnOpen != nil {
+		p.OnOpen()
 	}
-	limitSilence(nc)
-	return &conn{Conn: nc, r: bufio.NewReaderSize(nc, readBytes)}, nil
+	setUserTimeout(nc)
+	return &conn{Conn: nc, r: bufio.NewReaderSize(nc, bufferBytes)}, nil
 }
 
-// unsent marks an error before anything was sent.
-type unsent struct{ error }
+// notSentError is an error that matches ErrNotSent.
+type notSentError struct{ error }
 
 // Is implements the interface of errors.Is.
-func (unsent) Is(target error) bool { return target == ErrUnsent }
+func (notSentError) Is(target error) bool { return target == ErrNotSent }
 
-func (u unsent) Unwrap() error { return u.error }
+func (u notSentError) Unwrap() error { return u.error }
 
-// limitSilence makes the kernel end a connection whose other end is gone.
-func limitSilence(nc net.Conn) {
+// setUserTimeout makes the kernel close a connection whose peer has gone.
+func setUserTimeout(nc net.Conn) {
 	t, ok := nc.(*net.TCPConn)
 	if !ok {
 		return
@@ -136,7 +141,8 @@
 		return
 	}
 	_ = raw.Control(func(fd uintptr) {
-		// Without the option a lost peer is found by the deadlines of requests.
+		// An error is ignored: without the option, requests to a lost peer fail
+		// at their deadlines.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 }
@@ -153,16 +159,17 @@
 	return c
 }
 
+// push adds an idle connection and closes those that have expired.
 func (p *Pool) push(addr fleet.Address, c *conn) {
 	now := time.Now()
-	var old []*conn
+	var expired []*conn
 	p.idle.Update(addr, func(cs []*conn, _ bool) ([]*conn, bool) {
-		for len(cs) > 0 && !now.Before(cs[0].until) {
-			old, cs = append(old, cs[0]), cs[1:]
+		for len(cs) > 0 && !now.Before(cs[0].expiresAt) {
+			expired, cs = append(expired, cs[0]), cs[1:]
 		}
 		return append(cs, c), true
 	})
-	for _, o := range old {
+	for _, o := range expired {
 		_ = o.Close()
 	}
 }
@@ -179,9 +186,10 @@
 	}
 }
 
-// quiet reports whether an idle connection is open and nothing has arrived on
-// it. Bytes that arrive without a request belong to no request.
-func (c *conn) quiet() bool {
+// isQuiet reports whether an idle connection is open and has no unread data. Data
+// that arrived while no request was in progress belongs to no request, so such a
+// connection is not used again.
+func (c *conn) isQuiet() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -193,72 +201,74 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	isQuiet := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, e := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = e == unix.EAGAIN
+		isQuiet = e == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && isQuiet
 }
 
-func (c *conn) drop() {
-	if c.stop != nil {
-		c.stop()
+func (c *conn) discard() {
+	if c.stopCancel != nil {
+		c.stopCancel()
 	}
 	_ = c.Close()
 }
 
-// body gives the connection back once the answer was read to its end.
-type body struct {
+// responseBody returns the connection to the pool after a complete response was
+// read.
+type responseBody struct {
 	io.ReadCloser
-	p    *Pool
-	c    *conn
-	addr fleet.Address
-	res  *http.Response
-	done bool
-	// closed is set when the connection is given back or closed.
+	p        *Pool
+	c        *conn
+	addr     fleet.Address
+	res      *http.Response
+	complete bool
+	// closed is set by Close, which returns the connection to the pool or closes it.
 	closed bool
 }
 
 // Read implements io.Reader.
-func (b *body) Read(x []byte) (int, error) {
+func (b *responseBody) Read(x []byte) (int, error) {
 	n, err := b.ReadCloser.Read(x)
-	b.done = b.done || err == io.EOF
+	b.complete = b.complete || err == io.EOF
 	return n, err
 }
 
-// Close implements io.Closer. An answer that was not read to its end closes the
-// connection, so that the target stops its work.
-func (b *body) Close() error {
+// Close implements io.Closer. If the response was not read completely, it closes
+// the connection, so that the target cancels the request.
+func (b *responseBody) Close() error {
 	if b.closed {
 		return nil
 	}
 	b.closed = true
-	if !b.done && b.res.ContentLength == 0 {
-		b.done = true
+	if !b.complete && b.res.ContentLength == 0 {
+		b.complete = true
 	}
-	if !b.done || b.res.Close || !b.c.stop() {
-		b.c.drop()
+	if !b.complete || b.res.Close || !b.c.stopCancel() {
+		b.c.discard()
 		return nil
 	}
-	b.c.stop = nil
-	b.c.until = time.Now().Add(idleTime(b.res.Header))
+	b.c.stopCancel = nil
+	b.c.expiresAt = time.Now().Add(keepAliveTime(b.res.Header))
 	b.p.push(b.addr, b.c)
 	return nil
 }
 
-// idleTime returns the time for which a connection may be used again.
-func idleTime(h http.Header) time.Duration {
+// keepAliveTime returns the time for which an idle connection is kept, given the
+// headers of the last response.
+func keepAliveTime(h http.Header) time.Duration {
 	for _, p := range strings.Split(h.Get("Keep-Alive"), ",") {
 		v, ok := strings.CutPrefix(strings.TrimSpace(p), "timeout=")
 		if !ok {
 			continue
 		}
 		if n, err := strconv.Atoi(v); err == nil && n > 0 {
-			return time.Duration(idleMargin * float64(n) * float64(time.Second))
+			return time.Duration(idleFraction * float64(n) * float64(time.Second))
 		}
 	}
-	return idleDefault
+	return defaultIdleTime
 }
--- a/internal/adapter/targetconn/targetconn_test.go
+++ b/internal/adapter/targetconn/targetconn_test.go
@@ -16,8 +16,8 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// target accepts connections and passes each to serve with its number, from 0.
-func target(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) fleet.Address {
+// startTarget accepts connections and calls serve for each, with its number from 0.
+func startTarget(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) fleet.Address {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,16 +46,16 @@
 	}
 }
 
-func pool() *Pool {
+func newPool() *Pool {
 	p := New()
-	p.Owner = func(req *http.Request, res *http.Response) bool {
+	p.MatchesRequest = func(req *http.Request, res *http.Response) bool {
 		return res.Header.Get("Request-Id") == req.Header.Get("Request-Id")
 	}
 	return p
 }
 
-// ask makes a request and returns the body, or the error of any step.
-func ask(ctx context.Context, p *Pool, addr fleet.Address, id string) (string, error) {
+// get sends a request and returns the body of the response, or the first error.
+func get(ctx context.Context, p *Pool, addr fleet.Address, id string) (string, error) {
 	res, err := p.Do(ctx, addr, request(id))
 	if err != nil {
 		return "", err
@@ -65,15 +65,15 @@
 	return string(b), err
 }
 
-func answer(id, body string) string {
+func response(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nContent-Length: " + string(rune('0'+len(body))) + "\r\n\r\n" + body
 }
 
-// TestSendsAsIs guards against a changed path, and against header fields that the
-// caller did not send, such as a request for an encoding.
-func TestSendsAsIs(t *testing.T) {
+// TestRequestSentUnchanged guards against a changed path, and against added header
+// fields, such as Accept-Encoding.
+func TestRequestSentUnchanged(t *testing.T) {
 	got := make(chan string, 1)
-	addr := target(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	addr := startTarget(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		var b strings.Builder
 		for {
 			line, err := r.ReadString('\n')
@@ -83,9 +83,9 @@
 			}
 		}
 		got <- b.String()
-		_, _ = io.WriteString(c, answer("1", "ok"))
+		_, _ = io.WriteString(c, response("1", "ok"))
 	})
-	if body, err := ask(context.Background(), pool(), addr, "1"); err != nil || body != "ok" {
+	if body, err := get(context.Background(), newPool(), addr, "1"); err != nil || body != "ok" {
 		t.Fatalf("%q, %v", body, err)
 	}
 	want := "GET /a%2Fb?x=1 HTTP/1.1\r\nHost: h.example\r\nRequest-Id: 1\r\n\r\n"
@@ -94,87 +94,88 @@
 	}
 }
 
-// TestNeverSentTwice guards against a request that is sent again by itself on
-// another connection after a kept one died, as net/http's client does for GET.
-func TestNeverSentTwice(t *testing.T) {
+// TestNoAutomaticRetry guards against a request that is sent again on another
+// connection after a pooled one was closed, as net/http's client does for GET.
+func TestNoAutomaticRetry(t *testing.T) {
 	var requests atomic.Int64
-	addr := target(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	addr := startTarget(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for {
 			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
 			if requests.Add(1) == 1 {
-				_, _ = io.WriteString(c, answer("1", "ok"))
+				_, _ = io.WriteString(c, response("1", "ok"))
 				continue
 			}
-			return // the connection closes without an answer
+			return // closes the connection without a response
 		}
 	})
-	p := pool()
-	if _, err := ask(context.Background(), p, addr, "1"); err != nil {
+	p := newPool()
+	if _, err := get(context.Background(), p, addr, "1"); err != nil {
 		t.Fatal(err)
 	}
-	_, err := ask(context.Background(), p, addr, "2")
-	if err == nil || errors.Is(err, ErrUnsent) || requests.Load() != 2 {
+	_, err := get(context.Background(), p, addr, "2")
+	if err == nil || errors.Is(err, ErrNotSent) || requests.Load() != 2 {
 		t.Errorf("error %v after %d requests", err, requests.Load())
 	}
 }
 
-// TestLateAnswer guards against the answer to an earlier request, or a second
-// copy of it, that is taken for that of the next one on the connection.
-func TestLateAnswer(t *testing.T) {
-	addr := target(t, func(_ int, c net.Conn, r *bufio.Reader) {
+// TestStaleResponsesAreSkipped guards against a late or duplicate response to an
+// earlier request that is returned for the next request on the connection.
+func TestStaleResponsesAreSkipped(t *testing.T) {
+	addr := startTarget(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		for id := byte('1'); ; id++ {
 			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
 			if id == '2' {
-				_, _ = io.WriteString(c, answer("1", "old"))
+				_, _ = io.WriteString(c, response("1", "old"))
 			}
-			_, _ = io.WriteString(c, answer(string(id), "new"+string(id)))
+			_, _ = io.WriteString(c, response(string(id), "new"+string(id)))
 		}
 	})
-	p := pool()
+	p := newPool()
 	for _, id := range []string{"1", "2", "3"} {
-		if body, err := ask(context.Background(), p, addr, id); err != nil || body != "new"+id {
+		if body, err := get(context.Background(), p, addr, id); err != nil || body != "new"+id {
 			t.Errorf("request %s: %q, %v", id, body, err)
 		}
 	}
 }
 
-// TestUnaskedBytes guards against a kept connection on which bytes have arrived
-// without a request.
-func TestUnaskedBytes(t *testing.T) {
+// TestUnsolicitedBytes guards against the use of a pooled connection on which data
+// has arrived while no request was in progress.
+func TestUnsolicitedBytes(t *testing.T) {
 	var conns atomic.Int64
-	addr := target(t, func(n int, c net.Conn, r *bufio.Reader) {
+	addr := startTarget(t, func(n int, c net.Conn, r *bufio.Reader) {
 		conns.Add(1)
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
-		_, _ = io.WriteString(c, answer(string(rune('1'+n)), "ok"))
+		_, _ = io.WriteString(c, response(string(rune('1'+n)), "ok"))
 		time.Sleep(20 * time.Millisecond)
 		_, _ = io.WriteString(c, "junk")
 		_, _ = r.ReadByte()
 	})
-	p := pool()
-	if _, err := ask(context.Background(), p, addr, "1"); err != nil {
+	p := newPool()
+	if _, err := get(context.Background(), p, addr, "1"); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(60 * time.Millisecond)
-	if body, err := ask(context.Background(), p, addr, "2"); err != nil || body != "ok" || conns.Load() != 2 {
+	if body, err := get(context.Background(), p, addr, "2"); err != nil || body != "ok" || conns.Load() != 2 {
 		t.Errorf("%q, %v on %d connections", body, err, conns.Load())
 	}
 }
 
-// TestAnswerThatEndsEarly guards against a part of an answer that looks whole,
-// with a length, in chunks, and when it would end with its connection.
-func TestAnswerThatEndsEarly(t *testing.T) {
+// TestTruncatedResponse guards against a truncated response that is reported as
+// complete: with a Content-Length, with a chunked encoding, and with a body that
+// ends with the connection.
+func TestTruncatedResponse(t *testing.T) {
 	for name, head := range map[string]string{
 		"length": "Content-Length: 9\r\n\r\npart",
 		"chunks": "Transfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
 		"reset":  "\r\npart",
 	} {
-		addr := target(t, func(_ int, c net.Conn, r *bufio.Reader) {
+		addr := startTarget(t, func(_ int, c net.Conn, r *bufio.Reader) {
 			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
@@ -184,17 +185,17 @@
 				time.Sleep(20 * time.Millisecond)
 			}
 		})
-		if body, err := ask(context.Background(), pool(), addr, "1"); err == nil {
-			t.Errorf("%s: %q looks whole", name, body)
+		if body, err := get(context.Background(), newPool(), addr, "1"); err == nil {
+			t.Errorf("%s: %q was returned as complete", name, body)
 		}
 	}
 }
 
-// TestLeavingCaller guards against a target that goes on with a request whose
-// caller has gone.
-func TestLeavingCaller(t *testing.T) {
+// TestCancelClosesConnection guards against a target that continues a request after
+// the caller has canceled it.
+func TestCancelClosesConnection(t *testing.T) {
 	closed := make(chan time.Time, 1)
-	addr := target(t, func(_ int, c net.Conn, r *bufio.Reader) {
+	addr := startTarget(t, func(_ int, c net.Conn, r *bufio.Reader) {
 		_, _ = http.ReadRequest(r)
 		_, _ = r.ReadByte()
 		closed <- time.Now()
@@ -202,7 +203,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	start := time.Now()
 	time.AfterFunc(30*time.Millisecond, cancel)
-	if _, err := ask(ctx, pool(), addr, "1"); err == nil || errors.Is(err, ErrUnsent) {
+	if _, err := get(ctx, newPool(), addr, "1"); err == nil || errors.Is(err, ErrNotSent) {
 		t.Errorf("error %v", err)
 	}
 	if d := (<-closed).Sub(start); d > 500*time.Millisecond {
@@ -210,27 +211,27 @@
 	}
 }
 
-// TestUnreached guards against a request that is reported as sent although
-// nothing listens at the address.
-func TestUnreached(t *testing.T) {
+// TestUnreachableTarget guards against a request that is reported as sent although
+// the connection was refused.
+func TestUnreachableTarget(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := fleet.Address(l.Addr().String())
 	_ = l.Close()
-	if _, err := ask(context.Background(), pool(), addr, "1"); !errors.Is(err, ErrUnsent) {
+	if _, err := get(context.Background(), newPool(), addr, "1"); !errors.Is(err, ErrNotSent) {
 		t.Errorf("error %v", err)
 	}
 }
 
-// TestIdleTime guards against the use of a connection that its target is about to
-// close.
-func TestIdleTime(t *testing.T) {
+// TestKeepAliveTime guards against the use of a connection that the target is about
+// to close.
+func TestKeepAliveTime(t *testing.T) {
 	for v, want := range map[string]time.Duration{
-		"": idleDefault, "timeout=10": 7 * time.Second, "max=5, timeout=10": 7 * time.Second, "timeout=x": idleDefault,
+		"": defaultIdleTime, "timeout=10": 7 * time.Second, "max=5, timeout=10": 7 * time.Second, "timeout=x": defaultIdleTime,
 	} {
-		if got := idleTime(http.Header{"Keep-Alive": {v}}); got != want {
+		if got := keepAliveTime(http.Header{"Keep-Alive": {v}}); got != want {
 			t.Errorf("%q: %v, want %v", v, got, want)
 		}
 	}
--- a/internal/adapter/targethttp/targethttp.go
+++ b/internal/adapter/targethttp/targethttp.go
@@ -1,5 +1,5 @@
-// Package targethttp holds what the HTTP clients of engines and services share:
-// the connections, and the verdict of a request that got no answer.
+// Package targethttp has the code that the HTTP clients of engines and services
+// share: the transport, and the verdict of a request that failed without a response.
 package targethttp
 
 import (
@@ -15,22 +15,22 @@
 
 const (
 	dialTimeout = time.Second
-	// idleConns is the number of idle connections kept; it covers the requests
-	// of a usual target.
-	idleConns = 64
+	// maxIdleConns limits the idle connections that are kept. It covers the
+	// concurrent requests of a typical target.
+	maxIdleConns = 64
 )
 
-// dialError marks a failure before anything was sent.
+// dialError is a failure to connect: nothing of the request was sent.
 type dialError struct{ error }
 
 func (e dialError) Unwrap() error { return e.error }
 
-// NewTransport returns a transport to one target. SendError recognises its
-// failures to connect.
+// NewTransport returns a transport for one target. SendError distinguishes its
+// failures to connect from other failures.
 func NewTransport() *http.Transport {
 	d := net.Dialer{Timeout: dialTimeout}
 	return &http.Transport{
-		MaxIdleConnsPerHost: idleConns,
+		MaxIdleConnsPerHost: maxIdleConns,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := d.DialContext(ctx, network, addr)
 			if err != nil {
@@ -41,9 +41,10 @@
 	}
 }
 
-// SendError returns the error of a request that the target, such as "engine",
-// did not answer or not to the end. code is that of a lost connection. The
-// request did not run only if there was no connection to send it on.
+// SendError returns the error of a request that failed with err before a complete
+// response was received. target is a word for messages, such as "engine"; code is
+// used for failures to connect and lost connections. The verdict is not-run only if
+// the connection could not be opened.
 func SendError(ctx context.Context, err error, target string, code verdict.Code) *verdict.Error {
 	var d dialError
 	switch {
