--- a/internal/archtest/arch_test.go
+++ b/internal/archtest/arch_test.go
@@ -56,8 +56,8 @@
 
 func refuse(p, imp string) string {
 	own := strings.HasPrefix(imp, module)
-	if under(imp, "platform/site") {
-		if under(p, "test") || under(p, "platform/site") {
+	if under(imp, "platform/platformtest") {
+		if under(p, "test") || under(p, "platform/platformtest") {
 			return ""
 		}
 		return "only tests import the stand-in of the users' platform"
@@ -135,8 +135,8 @@
 		{"internal/app/gateway", module + "platform"},
 		{"internal/core/placement", module + "platform"},
 		{"cmd/masticwing-entry", module + "platform"},
-		{"cmd/masticwing-gateway", module + "platform/site"},
-		{"platform", module + "platform/site"},
+		{"cmd/masticwing-gateway", module + "platform/platformtest"},
+		{"platform", module + "platform/platformtest"},
 		{"platform", module + "internal/app/gateway"},
 	}
 	for _, w := range wrong {
--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -5,14 +5,15 @@
 	"net/http"
 	"testing"
 
-	"github.com/masticwing/masticwing/platform/site"
+	"github.com/masticwing/masticwing/platform/platformtest"
 )
 
-// TestAnswerFaults guards against a soak that passes whatever it sees.
-func TestAnswerFaults(t *testing.T) {
+// TestResponseViolations guards against a soak test that passes although a response
+// violates a guarantee.
+func TestResponseViolations(t *testing.T) {
 	ok := func(path string) result {
-		r := result{id: "1", path: path, status: http.StatusOK, signature: site.Signature("1")}
-		r.body = want(r)
+		r := result{id: "1", path: path, status: http.StatusOK, signature: platformtest.Signature("1")}
+		r.body = expectedBody(r)
 		return r
 	}
 	changed := func(path string, f func(*result)) result {
@@ -22,25 +23,25 @@
 	}
 	cut := errors.New("cut")
 	for name, c := range map[string]struct {
-		r    result
-		runs int
-		bad  bool
+		r          result
+		executions int
+		bad        bool
 	}{
-		"whole answer":              {ok("/r/x"), 1, false},
-		"whole stream of two runs":  {ok("/s/x"), 2, false},
-		"answer without a run":      {ok("/r/x"), 0, true},
+		"complete response":         {ok("/r/x"), 1, false},
+		"complete stream, two runs": {ok("/s/x"), 2, false},
+		"response without a run":    {ok("/r/x"), 0, true},
 		"call that ran twice":       {ok("/w/x"), 2, true},
-		"other answer":              {changed("/r/x", func(r *result) { r.body = "answer to 2" }), 1, true},
+		"response to another":       {changed("/r/x", func(r *result) { r.body = "answer to 2" }), 1, true},
 		"short stream":              {changed("/s/x", func(r *result) { r.body = r.body[:20] }), 1, true},
 		"short stream that was cut": {changed("/s/x", func(r *result) { r.body, r.err = r.body[:20], cut }), 1, false},
-		"event that comes twice":    {changed("/s/x", func(r *result) { r.body, r.err = r.body[:10]+r.body[:10], cut }), 1, true},
+		"duplicate event":           {changed("/s/x", func(r *result) { r.body, r.err = r.body[:10]+r.body[:10], cut }), 1, true},
 		"no signature":              {changed("/r/x", func(r *result) { r.signature = "" }), 1, true},
 		"refused":                   {result{id: "1", path: "/w/x", status: http.StatusServiceUnavailable}, 0, false},
 		"refused after a run":       {result{id: "1", path: "/r/x", status: http.StatusServiceUnavailable}, 1, true},
-		"unknown end after a run":   {result{id: "1", path: "/w/x", status: http.StatusBadGateway}, 1, false},
+		"unknown outcome, one run":  {result{id: "1", path: "/w/x", status: http.StatusBadGateway}, 1, false},
 	} {
-		if got := answerFaults(c.r, c.runs); (len(got) > 0) != c.bad {
-			t.Errorf("%s: faults %v", name, got)
+		if got := responseViolations(c.r, c.executions); (len(got) > 0) != c.bad {
+			t.Errorf("%s: violations %v", name, got)
 		}
 	}
 }
--- a/test/soak/client_test.go
+++ b/test/soak/client_test.go
@@ -10,26 +10,27 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/masticwing/masticwing/platform/site"
+	"github.com/masticwing/masticwing/platform/platformtest"
 )
 
-// result is what a caller got for one request.
+// result is the outcome of one request as its caller sees it.
 type result struct {
 	id, path, key string
 	sent          time.Time
 	status        int
 	signature     string
 	body          string
-	// err is set if no whole answer came.
+	// err is set if the response is missing or incomplete.
 	err error
 }
 
-// client is a caller that keeps its connections.
+// client is a caller that reuses its connections.
 type client struct {
 	f    *fleet
 	id   int64
 	http *http.Client
-	n    atomic.Int64
+	// requestCount numbers the requests, so that each has a unique ID.
+	requestCount atomic.Int64
 }
 
 func newClient(f *fleet, id int64) *client {
@@ -37,27 +38,27 @@
 	return &client{f: f, id: id, http: &http.Client{Transport: &http.Transport{DialContext: d.DialContext, DisableCompression: true}}}
 }
 
-// patience is the time that a caller waits.
-const patience = 3 * time.Second
+// clientTimeout is the time that a caller waits for a response.
+const clientTimeout = 3 * time.Second
 
-// do sends one request to a gateway.
-func (c *client) do(gateway int, path, key string) result {
-	r := result{id: fmt.Sprintf("%08x%08x", c.id, c.n.Add(1)), path: path, key: key, sent: time.Now()}
-	req, err := http.NewRequest(http.MethodPost, "http://"+c.f.callers[gateway]+path, strings.NewReader("body of "+r.id))
+// send sends one request to a gateway and returns the outcome.
+func (c *client) send(gateway int, path, key string) result {
+	r := result{id: fmt.Sprintf("%08x%08x", c.id, c.requestCount.Add(1)), path: path, key: key, sent: time.Now()}
+	req, err := http.NewRequest(http.MethodPost, "http://"+c.f.callerAddr[gateway]+path, strings.NewReader("body of "+r.id))
 	if err != nil {
 		r.err = err
 		return r
 	}
 	req.Host = "h"
-	// A request is sent once, also if its connection was closed meanwhile.
+	// Without GetBody, net/http does not resend the request on another connection.
 	req.GetBody = nil
 	req.Header.Set("Request-Id", r.id)
-	req.Header.Set("Deadline-Ms", fmt.Sprint(patience.Milliseconds()))
+	req.Header.Set("Deadline-Ms", fmt.Sprint(clientTimeout.Milliseconds()))
 	req.Header.Set("Key", key)
-	req.Header.Set("Model", site.Model)
+	req.Header.Set("Model", platformtest.Model)
 	req.Header.Set("Token-Usage", "100,60")
 	cl := *c.http
-	cl.Timeout = patience
+	cl.Timeout = clientTimeout
 	res, err := cl.Do(req)
 	if err != nil {
 		r.err = err
@@ -70,24 +71,24 @@
 	return r
 }
 
-// log collects results.
-type log struct {
-	mu  sync.Mutex
-	all []result
+// resultLog collects the results of all clients.
+type resultLog struct {
+	mu      sync.Mutex
+	results []result
 }
 
-func (l *log) add(r result) {
+func (l *resultLog) add(r result) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all = append(l.all, r)
+	l.results = append(l.results, r)
 }
 
-// since returns the results of requests that were sent after a time.
-func (l *log) since(at time.Time) []result {
+// since returns the results of requests that were sent at or after a time.
+func (l *resultLog) since(at time.Time) []result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []result
-	for _, r := range l.all {
+	for _, r := range l.results {
 		if !r.sent.Before(at) {
 			out = append(out, r)
 		}
@@ -95,67 +96,69 @@
 	return out
 }
 
-// want returns the whole answer to a request.
-func want(r result) string {
+// expectedBody returns the complete body of the response to a request.
+func expectedBody(r result) string {
 	if !strings.HasPrefix(r.path, "/s/") {
-		return site.Body(r.id)
+		return platformtest.ResponseBody(r.id)
 	}
 	var b strings.Builder
-	for n := 1; n <= site.Events; n++ {
-		b.WriteString(site.Event(r.id, n))
+	for n := 1; n <= platformtest.EventsPerStream; n++ {
+		b.WriteString(platformtest.EventText(r.id, n))
 	}
 	return b.String()
 }
 
-// check returns the promises that the results and the runs break.
-func (f *fleet) check(all []result) []string {
-	faults := f.seen.Faults()
-	runs := f.seen.Runs()
+// findViolations compares the results with the executions that the targets recorded,
+// and returns descriptions of all violated guarantees.
+func (f *fleet) findViolations(results []result) []string {
+	violations := f.recorder.Violations()
+	executions := f.recorder.Executions()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known := map[string]bool{}
-	for _, r := range all {
+	for _, r := range results {
 		known[r.id] = true
-		gone := f.keys[r.key]
-		for _, x := range runs[r.id] {
-			if x.Tenant != "t-"+r.key || x.Key {
-				faults = append(faults, fmt.Sprintf("request %s of key %s ran as %q, key passed on: %v", r.id, r.key, x.Tenant, x.Key))
+		revoked := f.revokedAt[r.key]
+		for _, e := range executions[r.id] {
+			if e.Tenant != "t-"+r.key || e.KeyForwarded {
+				violations = append(violations, fmt.Sprintf("request %s of key %s ran as %q, key forwarded: %v", r.id, r.key, e.Tenant, e.KeyForwarded))
 			}
 		}
-		faults = append(faults, answerFaults(r, len(runs[r.id]))...)
-		if late := r.sent.Sub(gone); !gone.IsZero() && late > keyBound && len(runs[r.id]) > 0 {
-			faults = append(faults, fmt.Sprintf("request %s ran %v after its key was taken away", r.id, late))
+		violations = append(violations, responseViolations(r, len(executions[r.id]))...)
+		if elapsed := r.sent.Sub(revoked); !revoked.IsZero() && elapsed > keyBound && len(executions[r.id]) > 0 {
+			violations = append(violations, fmt.Sprintf("request %s ran %v after its key was revoked", r.id, elapsed))
 		}
-		if (r.status == http.StatusUnauthorized || r.status == http.StatusNotFound) && gone.IsZero() {
-			faults = append(faults, fmt.Sprintf("request %s was refused with %d", r.id, r.status))
+		if (r.status == http.StatusUnauthorized || r.status == http.StatusNotFound) && revoked.IsZero() {
+			violations = append(violations, fmt.Sprintf("request %s was refused with status %d although its key is valid", r.id, r.status))
 		}
 	}
-	for id := range runs {
+	for id := range executions {
 		if !known[id] {
-			faults = append(faults, fmt.Sprintf("request %s ran, which nobody sent", id))
+			violations = append(violations, fmt.Sprintf("request %s ran but was never sent", id))
 		}
 	}
-	return faults
+	return violations
 }
 
-// answerFaults compares the answer to a request with the number of its runs.
-func answerFaults(r result, runs int) (faults []string) {
-	fault := func(format string, args ...any) {
-		faults = append(faults, fmt.Sprintf("request %s to %s: ", r.id, r.path)+fmt.Sprintf(format, args...))
+// responseViolations compares the response to a request with the number of its
+// executions, and returns descriptions of all violated guarantees.
+func responseViolations(r result, executions int) (violations []string) {
+	addViolation := func(format string, args ...any) {
+		violations = append(violations, fmt.Sprintf("request %s to %s: ", r.id, r.path)+fmt.Sprintf(format, args...))
 	}
-	full := want(r)
+	complete := expectedBody(r)
 	switch {
-	case r.status == http.StatusOK && r.err == nil && (r.body != full || r.signature != site.Signature(r.id)):
-		fault("the answer is %q", r.body)
-	case r.status == http.StatusOK && !strings.HasPrefix(full, r.body):
-		fault("the part of an answer is %q", r.body)
-	case r.status == http.StatusOK && runs == 0:
-		fault("it was answered and did not run")
-	case (r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests) && runs > 0:
-		fault("status %d promises that it did not run, it ran %d times", r.status, runs)
+	case r.status == http.StatusOK && r.err == nil && (r.body != complete || r.signature != platformtest.Signature(r.id)):
+		addViolation("wrong response %q", r.body)
+	case r.status == http.StatusOK && !strings.HasPrefix(complete, r.body):
+		addViolation("wrong partial response %q", r.body)
+	case r.status == http.StatusOK && executions == 0:
+		addViolation("succeeded but did not run")
+	case (r.status == http.StatusServiceUnavailable || r.status == http.StatusTooManyRequests) && executions > 0:
+		addViolation("status %d guarantees that the request did not run, but it ran %d times", r.status, executions)
 	}
-	if strings.HasPrefix(r.path, "/w/") && runs > 1 {
-		fault("it may run once and ran %d times", runs)
+	if strings.HasPrefix(r.path, "/w/") && executions > 1 {
+		addViolation("may run at most once but ran %d times", executions)
 	}
-	return faults
+	return violations
 }
--- a/test/soak/fleet_test.go
+++ b/test/soak/fleet_test.go
@@ -1,6 +1,6 @@
-// Package soak runs the real gateways and loaders as processes against a stand-in
-// of the users' platform, injects faults from outside them, and checks what
-// callers and targets see.
+// Package soak runs the gateways and loaders as processes against a stand-in of the
+// users' platform, injects faults from outside the processes, and checks what callers
+// and targets observe.
 package soak
 
 import (
@@ -14,54 +14,57 @@
 	"time"
 
 	"github.com/masticwing/masticwing/internal/standin/relay"
-	"github.com/masticwing/masticwing/platform/site"
+	"github.com/masticwing/masticwing/platform/platformtest"
 	"github.com/masticwing/masticwing/test/harness"
 )
 
 const (
-	gatewaysEach = 2
-	enginesEach  = 2
-	// keyBound and weightsBound are the bounds that the settings tell.
+	gatewaysPerDomain = 2
+	enginesPerDomain  = 2
+	// keyBound and weightsBound are written to the settings: the longest time for
+	// which a revoked key may still be accepted, and the time after which newly
+	// declared weights must be in use.
 	keyBound     = 5 * time.Second
 	weightsBound = 8 * time.Second
 )
 
 var domains = []string{"a", "b"}
 
-// process is a process of the product that can be started again.
+// process is a gateway or a loader that can be restarted.
 type process struct {
 	name, binary, config string
-	// store is the relay's route to the store.
+	// store is the name of the relay's route from this process to the store.
 	store string
 
 	mu      sync.Mutex
 	running *harness.Process
 }
 
-// fleet is a deployment on loopback.
+// fleet is a deployment on the loopback interface.
 type fleet struct {
-	t        *testing.T
-	h        *harness.Harness
-	relay    *relay.Relay
-	store    *site.Store
-	seen     *site.Seen
-	gateways []*process
-	loaders  []*process
-	callers  []string // addresses of the gateways for callers
-	engines  []*site.Target
-	services []*site.Target
-	origin   string
-
-	mu      sync.Mutex // guards the following
-	version int64
-	weights int64
-	keys    map[string]time.Time // zero, or the time at which a key was taken away
-	// first are the results of requests before the faults, and asked their number.
-	first []result
-	asked int
-}
-
-// newFleet starts a deployment.
+	t          *testing.T
+	h          *harness.Harness
+	relay      *relay.Relay
+	store      *platformtest.Store
+	recorder   *platformtest.Recorder
+	gateways   []*process
+	loaders    []*process
+	callerAddr []string // addresses at which the gateways serve callers
+	engines    []*platformtest.Target
+	services   []*platformtest.Target
+	origin     string
+
+	mu             sync.Mutex // guards the following
+	configVersion  int64
+	weightsVersion int64
+	revokedAt      map[string]time.Time // by key; zero if the key is valid
+	// startupResults holds the results of the probes before the fault injection,
+	// and probeCount their number.
+	startupResults []result
+	probeCount     int
+}
+
+// newFleet starts the stand-ins, the targets and all processes.
 func newFleet(t *testing.T) *fleet {
 	h, err := harness.New(t.Logf)
 	if err != nil {
@@ -69,20 +72,20 @@
 	}
 	t.Cleanup(h.Close)
 	f := &fleet{
-		t: t, h: h, relay: relay.New(), store: site.NewStore(), seen: site.NewSeen(),
-		weights: 1, keys: map[string]time.Time{"k0": {}, "k1": {}, "k2": {}, "k3": {}},
+		t: t, h: h, relay: relay.New(), store: platformtest.NewStore(), recorder: platformtest.NewRecorder(),
+		weightsVersion: 1, revokedAt: map[string]time.Time{"k0": {}, "k1": {}, "k2": {}, "k3": {}},
 	}
 	t.Cleanup(f.relay.Close)
 	storeServer := httptest.NewServer(f.store)
 	t.Cleanup(func() { go storeServer.Close() })
-	origin := httptest.NewServer(site.Origin{})
+	origin := httptest.NewServer(platformtest.Origin{})
 	t.Cleanup(func() { go origin.Close() })
 	f.origin = strings.TrimPrefix(origin.URL, "http://")
-	f.configure()
+	f.writeConfig()
 	f.addTargets()
 	storeAddress := strings.TrimPrefix(storeServer.URL, "http://")
 	for _, d := range domains {
-		for i := range gatewaysEach {
+		for i := range gatewaysPerDomain {
 			f.addGateway(fmt.Sprintf("gateway-%s-%d", d, i), d, storeAddress)
 		}
 	}
@@ -92,24 +95,25 @@
 	return f
 }
 
-// addTargets starts the engines, which hold the first weights, and the services,
-// behind routes of the relay.
+// addTargets starts the engines and the plain services. The engines hold version 1
+// of the weights.
 func (f *fleet) addTargets() {
-	add := func(id, service, domain string, engine bool) *site.Target {
-		x := site.NewTarget(id, service, domain, engine, f.seen, f.store)
+	add := func(id, service, domain string, engine bool) *platformtest.Target {
+		x := platformtest.NewTarget(id, service, domain, engine, f.recorder, f.store)
 		if err := x.Start(f.h.Addr(), 1); err != nil {
 			f.t.Fatal(err)
 		}
 		return x
 	}
 	for _, d := range domains {
-		for i := range enginesEach {
+		for i := range enginesPerDomain {
 			f.engines = append(f.engines, add(fmt.Sprintf("e-%s-%d", d, i), "llm", d, true))
 		}
 		f.services = append(f.services, add("s-"+d, "desk", d, false))
 	}
 }
 
+// regions returns the regions of all domains in the format of the settings.
 func (f *fleet) regions() string {
 	var out []string
 	for _, d := range domains {
@@ -118,6 +122,7 @@
 	return strings.Join(out, ",")
 }
 
+// storeRoute adds a route of the relay to the store and returns its listen address.
 func (f *fleet) storeRoute(name, storeAddress string) string {
 	listen := f.h.Addr()
 	if err := f.relay.AddRoute(name, listen, storeAddress); err != nil {
@@ -127,36 +132,38 @@
 }
 
 func (f *fleet) addGateway(name, domain, storeAddress string) {
-	callers := f.h.Addr()
-	f.callers = append(f.callers, callers)
+	callerAddr := f.h.Addr()
+	f.callerAddr = append(f.callerAddr, callerAddr)
 	text := fmt.Sprintf("[node]\nid = %s\nadmin = %s\ndomain = %s\nregions = %s\n[listen]\ncallers = %s\nready = %s\ninternal = %s\n"+
 		"[platform]\naddress = %s\n[limits]\ngrace = 8s\nkey_bound = %v\nweights_bound = %v\nmemory = 256MiB\n"+
 		"[retries]\nratio = 0.2\nslack = 100\nwindow = 10s\n",
-		name, f.h.Addr(), domain, f.regions(), callers, f.h.Addr(), f.h.Addr(),
+		name, f.h.Addr(), domain, f.regions(), callerAddr, f.h.Addr(), f.h.Addr(),
 		f.storeRoute(name, storeAddress), keyBound, weightsBound)
-	f.gateways = append(f.gateways, f.start(name, "masticwing-gateway", text))
+	f.gateways = append(f.gateways, f.addProcess(name, "masticwing-gateway", text))
 }
 
-func (f *fleet) addLoader(name string, e *site.Target, storeAddress string) {
+func (f *fleet) addLoader(name string, e *platformtest.Target, storeAddress string) {
 	text := fmt.Sprintf("[node]\nid = %s\nadmin = %s\ndomain = %s\nregions = %s\n[listen]\ninternal = %s\n[platform]\naddress = %s\n"+
 		"[engine]\naddress = %s\nservice = llm\n[limits]\nweights_bound = %v\nlink_mbit = 100\nmemory = 128MiB\n",
 		name, f.h.Addr(), e.Zone, f.regions(), f.h.Addr(), f.storeRoute(name, storeAddress), e.Address(), weightsBound)
-	f.loaders = append(f.loaders, f.start(name, "masticwing-loader", text))
+	f.loaders = append(f.loaders, f.addProcess(name, "masticwing-loader", text))
 }
 
-func (f *fleet) start(name, binary, text string) *process {
+// addProcess writes the settings of a process to a file and starts the process.
+func (f *fleet) addProcess(name, binary, text string) *process {
 	path, err := f.h.WriteFile(name+".ini", text)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	p := &process{name: name, binary: binary, config: path, store: name}
-	if err := f.run(p); err != nil {
+	if err := f.startProcess(p); err != nil {
 		f.t.Fatal(err)
 	}
 	return p
 }
 
-func (f *fleet) run(p *process) error {
+// startProcess starts or restarts a process.
+func (f *fleet) startProcess(p *process) error {
 	r, err := f.h.Start(p.name, p.binary, "run", "--config", p.config)
 	if err != nil {
 		return err
@@ -167,6 +174,7 @@
 	return nil
 }
 
+// current returns the handle of the last started process.
 func (p *process) current() *harness.Process {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -175,11 +183,11 @@
 
 type object = map[string]any
 
-// configure writes a new configuration.
-func (f *fleet) configure() {
+// writeConfig writes a new version of the configuration to the store.
+func (f *fleet) writeConfig() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.version += 3
+	f.configVersion += 3
 	routes := []object{
 		{"Name": "stream", "Host": "h", "Prefix": "/s/", "Kind": "streaming", "TimeoutMs": 6000, "TargetLatencyMs": 400,
 			"Service": "llm", "MaxAttempts": 2, "SessionAffinity": true, "Resumable": true, "TargetGapMs": 400},
@@ -189,54 +197,54 @@
 			"Service": "desk", "MaxAttempts": 1},
 	}
 	tenants := []object{}
-	for k, gone := range f.keys {
-		if gone.IsZero() {
+	for k, revoked := range f.revokedAt {
+		if revoked.IsZero() {
 			tenants = append(tenants, object{"Name": "t-" + k, "ApiKeys": []string{k}})
 		}
 	}
 	f.store.Put("op/config", object{
-		"Version": f.version, "Routes": routes, "Tenants": tenants,
+		"Version": f.configVersion, "Routes": routes, "Tenants": tenants,
 		"Limits": object{"HeaderBytes": 16384, "BodyBytes": 65536, "HeaderTimeoutMs": 5000, "IdleTimeoutMs": 10000},
 		"Services": []object{
 			{"Name": "desk", "MaxConns": 100},
 			{"Name": "origin", "Origin": f.origin, "Zone": "a", "LinkMbps": 100, "MaxConns": 48},
 			{"Name": "llm", "MaxConns": 200, "ColdPerS": 26, "Engine": object{
-				"Slots": site.Places, "Models": []object{{"Name": site.Model}}, "layers": 1, "Stride": 5, "step_ms": 1, "read_per_s": 100000}},
+				"Slots": platformtest.Slots, "Models": []object{{"Name": platformtest.Model}}, "layers": 1, "Stride": 5, "step_ms": 1, "read_per_s": 100000}},
 		},
 	})
 }
 
-// revoke takes a key away, unless only two are left.
-func (f *fleet) revoke(key string) {
+// revokeKey revokes a key, unless only two keys are valid.
+func (f *fleet) revokeKey(key string) {
 	f.mu.Lock()
-	left := 0
-	for _, gone := range f.keys {
-		if gone.IsZero() {
-			left++
+	activeKeys := 0
+	for _, revoked := range f.revokedAt {
+		if revoked.IsZero() {
+			activeKeys++
 		}
 	}
-	if left > 2 && f.keys[key].IsZero() {
-		f.keys[key] = time.Now()
+	if activeKeys > 2 && f.revokedAt[key].IsZero() {
+		f.revokedAt[key] = time.Now()
 	}
 	f.mu.Unlock()
-	f.configure()
+	f.writeConfig()
 }
 
-// declare declares new weights.
-func (f *fleet) declare() {
+// declareWeights declares a new version of the weights.
+func (f *fleet) declareWeights() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.weights++
-	f.store.Put("op/version/"+site.Model, object{"Model": site.Model, "Version": f.weights})
+	f.weightsVersion++
+	f.store.Put("op/version/"+platformtest.Model, object{"Model": platformtest.Model, "Version": f.weightsVersion})
 }
 
-// ready reports whether all gateways serve requests.
-func (f *fleet) ready() bool {
+// allReady sends a request to each gateway and reports whether all of them succeed.
+func (f *fleet) allReady() bool {
 	all := true
-	for i := range f.callers {
-		f.asked++
-		r := newClient(f, int64(f.asked)<<16).do(i, "/r/ready", "k0")
-		f.first = append(f.first, r)
+	for i := range f.callerAddr {
+		f.probeCount++
+		r := newClient(f, int64(f.probeCount)<<16).send(i, "/r/ready", "k0")
+		f.startupResults = append(f.startupResults, r)
 		all = all && r.status == http.StatusOK
 	}
 	return all
