--- a/internal/app/agent/controller.go
+++ b/internal/app/agent/controller.go
@@ -182,7 +182,7 @@
 	// Requests are counted again after the rotation has changed. From here on no
 	// new request is pinned to a version that has left rotation.
 	plan = a.rollouts.Apply(c.group, c.busyEvents()...)
-	if plan.Next.Kind == rollout.Wait || c.orderInProgress || c.awaitingProbe || a.deps.Clock.Now().Sub(c.lastOrderFailed) < orderBackoff {
+	if plan.Next.Kind == rollout.NoAction || c.orderInProgress || c.awaitingProbe || a.deps.Clock.Now().Sub(c.lastOrderFailed) < orderBackoff {
 		return
 	}
 	c.orderInProgress, c.orderGroup = true, c.group
@@ -196,7 +196,7 @@
 	target := rollout.Ref{Model: v.assignment.Model, Version: v.assignment.Version}
 	events := []rollout.Event{
 		rollout.Assigned(target, v.assignment.Overlap, declaredVersions(v)...),
-		rollout.Stays(!c.mayLeaveRotation(v)),
+		rollout.MustStay(!c.mayLeaveRotation(v)),
 		rollout.EngineLost(),
 	}
 	if v.reachable {
@@ -208,7 +208,7 @@
 			complete = append(complete, r.Version)
 		}
 	}
-	return append(append(events, rollout.HeldComplete(complete)), c.busyEvents()...)
+	return append(append(events, rollout.VersionsComplete(complete)), c.busyEvents()...)
 }
 
 // declaredVersions returns the declared versions of the assigned model, sorted.
@@ -245,13 +245,13 @@
 	if !c.pendingSince.IsZero() {
 		waited = now.Sub(c.pendingSince)
 	}
-	return rollout.MayLeave(a.id.VM, v.assignment.Version, peers, waited)
+	return rollout.MayLeaveRotation(a.id.VM, v.assignment.Version, peers, waited)
 }
 
 func (c *controller) busyEvents() []rollout.Event {
 	var events []rollout.Event
 	for _, v := range c.loaded {
-		events = append(events, rollout.Busy(v, c.a.admissions.PinnedRequests(c.a.targetKey, v)))
+		events = append(events, rollout.RequestsPinned(v, c.a.admissions.PinnedRequests(c.a.targetKey, v)))
 	}
 	return events
 }
--- a/internal/app/agent/orders.go
+++ b/internal/app/agent/orders.go
@@ -17,20 +17,20 @@
 
 // orderer sends orders to the engine, one at a time. They are sent under the
 // order lease, or without it while the platform is unreachable (see
-// rollout.Gate).
+// rollout.OrderGate).
 type orderer struct {
 	a        *Agent
-	gate     rollout.Gate
+	gate     rollout.OrderGate
 	key      string
 	owner    string
 	lease    port.LeaseID
-	validity rollout.Validity
+	validity rollout.OrderValidity
 }
 
 func newOrderer(a *Agent) *orderer {
 	return &orderer{
 		a:     a,
-		gate:  rollout.NewGate(a.deps.Clock.Now()),
+		gate:  rollout.NewOrderGate(a.deps.Clock.Now()),
 		key:   "order/" + string(a.id.VM),
 		owner: fmt.Sprintf("%s/%016x", a.id.VM, a.id.BootID),
 	}
@@ -55,16 +55,16 @@
 	if err != nil {
 		return false, err
 	}
-	o.gate.EngineFence(status.Fence)
-	decision := o.gate.Next(o.a.deps.Clock.Now())
-	if decision.Step == rollout.Acquire {
+	o.gate.SetEngineFence(status.Fence)
+	decision := o.gate.NextStep(o.a.deps.Clock.Now())
+	if decision.Step == rollout.AcquireLease {
 		o.acquireLease(ctx)
-		decision = o.gate.Next(o.a.deps.Clock.Now())
+		decision = o.gate.NextStep(o.a.deps.Clock.Now())
 	}
 	switch decision.Step {
-	case rollout.Give:
+	case rollout.GiveOrder:
 		return false, o.runOrder(ctx, action, decision)
-	case rollout.Hold:
+	case rollout.HoldOrder:
 		select {
 		case <-o.a.deps.Clock.After(decision.Wait):
 		case <-ctx.Done():
@@ -81,16 +81,16 @@
 	now := o.a.deps.Clock.Now()
 	switch {
 	case err == nil:
-		o.gate.Acquired(revision, sentAt)
+		o.gate.LeaseAcquired(revision, sentAt)
 	case errors.Is(err, port.ErrConflict) || errors.Is(err, port.ErrNotFound):
-		o.gate.Refused(now)
+		o.gate.LeaseRefused(now)
 	default:
-		o.gate.Unreachable(now)
+		o.gate.PlatformUnreachable(now)
 	}
 }
 
 func (o *orderer) writeLease(ctx context.Context) (int64, error) {
-	leaseID, err := o.a.deps.KV.Grant(ctx, rollout.LeaseTime)
+	leaseID, err := o.a.deps.KV.Grant(ctx, rollout.LeaseDuration)
 	if err != nil {
 		return 0, err
 	}
@@ -135,10 +135,10 @@
 	return current.Rev, nil
 }
 
-// runOrder sends an order and keeps the lease alive until it ends. It cancels
-// the order when the lease is lost. An order without a lease is canceled after a
-// pause of this process that outlasts the order's validity, or when another
-// agent has sent the engine an order.
+// runOrder sends an order and keeps the lease alive until the order ends. It
+// cancels the order when the lease is lost or when the validity of the order has
+// lapsed because this process was paused. It also cancels an order without a
+// lease when another agent has sent the engine an order.
 func (o *orderer) runOrder(ctx context.Context, action rollout.Action, decision rollout.Decision) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -176,7 +176,7 @@
 	return nil
 }
 
-const keepAliveInterval = rollout.LeaseTime / 3
+const keepAliveInterval = rollout.LeaseDuration / 3
 
 // keepLeaseAlive extends the lease, or the validity of an order without a lease,
 // until ctx ends. Nothing else uses the gate during an order.
@@ -203,18 +203,18 @@
 		if st, err := o.a.deps.Engine.Status(ctx); err == nil && st.Fence > decision.Fence {
 			return errSuperseded
 		}
-		o.validity.Alive(sentAt)
+		o.validity.ExtendUnleased(sentAt)
 		return o.checkValidity()
 	}
 	err := o.a.deps.KV.KeepAlive(ctx, o.lease)
 	switch {
 	case err == nil:
-		o.gate.Extended(sentAt)
-		o.validity.Extended(sentAt)
+		o.gate.LeaseExtended(sentAt)
+		o.validity.LeaseExtended(sentAt)
 	case errors.Is(err, port.ErrNotFound):
 		return errLeaseLost
 	case ctx.Err() == nil:
-		o.gate.Unreachable(o.a.deps.Clock.Now())
+		o.gate.PlatformUnreachable(o.a.deps.Clock.Now())
 	}
 	return o.checkValidity()
 }
--- a/internal/app/ctl/status.go
+++ b/internal/app/ctl/status.go
@@ -15,9 +15,9 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// spreadRow is how far the machines of a group in one failure domain are with
-// a version.
-type spreadRow struct {
+// groupProgress is the progress of the machines of one group in one failure
+// domain towards a version.
+type groupProgress struct {
 	Group    string `json:"group"`
 	Version  string `json:"version"`
 	Domain   string `json:"domain"`
@@ -25,64 +25,65 @@
 	Done     int    `json:"done"`
 	Bytes    int64  `json:"bytes"`
 	Total    int64  `json:"bytes_total"`
-	// Rate is in bytes per second; negative if it is not known yet.
+	// Rate is in bytes per second; negative if unknown.
 	Rate float64 `json:"bytes_per_second"`
-	// LeftSeconds is negative if it is not known.
+	// LeftSeconds is the estimated time to completion; negative if unknown.
 	LeftSeconds float64        `json:"seconds_left"`
 	Stuck       []stuckMachine `json:"stuck"`
 }
 
-// stuckMachine is a machine that makes no progress.
+// stuckMachine is a machine that reports a reason for waiting, or that made no
+// progress between two reads of its record.
 type stuckMachine struct {
 	Machine string `json:"machine"`
 	Reason  string `json:"reason"`
 }
 
-// statusView is what status shows.
-type statusView struct {
-	view
-	Slowest string      `json:"slowest"`
-	Unseen  []process   `json:"unseen"`
-	Groups  []spreadRow `json:"groups"`
+// statusReport is the output of the status command.
+type statusReport struct {
+	memberTable
+	Slowest string          `json:"slowest"`
+	Unseen  []process       `json:"unseen"`
+	Groups  []groupProgress `json:"groups"`
 }
 
 func (s *session) status(ctx context.Context) error {
-	v, err := s.lookClosely(ctx)
+	table, err := s.readMembersWithRevisions(ctx)
 	if err != nil {
 		return err
 	}
-	every := s.c.Duration("interval")
-	out := summarize(v, nil, 0)
+	interval := s.c.Duration("interval")
+	out := summarize(table, nil, 0)
 	if !s.c.Bool("watch") && out.unfinished() {
-		// Rates need a second look.
-		if !s.after(ctx, every) {
+		// Rates are computed from two reads.
+		if !s.sleep(ctx, interval) {
 			return ctx.Err()
 		}
-		next, err := s.lookClosely(ctx)
+		next, err := s.readMembersWithRevisions(ctx)
 		if err != nil {
 			return err
 		}
-		out = summarize(next, &v, every)
+		out = summarize(next, &table, interval)
 	}
-	if err := s.print(out, out.write); err != nil || !s.c.Bool("watch") {
+	if err := s.print(out, out.writeText); err != nil || !s.c.Bool("watch") {
 		return err
 	}
-	for s.after(ctx, every) {
-		next, err := s.lookClosely(ctx)
+	for s.sleep(ctx, interval) {
+		next, err := s.readMembersWithRevisions(ctx)
 		if err != nil {
 			s.warn("%v", err)
 			continue
 		}
-		out = summarize(next, &v, every)
-		v = next
-		if err := s.print(out, out.write); err != nil {
+		out = summarize(next, &table, interval)
+		table = next
+		if err := s.print(out, out.writeText); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *session) after(ctx context.Context, d time.Duration) bool {
+func (s *session) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -91,35 +92,36 @@
 	}
 }
 
-func (v statusView) unfinished() bool {
-	return slices.ContainsFunc(v.Groups, func(r spreadRow) bool { return r.Done < r.Machines })
+func (sr statusReport) unfinished() bool {
+	return slices.ContainsFunc(sr.Groups, func(r groupProgress) bool { return r.Done < r.Machines })
 }
 
-// summarize groups the member table. before is an earlier look, or nil.
-func summarize(v view, before *view, between time.Duration) statusView {
-	out := statusView{view: v, Unseen: []process{}}
-	low := uint64(0)
-	for _, p := range v.Processes {
+// summarize computes the status report of a member table. before is the table read
+// elapsed earlier, from which rates are computed, or nil.
+func summarize(table memberTable, before *memberTable, elapsed time.Duration) statusReport {
+	out := statusReport{memberTable: table, Unseen: []process{}}
+	lowest := uint64(0)
+	for _, p := range table.Processes {
 		switch {
-		case !p.seen():
+		case !p.visible():
 			out.Unseen = append(out.Unseen, p)
-		case out.Slowest == "" || p.Revision < low:
-			out.Slowest, low = p.ID, p.Revision
+		case out.Slowest == "" || p.Revision < lowest:
+			out.Slowest, lowest = p.ID, p.Revision
 		}
 	}
-	had := map[string]int64{}
+	earlierBytes := map[string]int64{}
 	if before != nil {
 		for _, p := range before.Processes {
 			if p.record.Status != nil {
-				had[p.ID+"/"+string(p.record.Status.Progress.Target)] = bytesHeld(p.record.Status.Progress)
+				earlierBytes[p.ID+"/"+string(p.record.Status.Progress.Target)] = bytesHeld(p.record.Status.Progress)
 			}
 		}
 	}
-	out.Groups = spread(v, had, before != nil, between)
+	out.Groups = progressByGroup(table, earlierBytes, before != nil, elapsed)
 	return out
 }
 
-// bytesHeld is the verified part of a version.
+// bytesHeld returns the size of the verified chunks of a version.
 func bytesHeld(p port.Progress) int64 {
 	if p.Chunks == 0 {
 		return 0
@@ -127,29 +129,29 @@
 	return p.BytesTotal / int64(p.Chunks) * int64(p.ChunksHave)
 }
 
-func spread(v view, had map[string]int64, rated bool, between time.Duration) []spreadRow {
-	rows := map[string]*spreadRow{}
-	for _, p := range v.Processes {
-		st := p.record.Status
-		if st == nil || st.Group == "" || !p.seen() {
+func progressByGroup(table memberTable, earlierBytes map[string]int64, ratesKnown bool, elapsed time.Duration) []groupProgress {
+	rows := map[string]*groupProgress{}
+	for _, p := range table.Processes {
+		status := p.record.Status
+		if status == nil || status.Group == "" || !p.visible() {
 			continue
 		}
-		target := st.Progress.Target
+		target := status.Progress.Target
 		if target == "" {
-			target = st.Version
+			target = status.Version
 		}
-		key := strings.Join([]string{string(st.Group), string(target), p.Domain}, "/")
+		key := strings.Join([]string{string(status.Group), string(target), p.Domain}, "/")
 		r := rows[key]
 		if r == nil {
-			r = &spreadRow{Group: string(st.Group), Version: string(target), Domain: p.Domain, Rate: -1, LeftSeconds: -1, Stuck: []stuckMachine{}}
-			if rated {
+			r = &groupProgress{Group: string(status.Group), Version: string(target), Domain: p.Domain, Rate: -1, LeftSeconds: -1, Stuck: []stuckMachine{}}
+			if ratesKnown {
 				r.Rate = 0
 			}
 			rows[key] = r
 		}
-		r.add(p, target, had, between)
+		r.addMachine(p, target, earlierBytes, elapsed)
 	}
-	out := []spreadRow{}
+	out := []groupProgress{}
 	for _, k := range slices.Sorted(maps.Keys(rows)) {
 		r := rows[k]
 		if r.Rate > 0 {
@@ -160,78 +162,79 @@
 	return out
 }
 
-// add counts one machine.
-func (r *spreadRow) add(p process, target fleet.Version, had map[string]int64, between time.Duration) {
-	st := p.record.Status
-	held := bytesHeld(st.Progress)
+// addMachine adds the progress of one machine.
+func (r *groupProgress) addMachine(p process, target fleet.Version, earlierBytes map[string]int64, elapsed time.Duration) {
+	status := p.record.Status
+	held := bytesHeld(status.Progress)
 	r.Machines++
 	r.Bytes += held
-	r.Total += st.Progress.BytesTotal
-	before, known := had[p.ID+"/"+string(target)]
-	if r.Rate >= 0 && known && between > 0 {
-		r.Rate += float64(max(0, held-before)) / between.Seconds()
+	r.Total += status.Progress.BytesTotal
+	before, known := earlierBytes[p.ID+"/"+string(target)]
+	if r.Rate >= 0 && known && elapsed > 0 {
+		r.Rate += float64(max(0, held-before)) / elapsed.Seconds()
 	}
 	switch {
-	case st.Version == target && target != "":
+	case status.Version == target && target != "":
 		r.Done++
-	case st.Progress.Reason != "":
-		r.Stuck = append(r.Stuck, stuckMachine{p.ID, st.Progress.Reason})
+	case status.Progress.Reason != "":
+		r.Stuck = append(r.Stuck, stuckMachine{p.ID, status.Progress.Reason})
 	case known && held == before:
-		r.Stuck = append(r.Stuck, stuckMachine{p.ID, "no progress in state " + cmp.Or(st.Progress.State, "unknown")})
+		r.Stuck = append(r.Stuck, stuckMachine{p.ID, "no progress in state " + cmp.Or(status.Progress.State, "unknown")})
 	}
 }
 
-func (v statusView) write(w io.Writer) {
+func (sr statusReport) writeText(w io.Writer) {
 	behind := 0
-	for _, p := range v.Processes {
-		if p.seen() && p.Revision < v.Revision {
+	for _, p := range sr.Processes {
+		if p.visible() && p.Revision < sr.Revision {
 			behind++
 		}
 	}
 	fmt.Fprintf(w, "revision %d, confirmed %s; %d processes, %d behind, %d unseen\n",
-		v.Revision, ago(v.AgeSeconds), len(v.Processes), behind, len(v.Unseen))
+		sr.Revision, formatAgo(sr.AgeSeconds), len(sr.Processes), behind, len(sr.Unseen))
 	rows := [][]string{{"PROCESS", "KIND", "DOMAIN", "REVISION", "STATE"}}
-	for _, p := range v.Processes {
+	for _, p := range sr.Processes {
 		rows = append(rows, []string{p.ID, p.Kind, p.Domain, fmt.Sprint(p.Revision), p.State})
 	}
-	table(w, rows)
+	writeTable(w, rows)
 	if behind > 0 {
-		fmt.Fprintf(w, "slowest: %s\n", v.Slowest)
+		fmt.Fprintf(w, "slowest: %s\n", sr.Slowest)
 	}
-	for _, p := range v.Unseen {
-		fmt.Fprintf(w, "unseen: %s, last at revision %d, heard %s\n", p.ID, p.Revision, ago(p.HeardSeconds))
+	for _, p := range sr.Unseen {
+		fmt.Fprintf(w, "unseen: %s, last at revision %d, heard %s\n", p.ID, p.Revision, formatAgo(p.HeardSeconds))
 	}
-	if len(v.Groups) == 0 {
+	if len(sr.Groups) == 0 {
 		return
 	}
 	rows = [][]string{{"GROUP", "VERSION", "DOMAIN", "DONE", "BYTES", "RATE", "LEFT", "STUCK"}}
-	for _, r := range v.Groups {
-		rows = append(rows, r.cells())
+	for _, r := range sr.Groups {
+		rows = append(rows, r.row())
 	}
-	table(w, rows)
-	for _, r := range v.Groups {
+	writeTable(w, rows)
+	for _, r := range sr.Groups {
 		for _, x := range r.Stuck {
 			fmt.Fprintf(w, "stuck: %s: %s\n", x.Machine, x.Reason)
 		}
 	}
 }
 
-func (r spreadRow) cells() []string {
+func (r groupProgress) row() []string {
 	rate, left := "-", "-"
 	if r.Rate >= 0 {
-		rate = size(int64(r.Rate)) + "/s"
+		rate = formatSize(int64(r.Rate)) + "/s"
 	}
 	if r.LeftSeconds >= 0 {
 		left = time.Duration(r.LeftSeconds * float64(time.Second)).Round(time.Second).String()
 	}
 	return []string{
 		r.Group, fmt.Sprintf("%.12s", cmp.Or(r.Version, "-")), r.Domain, fmt.Sprintf("%d/%d", r.Done, r.Machines),
-		size(r.Bytes) + "/" + size(r.Total), rate, left, fmt.Sprint(len(r.Stuck)),
+		formatSize(r.Bytes) + "/" + formatSize(r.Total), rate, left, fmt.Sprint(len(r.Stuck)),
 	}
 }
 
-// size rounds to one decimal, so that odd numbers of bytes stay readable.
-func size(n int64) string {
+// formatSize returns n in the largest fitting binary unit, rounded to one decimal
+// to stay readable.
+func formatSize(n int64) string {
 	for _, u := range []struct {
 		name  string
 		bytes int64
@@ -243,14 +246,14 @@
 	return settings.FormatBytes(n)
 }
 
-func ago(seconds float64) string {
+func formatAgo(seconds float64) string {
 	if seconds < 0 {
 		return "never"
 	}
 	return time.Duration(seconds*float64(time.Second)).Round(time.Second).String() + " ago"
 }
 
-func (w waited) write(out io.Writer) {
+func (w waitResult) writeText(out io.Writer) {
 	if w.Done {
 		fmt.Fprintf(out, "in force at every visible process after %.2f s", w.Seconds)
 		if w.Slowest != "" {
