--- a/internal/adapter/enginehttp/answer.go
+++ b/internal/adapter/enginehttp/answer.go
@@ -14,11 +14,11 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// maxLineBytes bounds one line of an answer.
+// maxLineBytes limits one line of an answer.
 const maxLineBytes = 1 << 20
 
-// line is any line of an engine's stream: a head, a frame or the end.
-type line struct {
+// streamLine is one line of an answer: the head, a frame or the end.
+type streamLine struct {
 	Head *struct {
 		RequestID fleet.RequestID `json:"request_id"`
 		Version   fleet.Version   `json:"version"`
@@ -31,29 +31,29 @@
 	Seq       uint64          `json:"seq"`
 }
 
-// answer reads the JSON lines of one answer. Frames are passed on as the
-// engine sent them; the head and the end line are not.
-type answer struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	body   io.ReadCloser
-	lines  *bufio.Scanner
-	head   port.AnswerHead
-	next   uint64
-	done   error
+// answerStream reads the JSON lines of one answer. Next returns frames unchanged; it
+// does not return the head and the end line.
+type answerStream struct {
+	ctx      context.Context
+	cancel   context.CancelFunc
+	body     io.ReadCloser
+	lines    *bufio.Scanner
+	head     port.AnswerHead
+	nextSeq  uint64
+	finalErr error
 }
 
-func newAnswer(
+func newAnswerStream(
 	ctx context.Context, cancel context.CancelFunc, resp *http.Response, r port.EngineRequest,
-) (*answer, error) {
-	a := &answer{ctx: ctx, cancel: cancel, body: resp.Body, lines: bufio.NewScanner(resp.Body), next: r.Resume}
+) (*answerStream, error) {
+	a := &answerStream{ctx: ctx, cancel: cancel, body: resp.Body, lines: bufio.NewScanner(resp.Body), nextSeq: r.Resume}
 	a.lines.Buffer(nil, maxLineBytes)
-	_, l, err := a.line()
+	_, l, err := a.readLine()
 	if err != nil {
 		return a, err
 	}
 	if l.Head == nil {
-		return a, broken("engine's answer does not start with a head")
+		return a, brokenAnswer("engine's answer does not start with a head")
 	}
 	a.head = port.AnswerHead{
 		ID:          l.Head.RequestID,
@@ -64,67 +64,68 @@
 	return a, nil
 }
 
-func broken(format string, args ...any) *verdict.Error {
+// brokenAnswer returns the error of an answer that violates the protocol.
+func brokenAnswer(format string, args ...any) *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.CodeBrokenAnswer, format, args...)
 }
 
-// line returns the next line with its newline. A stream that ends without an
-// end line is an error.
-func (a *answer) line() ([]byte, line, error) {
-	var l line
+// readLine returns the next line, with its newline and decoded. The end of the
+// response body is an error, since an answer is complete only with its end line.
+func (a *answerStream) readLine() ([]byte, streamLine, error) {
+	var l streamLine
 	if !a.lines.Scan() {
 		err := a.lines.Err()
 		if err == nil {
 			err = io.ErrUnexpectedEOF
 		}
-		return nil, l, sendError(a.ctx, errors.Wrap(err, "reading engine's answer"))
+		return nil, l, sendError(a.ctx, errors.Wrap(err, "reading the engine's answer"))
 	}
 	raw := a.lines.Bytes()
 	if err := json.Unmarshal(raw, &l); err != nil {
-		return nil, l, broken("engine's answer is not JSON lines")
+		return nil, l, brokenAnswer("engine's answer is not JSON lines")
 	}
 	return append(raw, '\n'), l, nil
 }
 
 // Head implements port.Answer.
-func (a *answer) Head() port.AnswerHead { return a.head }
+func (a *answerStream) Head() port.AnswerHead { return a.head }
 
 // Next implements port.Answer.
-func (a *answer) Next() ([]byte, error) {
-	if a.done != nil {
-		return nil, a.done
+func (a *answerStream) Next() ([]byte, error) {
+	if a.finalErr != nil {
+		return nil, a.finalErr
 	}
-	b, err := a.frame()
-	a.done = err
+	b, err := a.nextFrame()
+	a.finalErr = err
 	return b, err
 }
 
-func (a *answer) frame() ([]byte, error) {
-	raw, l, err := a.line()
+func (a *answerStream) nextFrame() ([]byte, error) {
+	raw, l, err := a.readLine()
 	switch {
 	case err != nil:
 		return nil, err
-	case l.End != nil && l.End.Frames == a.next:
+	case l.End != nil && l.End.Frames == a.nextSeq:
 		return nil, io.EOF
 	case l.End != nil:
-		return nil, broken("engine's answer has %d frames, received %d", l.End.Frames, a.next)
+		return nil, brokenAnswer("engine's answer has %d frames, received %d", l.End.Frames, a.nextSeq)
 	case l.RequestID != a.head.ID:
-		return nil, broken("engine's frame belongs to request %q", l.RequestID)
+		return nil, brokenAnswer("engine's frame belongs to request %q", l.RequestID)
 	case l.Version != a.head.Version:
 		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeVersionMismatch,
 			"engine's frame is from version %q, answer is from %q", l.Version, a.head.Version)
-	case l.Seq != a.next:
-		return nil, broken("engine's frame %d follows frame %d", l.Seq, a.next)
+	case l.Seq != a.nextSeq:
+		return nil, brokenAnswer("engine's frame %d follows frame %d", l.Seq, a.nextSeq)
 	}
-	a.next++
+	a.nextSeq++
 	return raw, nil
 }
 
-// Close implements port.Answer. It cancels an answer that is not finished by
-// closing the connection, which the engine notices.
-func (a *answer) Close() error {
-	if a.done == io.EOF {
-		// Reads the end of the body, so that the connection can be used again.
+// Close implements port.Answer. If the answer is incomplete, it closes the
+// connection, so that the engine cancels the request.
+func (a *answerStream) Close() error {
+	if a.finalErr == io.EOF {
+		// Reads the rest of the body, so that the connection can be reused.
 		_, _ = io.Copy(io.Discard, io.LimitReader(a.body, maxLineBytes))
 	}
 	a.cancel()
--- a/internal/adapter/enginehttp/fuzz_test.go
+++ b/internal/adapter/enginehttp/answer_test.go
@@ -12,9 +12,9 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// FuzzAnswer guards against a stream that crashes the agent, that ends as a
-// whole answer without its end line, or whose error says that it did not run.
-func FuzzAnswer(f *testing.F) {
+// FuzzAnswerStream guards against an answer that crashes the agent, that counts as
+// complete without an end line, or that fails with the verdict not-run.
+func FuzzAnswerStream(f *testing.F) {
 	head := `{"head":{"request_id":"r","version":"v"}}` + "\n"
 	frame := `{"request_id":"r","version":"v","seq":0,"text":"t"}` + "\n"
 	f.Add([]byte(head + frame + `{"end":{"frames":1}}` + "\n"))
@@ -24,15 +24,15 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		ctx, cancel := context.WithCancel(context.Background())
 		resp := &http.Response{Body: io.NopCloser(bytes.NewReader(b)), Header: http.Header{}}
-		a, err := newAnswer(ctx, cancel, resp, port.EngineRequest{ID: "r"})
+		a, err := newAnswerStream(ctx, cancel, resp, port.EngineRequest{ID: "r"})
 		defer func() { _ = a.Close() }()
 		for err == nil {
 			_, err = a.Next()
 		}
 		if errors.Is(err, io.EOF) {
-			// Keys match in any case and may be escaped.
+			// encoding/json ignores the case of keys, and keys may have escapes.
 			if !bytes.Contains(bytes.ToLower(b), []byte("end")) && !bytes.Contains(b, []byte(`\u`)) {
-				t.Fatalf("whole answer without an end line: %q", b)
+				t.Fatalf("complete answer without an end line: %q", b)
 			}
 			return
 		}
--- a/internal/adapter/enginehttp/enginehttp.go
+++ b/internal/adapter/enginehttp/enginehttp.go
@@ -1,5 +1,5 @@
-// Package enginehttp implements port.Engine against a model engine's HTTP
-// interface.
+// Package enginehttp implements port.Engine over the HTTP interface of a model
+// engine.
 package enginehttp
 
 import (
@@ -22,19 +22,19 @@
 )
 
 const (
-	// statusTimeout bounds a status call on loopback.
+	// statusTimeout limits a status request over loopback.
 	statusTimeout = time.Second
 	dialTimeout   = time.Second
-	// continueTimeout is how long the weights wait for the engine to ask for
-	// them. An engine that refuses an order is not sent any.
-	continueTimeout = time.Second
-	maxTextBytes    = 4 << 10
+	// continueTimeout is how long Load waits for the engine's 100 Continue before
+	// it sends the weights. No weights are sent if the engine refuses the order.
+	continueTimeout   = time.Second
+	maxErrorTextBytes = 4 << 10
 )
 
 // ErrStaleFence means that the engine has seen a higher fencing number.
 var ErrStaleFence = errors.New("engine refused an old fencing number")
 
-// Client calls one engine.
+// Client is a client of one engine.
 type Client struct {
 	base string
 	http *http.Client
@@ -54,15 +54,16 @@
 	LoadCount int64           `json:"load_count"`
 }
 
-// checkedConn writes nothing once check fails. The engine acts on an order only
-// when it has all of it, so one that is cut off here has no effect.
-type checkedConn struct {
+// orderConn is a connection that calls check before each write and fails if check
+// does. The engine executes an order only after it has received all of it, so a
+// truncated order has no effect.
+type orderConn struct {
 	net.Conn
 	check port.OrderCheck
 }
 
 // Write implements net.Conn.
-func (c checkedConn) Write(b []byte) (int, error) {
+func (c orderConn) Write(b []byte) (int, error) {
 	if err := c.check(); err != nil {
 		return 0, err
 	}
@@ -79,7 +80,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return port.EngineStatus{}, errors.Errorf("engine status: %s", describe(resp))
+		return port.EngineStatus{}, errors.Errorf("engine status: %s", statusText(resp))
 	}
 	var b statusBody
 	if err := json.NewDecoder(resp.Body).Decode(&b); err != nil {
@@ -88,8 +89,9 @@
 	id := fleet.EngineIdentity{BootID: b.BootID, LoadCount: b.LoadCount}
 	return port.EngineStatus{
 		EngineIdentity: id,
-		// Some HTTP servers add a tag of their own to every answer.
-		ChecksIdentity: resp.Header.Get(tagHeader) == entityTag(id),
+		// The tag is compared, since some HTTP servers add their own entity tag
+		// to every response.
+		ChecksIdentity: resp.Header.Get(etagHeader) == entityTag(id),
 		Loaded:         b.Loaded,
 		Fence:          b.Fence,
 	}, nil
@@ -108,8 +110,9 @@
 	return hc.Do(req)
 }
 
-func describe(resp *http.Response) string {
-	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxTextBytes))
+// statusText returns the status line and the start of the body of a response.
+func statusText(resp *http.Response) string {
+	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorTextBytes))
 	return resp.Status + ": " + string(bytes.TrimSpace(b))
 }
 
@@ -121,18 +124,18 @@
 		"fence":   {strconv.FormatInt(o.Fence, 10)},
 		"bytes":   {strconv.FormatInt(o.Bytes, 10)},
 	}
-	return c.order(ctx, "/v1/load", q, io.NopCloser(o.Weights), o.Check)
+	return c.sendOrder(ctx, "/v1/load", q, io.NopCloser(o.Weights), o.Check)
 }
 
 // Unload implements port.Engine.
 func (c *Client) Unload(ctx context.Context, o port.UnloadOrder) error {
 	q := url.Values{"version": {string(o.Version)}, "fence": {strconv.FormatInt(o.Fence, 10)}}
-	return c.order(ctx, "/v1/unload", q, nil, o.Check)
+	return c.sendOrder(ctx, "/v1/unload", q, nil, o.Check)
 }
 
-// order sends an order on a connection of its own, which checks the right to
-// give it before each write.
-func (c *Client) order(ctx context.Context, path string, q url.Values, body io.Reader, check port.OrderCheck) error {
+// sendOrder sends an order on a new connection, which checks before each write that
+// the order is still allowed.
+func (c *Client) sendOrder(ctx context.Context, path string, q url.Values, body io.Reader, check port.OrderCheck) error {
 	t := &http.Transport{
 		DisableKeepAlives:     true,
 		ExpectContinueTimeout: continueTimeout,
@@ -141,7 +144,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return checkedConn{conn, check}, nil
+			return orderConn{conn, check}, nil
 		},
 	}
 	defer t.CloseIdleConnections()
@@ -154,9 +157,9 @@
 	case http.StatusOK:
 		return nil
 	case http.StatusPreconditionFailed:
-		return errors.Wrap(ErrStaleFence, describe(resp))
+		return errors.Wrap(ErrStaleFence, statusText(resp))
 	default:
-		return errors.Errorf("engine refused the order: %s", describe(resp))
+		return errors.Errorf("engine refused the order: %s", statusText(resp))
 	}
 }
 
@@ -174,9 +177,9 @@
 	req.Header.Set("X-Class", r.Class.String())
 	req.Header.Set("X-Priority", strconv.Itoa(r.Priority))
 	req.Header.Set("X-Resume-Frames", strconv.FormatUint(r.Resume, 10))
-	expects := r.Expect != fleet.EngineIdentity{}
-	if expects {
-		req.Header.Set(preconditionHeader, entityTag(r.Expect))
+	conditional := r.Expect != fleet.EngineIdentity{}
+	if conditional {
+		req.Header.Set(ifMatchHeader, entityTag(r.Expect))
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -186,12 +189,12 @@
 	if resp.StatusCode != http.StatusOK {
 		defer cancel()
 		defer func() { _ = resp.Body.Close() }()
-		if expects && resp.StatusCode == http.StatusPreconditionFailed {
-			return nil, changed(resp)
+		if conditional && resp.StatusCode == http.StatusPreconditionFailed {
+			return nil, engineChanged(resp)
 		}
-		return nil, refusal(resp)
+		return nil, statusError(resp)
 	}
-	a, err := newAnswer(ctx, cancel, resp, r)
+	a, err := newAnswerStream(ctx, cancel, resp, r)
 	if err != nil {
 		_ = a.Close()
 		return nil, err
@@ -203,15 +206,16 @@
 	return targethttp.SendError(ctx, err, "engine", verdict.CodeTargetError)
 }
 
-// refusal maps a status other than 200. The engine states 409 and 400 before it
-// does any work; nothing is known of the others.
-func refusal(resp *http.Response) *verdict.Error {
+// statusError returns the error for a response with a status other than 200. The
+// engine sends 409 and 400 before it runs anything; with any other status the
+// request may have run.
+func statusError(resp *http.Response) *verdict.Error {
 	switch resp.StatusCode {
 	case http.StatusConflict:
-		return verdict.New(verdict.NotRun, verdict.CodeVersionNotServing, "engine: %s", describe(resp))
+		return verdict.New(verdict.NotRun, verdict.CodeVersionNotServing, "engine: %s", statusText(resp))
 	case http.StatusBadRequest:
-		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, "engine: %s", describe(resp))
+		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, "engine: %s", statusText(resp))
 	default:
-		return verdict.New(verdict.MayHaveRun, verdict.CodeTargetError, "engine: %s", describe(resp))
+		return verdict.New(verdict.MayHaveRun, verdict.CodeTargetError, "engine: %s", statusText(resp))
 	}
 }
--- a/internal/adapter/enginehttp/enginehttp_test.go
+++ b/internal/adapter/enginehttp/enginehttp_test.go
@@ -19,24 +19,24 @@
 	"github.com/masticwing/masticwing/internal/standin/engine"
 )
 
-func start(t *testing.T, o engine.Options) (*Client, *httptest.Server) {
+func startEngine(t *testing.T, o engine.Options) (*Client, *httptest.Server) {
 	t.Helper()
 	h := httptest.NewServer(engine.New(o).Handler())
 	t.Cleanup(h.Close)
 	return New(fleet.Address(h.Listener.Addr().String())), h
 }
 
-// valid is the check of an order whose time has not ended.
-func valid() error { return nil }
+// neverExpires is the check of an order that stays allowed.
+func neverExpires() error { return nil }
 
 func load(c *Client, v fleet.Version, weights string, fence int64) error {
 	return c.Load(context.Background(), port.LoadOrder{
 		Model: "m", Version: v, Fence: fence, Bytes: int64(len(weights)), Weights: strings.NewReader(weights),
-		Check: valid,
+		Check: neverExpires,
 	})
 }
 
-func read(a port.Answer) (string, error) {
+func readAll(a port.Answer) (string, error) {
 	var out bytes.Buffer
 	for {
 		b, err := a.Next()
@@ -50,11 +50,11 @@
 	}
 }
 
-// TestOrders guards against an old order that is taken for a done one, against
-// a part of the weights that counts as loaded, and against a version beyond
-// the engine's memory.
-func TestOrders(t *testing.T) {
-	c, _ := start(t, engine.Options{CheckFence: true, MemoryBytes: 10})
+// TestLoadAndUnload guards against a stale order that is reported as done, against
+// incomplete weights that are reported as loaded, and against loading a version that
+// does not fit into the engine's memory.
+func TestLoadAndUnload(t *testing.T) {
+	c, _ := startEngine(t, engine.Options{CheckFence: true, MemoryBytes: 10})
 	if err := load(c, "v1", "weights", 5); err != nil {
 		t.Fatal(err)
 	}
@@ -62,17 +62,17 @@
 		t.Fatalf("got %v for an old fencing number", err)
 	}
 	if err := load(c, "v2", "weights", 5); err == nil {
-		t.Fatal("loaded beyond the memory")
+		t.Fatal("loaded a version that does not fit into memory")
 	}
-	short := port.LoadOrder{Version: "v3", Fence: 6, Bytes: 3, Weights: strings.NewReader("w"), Check: valid}
+	short := port.LoadOrder{Version: "v3", Fence: 6, Bytes: 3, Weights: strings.NewReader("w"), Check: neverExpires}
 	if c.Load(context.Background(), short) == nil {
-		t.Fatal("loaded a part of the weights")
+		t.Fatal("loaded incomplete weights")
 	}
 	st, err := c.Status(context.Background())
 	if err != nil || st.Fence != 6 || st.LoadCount != 1 || len(st.Loaded) != 1 || st.Loaded[0] != "v1" {
 		t.Fatalf("status %+v, %v", st, err)
 	}
-	if err := c.Unload(context.Background(), port.UnloadOrder{Version: "v1", Fence: 6, Check: valid}); err != nil {
+	if err := c.Unload(context.Background(), port.UnloadOrder{Version: "v1", Fence: 6, Check: neverExpires}); err != nil {
 		t.Fatal(err)
 	}
 	_, err = c.Generate(context.Background(), port.EngineRequest{ID: "r", Version: "v1"})
@@ -82,34 +82,34 @@
 }
 
 // TestResume guards against frames that are lost or repeated when an answer is
-// taken up again, and against a wrong verdict of an engine that has gone.
+// resumed, and against a wrong verdict if the engine is unreachable.
 func TestResume(t *testing.T) {
-	c, h := start(t, engine.Options{})
+	c, h := startEngine(t, engine.Options{})
 	if err := load(c, "v1", "weights", 1); err != nil {
 		t.Fatal(err)
 	}
-	ask := func(resume uint64) string {
+	generate := func(resume uint64) string {
 		t.Helper()
 		a, err := c.Generate(context.Background(), port.EngineRequest{ID: "r", Version: "v1", Body: []byte("x"), Resume: resume})
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = a.Close() }()
-		s, err := read(a)
+		s, err := readAll(a)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return s
 	}
-	whole := ask(0)
-	if rest := ask(3); strings.Count(rest, "\n") != 5 || !strings.HasSuffix(whole, rest) {
-		t.Fatalf("resumed answer %q is not the rest of %q", rest, whole)
+	complete := generate(0)
+	if rest := generate(3); strings.Count(rest, "\n") != 5 || !strings.HasSuffix(complete, rest) {
+		t.Fatalf("resumed answer %q is not the end of %q", rest, complete)
 	}
 	h.Close()
-	// A client without a kept connection cannot have sent anything.
+	// A new client has no open connection, so it cannot have sent the request.
 	_, err := New(fleet.Address(h.Listener.Addr().String())).Generate(context.Background(), port.EngineRequest{ID: "r", Version: "v1"})
 	if verdict.FromError(err).Verdict != verdict.NotRun {
-		t.Fatalf("got %v from an engine that has gone", err)
+		t.Fatalf("got %v from an unreachable engine", err)
 	}
 }
 
@@ -127,10 +127,11 @@
 	return m
 }
 
-// TestCloseCancels guards against an engine that works on for nobody. It also
-// checks that the stand-in falls over above its limit and only then.
-func TestCloseCancels(t *testing.T) {
-	c, h := start(t, engine.Options{TokenDelay: 5 * time.Millisecond, MaxRequests: 1, ColdRequests: 1})
+// TestCloseCancelsRequest guards against an engine that continues a request after its
+// answer was closed. It also checks that the stand-in fails above its request limit
+// and only then.
+func TestCloseCancelsRequest(t *testing.T) {
+	c, h := startEngine(t, engine.Options{TokenDelay: 5 * time.Millisecond, MaxRequests: 1, ColdRequests: 1})
 	if err := load(c, "v1", "weights", 1); err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +146,7 @@
 	_ = a.Close()
 	for end := time.Now().Add(5 * time.Second); counts(t, h)["canceled"] == 0; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("engine did not notice the close")
+			t.Fatal("engine did not cancel the request")
 		}
 	}
 	b, err := c.Generate(context.Background(), r)
@@ -160,33 +161,33 @@
 		t.Fatalf("%d overloads counted", n)
 	}
 	if _, err := c.Status(context.Background()); err == nil {
-		t.Fatal("engine answers after it fell over")
+		t.Fatal("engine responds after it failed")
 	}
 }
 
-// TestOrderStopsWhenItLapses guards against an order that an agent goes on to
-// send after its time for it has ended.
-func TestOrderStopsWhenItLapses(t *testing.T) {
-	c, _ := start(t, engine.Options{})
+// TestExpiredOrderIsNotSent guards against an agent that sends an order, or the rest
+// of one, after its right to do so has expired.
+func TestExpiredOrderIsNotSent(t *testing.T) {
+	c, _ := startEngine(t, engine.Options{})
 	if err := load(c, "v1", "weights", 5); err != nil {
 		t.Fatal(err)
 	}
-	errLapsed := errors.New("lapsed")
-	lapsed := func() error { return errLapsed }
-	err := c.Unload(context.Background(), port.UnloadOrder{Version: "v1", Fence: 5, Check: lapsed})
-	if !errors.Is(err, errLapsed) {
+	errExpired := errors.New("expired")
+	expired := func() error { return errExpired }
+	err := c.Unload(context.Background(), port.UnloadOrder{Version: "v1", Fence: 5, Check: expired})
+	if !errors.Is(err, errExpired) {
 		t.Fatalf("unload: got %v", err)
 	}
 	const size = 1 << 20
-	parts := 0
-	midway := func() error {
-		if parts++; parts > 4 {
-			return errLapsed
+	writes := 0
+	expiresMidway := func() error {
+		if writes++; writes > 4 {
+			return errExpired
 		}
 		return nil
 	}
-	o := port.LoadOrder{Version: "v2", Fence: 5, Bytes: size, Weights: bytes.NewReader(make([]byte, size)), Check: midway}
-	if err := c.Load(context.Background(), o); !errors.Is(err, errLapsed) {
+	o := port.LoadOrder{Version: "v2", Fence: 5, Bytes: size, Weights: bytes.NewReader(make([]byte, size)), Check: expiresMidway}
+	if err := c.Load(context.Background(), o); !errors.Is(err, errExpired) {
 		t.Fatalf("load: got %v", err)
 	}
 	st, err := c.Status(context.Background())
@@ -195,13 +196,13 @@
 	}
 }
 
-// TestRefusedLoadSendsNothing guards against weights that are sent to an engine
-// that refuses the order, again with each attempt, and against a refusal without
-// its reason.
-func TestRefusedLoadSendsNothing(t *testing.T) {
-	c, _ := start(t, engine.Options{MemoryBytes: 10})
+// TestRefusedLoadSendsNoWeights guards against weights that are sent, with each
+// attempt, to an engine that refuses the order, and against an error without the
+// engine's reason.
+func TestRefusedLoadSendsNoWeights(t *testing.T) {
+	c, _ := startEngine(t, engine.Options{MemoryBytes: 10})
 	w := strings.NewReader(strings.Repeat("w", 8<<20))
-	o := port.LoadOrder{Model: "m", Version: "v1", Fence: 5, Bytes: w.Size(), Weights: w, Check: valid}
+	o := port.LoadOrder{Model: "m", Version: "v1", Fence: 5, Bytes: w.Size(), Weights: w, Check: neverExpires}
 	if err := c.Load(context.Background(), o); err == nil || !strings.Contains(err.Error(), "not enough memory") {
 		t.Fatalf("got %v", err)
 	}
--- a/internal/adapter/enginehttp/identity.go
+++ b/internal/adapter/enginehttp/identity.go
@@ -11,11 +11,12 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// An engine that checks the identity states it as the entity tag of its status,
-// and takes it as the precondition of a request (RFC 9110, If-Match and 412).
+// An engine that checks identities sends its own as the entity tag of its status. A
+// request may name the expected identity in If-Match; if the engine has another, it
+// responds with 412 (RFC 9110).
 const (
-	tagHeader          = "ETag"
-	preconditionHeader = "If-Match"
+	etagHeader    = "ETag"
+	ifMatchHeader = "If-Match"
 )
 
 // entityTag returns the strong entity tag "BOOT/LOADS" of an identity.
@@ -23,8 +24,9 @@
 	return `"` + url.PathEscape(id.BootID) + "/" + strconv.FormatInt(id.LoadCount, 10) + `"`
 }
 
-// parseTag returns the identity that an entity tag names, or zero.
-func parseTag(tag string) fleet.EngineIdentity {
+// parseEntityTag returns the identity in an entity tag, or zero if the tag is not
+// valid.
+func parseEntityTag(tag string) fleet.EngineIdentity {
 	boot, loads, _ := strings.Cut(strings.Trim(tag, `"`), "/")
 	id, err := url.PathUnescape(boot)
 	if err != nil {
@@ -37,8 +39,9 @@
 	return fleet.EngineIdentity{BootID: id, LoadCount: n}
 }
 
-// changed returns the refusal of an engine that is not the one expected.
-func changed(resp *http.Response) *verdict.Error {
-	cause := &port.EngineChangedError{Now: parseTag(resp.Header.Get(tagHeader))}
-	return verdict.Wrap(cause, verdict.NotRun, verdict.CodeTargetWarming, "engine: %s", describe(resp))
+// engineChanged returns the error for an engine that has another identity than
+// expected.
+func engineChanged(resp *http.Response) *verdict.Error {
+	cause := &port.EngineChangedError{Now: parseEntityTag(resp.Header.Get(etagHeader))}
+	return verdict.Wrap(cause, verdict.NotRun, verdict.CodeTargetWarming, "engine: %s", statusText(resp))
 }
--- a/internal/adapter/enginehttp/identity_test.go
+++ b/internal/adapter/enginehttp/identity_test.go
@@ -24,11 +24,11 @@
 	_ = resp.Body.Close()
 }
 
-// TestPrecondition guards against a request that runs at an engine which lost
-// its caches or restarted since the request was admitted, and against a
-// refusal that does not name the engine's present identity.
-func TestPrecondition(t *testing.T) {
-	c, h := start(t, engine.Options{CheckIdentity: true})
+// TestChangedEngineRefusesRequest guards against a request that runs on an engine
+// that has lost its caches or restarted since the request was admitted, and against
+// a refusal without the engine's current identity.
+func TestChangedEngineRefusesRequest(t *testing.T) {
+	c, h := startEngine(t, engine.Options{CheckIdentity: true})
 	if err := load(c, "v1", "weights", 1); err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := read(a); err != nil {
+		if _, err := readAll(a); err != nil {
 			t.Fatal(err)
 		}
 		_ = a.Close()
@@ -66,10 +66,11 @@
 	}
 }
 
-// TestNoPrecondition guards against an engine without the check that passes
-// for one with it, and against a 412 of its own that is reported as not run.
-func TestNoPrecondition(t *testing.T) {
-	c, _ := start(t, engine.Options{})
+// TestEngineWithoutIdentityCheck guards against an engine that is wrongly assumed to
+// check identities, and against the verdict not-run for a 412 that such an engine
+// sends for another reason.
+func TestEngineWithoutIdentityCheck(t *testing.T) {
+	c, _ := startEngine(t, engine.Options{})
 	if st, err := c.Status(context.Background()); err != nil || st.ChecksIdentity {
 		t.Fatalf("status %+v, %v", st, err)
 	}
@@ -92,13 +93,14 @@
 	}
 }
 
-// TestEntityTag guards against an identity that its tag changes, which would
-// refuse every request, and against a tag that breaks the header.
-func TestEntityTag(t *testing.T) {
+// TestEntityTagRoundTrip guards against an identity that is changed by its encoding,
+// in which case every request would be refused, and against a tag that is not valid
+// in a header.
+func TestEntityTagRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := fleet.EngineIdentity{BootID: rapid.String().Draw(t, "boot"), LoadCount: rapid.Int64().Draw(t, "loads")}
 		tag := entityTag(id)
-		if got := parseTag(tag); got != id {
+		if got := parseEntityTag(tag); got != id {
 			t.Fatalf("%+v became %+v", id, got)
 		}
 		for _, c := range tag[1 : len(tag)-1] {
@@ -108,7 +110,7 @@
 		}
 	})
 	for _, bad := range []string{"", `"x"`, `"%zz/1"`, `"x/y"`, `W/"3f-abc"`} {
-		if got := parseTag(bad); got != (fleet.EngineIdentity{}) {
+		if got := parseEntityTag(bad); got != (fleet.EngineIdentity{}) {
 			t.Errorf("tag %s gives %+v", bad, got)
 		}
 	}
--- a/internal/adapter/servicehttp/servicehttp.go
+++ b/internal/adapter/servicehttp/servicehttp.go
@@ -1,5 +1,5 @@
-// Package servicehttp implements port.Service against a plain service's HTTP
-// interface.
+// Package servicehttp implements port.Service over the HTTP interface of a plain
+// service.
 package servicehttp
 
 import (
@@ -20,30 +20,31 @@
 
 const (
 	healthTimeout = time.Second
-	// pieceBytes is the size of one piece of an answer, the same as a frame of
-	// the protocol between processes.
-	pieceBytes = 16 << 10
-	// notRunHeader is set by a service that refuses a call before any effect.
+	// readBytes is the maximum size of one piece of an answer.
+	readBytes = 16 << 10
+	// notRunHeader is sent by a service that refuses a call before it has any
+	// effect.
 	notRunHeader = "X-Not-Run"
 )
 
-// Client calls one service.
+// Client is a client of one service.
 type Client struct {
-	base  string
-	http  *http.Client
-	fresh *http.Client
+	base string
+	http *http.Client
+	// unpooled opens a new connection for each call.
+	unpooled *http.Client
 }
 
 var _ port.Service = (*Client)(nil)
 
 // New returns a client of the service at addr.
 func New(addr fleet.Address) *Client {
-	fresh := targethttp.NewTransport()
-	fresh.DisableKeepAlives = true
+	unpooled := targethttp.NewTransport()
+	unpooled.DisableKeepAlives = true
 	return &Client{
-		base:  "http://" + string(addr),
-		http:  &http.Client{Transport: targethttp.NewTransport()},
-		fresh: &http.Client{Transport: fresh},
+		base:     "http://" + string(addr),
+		http:     &http.Client{Transport: targethttp.NewTransport()},
+		unpooled: &http.Client{Transport: unpooled},
 	}
 }
 
@@ -57,7 +58,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "asking service for its health")
+		return errors.Wrap(err, "requesting service health")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
@@ -66,19 +67,19 @@
 	return nil
 }
 
-// client returns the connections for a call. A call with a key gets one of its
-// own, because a kept connection that the service has just closed would leave
-// open whether the call ran.
-func (c *Client) client(r port.ServiceRequest) *http.Client {
+// httpClient returns the client for a call. A call with an idempotency key uses a
+// new connection: if the service has just closed a pooled connection, it would be
+// unknown whether the call ran.
+func (c *Client) httpClient(r port.ServiceRequest) *http.Client {
 	if r.IdempotencyKey != "" {
-		return c.fresh
+		return c.unpooled
 	}
 	return c.http
 }
 
-// Call implements port.Service. The request has a body without GetBody, since
-// net/http otherwise repeats a request with an Idempotency-Key by itself after
-// a lost connection, which would run the call twice.
+// Call implements port.Service. The request has no GetBody, since net/http would
+// otherwise retry a request with an Idempotency-Key after a lost connection, and the
+// call could run twice.
 func (c *Client) Call(ctx context.Context, r port.ServiceRequest) (port.Answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	body := io.NopCloser(bytes.NewReader(r.Body))
@@ -96,7 +97,7 @@
 	if r.IdempotencyKey != "" {
 		req.Header.Set("Idempotency-Key", r.IdempotencyKey)
 	}
-	resp, err := c.client(r).Do(req)
+	resp, err := c.httpClient(r).Do(req)
 	if err != nil {
 		defer cancel()
 		return nil, sendError(ctx, err)
@@ -106,43 +107,43 @@
 		defer func() { _ = resp.Body.Close() }()
 		return nil, verdict.New(verdict.NotRun, verdict.CodeTargetError, "service refused the call: %s", resp.Status)
 	}
-	return newAnswer(ctx, cancel, resp, r.ID), nil
+	return newAnswerStream(ctx, cancel, resp, r.ID), nil
 }
 
 func sendError(ctx context.Context, err error) *verdict.Error {
 	return targethttp.SendError(ctx, err, "service", verdict.CodeTargetLost)
 }
 
-type answer struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	body   io.ReadCloser
-	head   port.AnswerHead
-	buf    []byte
-	done   error
+type answerStream struct {
+	ctx      context.Context
+	cancel   context.CancelFunc
+	body     io.ReadCloser
+	head     port.AnswerHead
+	buf      []byte
+	finalErr error
 }
 
-func newAnswer(ctx context.Context, cancel context.CancelFunc, resp *http.Response, id fleet.RequestID) *answer {
-	return &answer{
-		ctx: ctx, cancel: cancel, body: resp.Body, buf: make([]byte, pieceBytes),
+func newAnswerStream(ctx context.Context, cancel context.CancelFunc, resp *http.Response, id fleet.RequestID) *answerStream {
+	return &answerStream{
+		ctx: ctx, cancel: cancel, body: resp.Body, buf: make([]byte, readBytes),
 		head: port.AnswerHead{ID: id, ContentType: resp.Header.Get("Content-Type"), Status: resp.StatusCode},
 	}
 }
 
-// Head implements port.Answer. The connection carries one call at a time, so
-// the answer belongs to the call that was sent on it.
-func (a *answer) Head() port.AnswerHead { return a.head }
+// Head implements port.Answer. Its ID is that of the request: a connection carries
+// one call at a time, so the response belongs to the call that was sent on it.
+func (a *answerStream) Head() port.AnswerHead { return a.head }
 
 // Next implements port.Answer.
-func (a *answer) Next() ([]byte, error) {
-	if a.done != nil {
-		return nil, a.done
+func (a *answerStream) Next() ([]byte, error) {
+	if a.finalErr != nil {
+		return nil, a.finalErr
 	}
 	n, err := a.body.Read(a.buf)
 	if err != nil && err != io.EOF {
-		err = sendError(a.ctx, errors.Wrap(err, "reading service's answer"))
+		err = sendError(a.ctx, errors.Wrap(err, "reading the service's answer"))
 	}
-	a.done = err
+	a.finalErr = err
 	if n > 0 {
 		return a.buf[:n], nil
 	}
@@ -150,7 +151,7 @@
 }
 
 // Close implements port.Answer.
-func (a *answer) Close() error {
+func (a *answerStream) Close() error {
 	a.cancel()
 	return a.body.Close()
 }
--- a/internal/adapter/servicehttp/servicehttp_test.go
+++ b/internal/adapter/servicehttp/servicehttp_test.go
@@ -17,8 +17,8 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// TestKeyedCallIsSentOnce guards against net/http, which repeats a request with
-// an Idempotency-Key by itself when a connection is lost.
+// TestKeyedCallIsSentOnce guards against the automatic retry of net/http, which
+// applies to requests with an Idempotency-Key after a lost connection.
 func TestKeyedCallIsSentOnce(t *testing.T) {
 	var calls atomic.Int64
 	h := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -50,9 +50,10 @@
 	}
 }
 
-// TestLostAndLate guards against a cut answer that looks whole, a deadline with
-// the wrong verdict, and a service that cannot have run the call.
-func TestLostAndLate(t *testing.T) {
+// TestLostConnectionAndDeadline guards against a truncated answer that counts as
+// complete, and against a wrong verdict after a lost connection, a refused
+// connection and a deadline.
+func TestLostConnectionAndDeadline(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +81,7 @@
 		_, err = a.Next()
 	}
 	if e := verdict.FromError(err); err == io.EOF || e.Verdict != verdict.MayHaveRun {
-		t.Fatalf("a cut answer ended with %v", err)
+		t.Fatalf("a truncated answer ended with %v", err)
 	}
 	_ = lis.Close()
 	if _, err := c.Call(context.Background(), port.ServiceRequest{Call: "read"}); verdict.FromError(err).Verdict != verdict.NotRun {
