--- a/internal/app/ctl/explain.go
+++ b/internal/app/ctl/explain.go
@@ -39,7 +39,7 @@
 		}
 		lines = append(lines, ls...)
 	}
-	steps := explain.Request(lines, args[0])
+	steps := explain.RequestSteps(lines, args[0])
 	if len(steps) == 0 {
 		return exitErrorf(ExitFailed, "none of %d log lines names the request %q", len(lines), args[0])
 	}
--- a/internal/core/explain/explain.go
+++ b/internal/core/explain/explain.go
@@ -1,7 +1,7 @@
-// Package explain selects, from the log lines of several processes, those that
-// led to the outcome of one request: its own lines, what its gateway believed,
-// what happened to its target and beside it, and whether other requests failed
-// there as well.
+// Package explain selects, from the logs of several processes, the lines that
+// explain the outcome of one request: the lines on the request itself, the state
+// changes at its gateway and its target, the lines of the process on the target's
+// VM, and failures of other requests at the same target.
 package explain
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Line is one line of a log.
+// Line is one parsed line of a log.
 type Line struct {
 	Time time.Time
 	Role string
@@ -20,51 +20,52 @@
 	Fields  map[string]any
 }
 
-func (l *Line) text(field string) string {
+func (l *Line) stringField(field string) string {
 	s, _ := l.Fields[field].(string)
 	return s
 }
 
-// Link says how a line belongs to the request.
+// Link is the relation of a line to the request.
 type Link string
 
-// The links.
+// Relations of a line to the request.
 const (
-	// Own is a line on the request itself.
-	Own Link = "request"
-	// AtGateway is a change of what the request's gateway believed.
-	AtGateway Link = "gateway"
-	// AtTarget is a change of the request's target, at any process.
-	AtTarget Link = "target"
-	// BesideTarget is a line of the process beside the target.
-	BesideTarget Link = "beside target"
-	// Others stands for failures of other requests at the same target.
-	Others Link = "same target"
-	// Fleet stands for lines of all processes beside targets. They tell why no
-	// target had room.
-	Fleet Link = "all targets"
+	// LinkRequest is a line on the request itself.
+	LinkRequest Link = "request"
+	// LinkGateway is a state change at the gateway of the request.
+	LinkGateway Link = "gateway"
+	// LinkTarget is a state change of the request's target, logged by any process.
+	LinkTarget Link = "target"
+	// LinkBesideTarget is a line of a process on the target's VM.
+	LinkBesideTarget Link = "beside target"
+	// LinkSameTarget is a failure of another request at the same target.
+	LinkSameTarget Link = "same target"
+	// LinkAllTargets is a line of any loader. Such lines are included if no target
+	// had a free slot.
+	LinkAllTargets Link = "all targets"
 )
 
-// Step is one line of an explanation, or several of the same kind.
+// Step is one line of an explanation, or several similar lines.
 type Step struct {
 	Line
 	Link Link
-	// Count is the number of lines that the step stands for.
+	// Count is the number of lines that the step combines.
 	Count int
-	// Processes are the ids of the processes that wrote them.
+	// Processes are the ids of the processes that wrote these lines.
 	Processes []string
 }
 
 const (
-	// before is the time before a request's end that is searched. Keys are refused
-	// 5 s after the last confirmation, and weights change within 8 s.
-	before = 10 * time.Second
-	// around is the time around a request in which failures of other requests at
+	// lookback is the time before the end of a request that is searched. A gateway
+	// refuses API keys 5 s after their last confirmation, and an engine changes its
+	// weights within 8 s.
+	lookback = 10 * time.Second
+	// failureWindow is the time failureWindow a request in which failures of other requests at
 	// its target count.
-	around = 5 * time.Second
+	failureWindow = 5 * time.Second
 )
 
-// Names in the log lines, see docs/OPERATIONS.md.
+// Messages, field names and values of log lines, see docs/OPERATIONS.md.
 const (
 	messageRequest    = "request"
 	messageStarted    = "started"
@@ -81,79 +82,84 @@
 	codeNoTarget      = "no_target"
 )
 
-// Request returns the steps of a request in the order of time. It returns none if
-// no line names the request.
-func Request(lines []Line, id string) []Step {
-	s := &search{lines: lines, id: id, processes: map[string]bool{}, targets: map[string]bool{}}
-	if !s.find() {
+// RequestSteps returns the steps that explain the outcome of a request, ordered by
+// time, or none if no line contains the request's id.
+func RequestSteps(lines []Line, id string) []Step {
+	s := &requestSearch{lines: lines, id: id, processes: map[string]bool{}, targets: map[string]bool{}}
+	if !s.findRequestLines() {
 		return nil
 	}
-	s.findHosts()
+	s.findProcessesBesideTargets()
 	for i := range lines {
 		if link, ok := s.link(&lines[i]); ok {
-			s.add(&lines[i], link)
+			s.addStep(&lines[i], link)
 		}
 	}
 	slices.SortStableFunc(s.steps, func(a, b Step) int { return a.Time.Compare(b.Time) })
 	return s.steps
 }
 
-type search struct {
+// requestSearch is the state of the search for the steps of one request.
+type requestSearch struct {
 	lines []Line
 	id    string
 	steps []Step
 
-	// from and to bound the lines that are searched; end is the request's end.
-	from, to, end time.Time
-	// processes are those that took the request, targets where it was sent last.
+	// from and to limit the times of the lines to search.
+	from, to, requestEnd time.Time
+	// processes are the processes that logged the request, targets the targets that
+	// their lines name.
 	processes, targets map[string]bool
-	// beside are the processes on the VMs of the targets.
-	beside map[string]bool
-	// full is set if the request found no room at any target.
-	full bool
+	// besideTargets are the processes on the VMs of the targets.
+	besideTargets map[string]bool
+	// noCapacity is set if the request was refused because no target was available
+	// or had a free slot.
+	noCapacity bool
 }
 
-// find takes in the lines on the request itself.
-func (s *search) find() bool {
+// findRequestLines evaluates the lines on the request itself and reports whether
+// there are any.
+func (s *requestSearch) findRequestLines() bool {
 	found := false
 	for i := range s.lines {
 		l := &s.lines[i]
-		if l.text(fieldRequest) != s.id {
+		if l.stringField(fieldRequest) != s.id {
 			continue
 		}
 		found = true
 		s.processes[l.Process] = true
-		if t := l.text(fieldTarget); t != "" {
+		if t := l.stringField(fieldTarget); t != "" {
 			s.targets[t] = true
 		}
-		if code := l.text(fieldCode); code == codeOverloaded || code == codeNoTarget {
-			s.full = true
+		if code := l.stringField(fieldCode); code == codeOverloaded || code == codeNoTarget {
+			s.noCapacity = true
 		}
-		if l.Time.After(s.end) {
-			s.end = l.Time
+		if l.Time.After(s.requestEnd) {
+			s.requestEnd = l.Time
 		}
 	}
-	s.from, s.to = s.end.Add(-before), s.end.Add(around)
+	s.from, s.to = s.requestEnd.Add(-lookback), s.requestEnd.Add(failureWindow)
 	return found
 }
 
-// findHosts finds the processes on the VMs of the targets by their addresses.
-func (s *search) findHosts() {
+// findProcessesBesideTargets finds the processes on the VMs of the targets: their
+// admin addresses have the same hosts as the addresses of the targets.
+func (s *requestSearch) findProcessesBesideTargets() {
 	hosts := map[string]bool{}
 	for i := range s.lines {
-		if l := &s.lines[i]; l.Message == messageTarget && s.targets[l.text(fieldTarget)] && !l.Time.After(s.end) {
-			hosts[host(l.text(fieldAddress))] = true
+		if l := &s.lines[i]; l.Message == messageTarget && s.targets[l.stringField(fieldTarget)] && !l.Time.After(s.requestEnd) {
+			hosts[host(l.stringField(fieldAddress))] = true
 		}
 	}
-	s.beside = map[string]bool{}
+	s.besideTargets = map[string]bool{}
 	for i := range s.lines {
-		if l := &s.lines[i]; l.Message == messageStarted && hosts[host(l.text(fieldAdmin))] {
-			s.beside[l.Process] = true
+		if l := &s.lines[i]; l.Message == messageStarted && hosts[host(l.stringField(fieldAdmin))] {
+			s.besideTargets[l.Process] = true
 		}
 	}
 }
 
-// host returns an address without its port.
+// host returns the host of an address.
 func host(address string) string {
 	if i := strings.LastIndexByte(address, ':'); i >= 0 {
 		return address[:i]
@@ -161,41 +167,42 @@
 	return address
 }
 
-// link reports whether a line belongs to the request.
-func (s *search) link(l *Line) (Link, bool) {
-	if l.text(fieldRequest) == s.id {
-		return Own, true
+// link returns the relation of a line to the request, or false if there is none.
+func (s *requestSearch) link(l *Line) (Link, bool) {
+	if l.stringField(fieldRequest) == s.id {
+		return LinkRequest, true
 	}
 	if l.Time.Before(s.from) || l.Time.After(s.to) {
 		return "", false
 	}
-	atTarget := s.targets[l.text(fieldTarget)]
+	atTarget := s.targets[l.stringField(fieldTarget)]
 	switch {
 	case l.Message == messageRequest:
-		near := l.Time.Sub(s.end).Abs() <= around
-		return Others, near && atTarget && l.text(fieldOutcome) != outcomeServed
-	case l.Time.After(s.end):
+		nearRequestEnd := l.Time.Sub(s.requestEnd).Abs() <= failureWindow
+		return LinkSameTarget, nearRequestEnd && atTarget && l.stringField(fieldOutcome) != outcomeServed
+	case l.Time.After(s.requestEnd):
 		return "", false
 	case l.Message == messageTarget || l.Message == messageTargetGone:
 		if atTarget {
-			return AtTarget, true
+			return LinkTarget, true
 		}
-		return AtGateway, s.full && s.processes[l.Process] && l.Message == messageTargetGone
+		return LinkGateway, s.noCapacity && s.processes[l.Process] && l.Message == messageTargetGone
 	case s.processes[l.Process]:
-		return AtGateway, true
-	case s.beside[l.Process]:
-		return BesideTarget, true
+		return LinkGateway, true
+	case s.besideTargets[l.Process]:
+		return LinkBesideTarget, true
 	}
-	return Fleet, s.full && l.Role == roleLoader
+	return LinkAllTargets, s.noCapacity && l.Role == roleLoader
 }
 
-// roleLoader is the role of the processes beside engines.
+// roleLoader is the role of a loader, the process on the VM of an engine.
 const roleLoader = "masticwing-loader"
 
-// add appends a line, or counts it to an earlier step that says the same. Lines
-// on the request itself and on its target each stand alone.
-func (s *search) add(l *Line, link Link) {
-	if link == Others || link == Fleet || l.Message == messageTargetGone {
+// addStep adds a step for a line. Failures of other requests, lines of all loaders,
+// and lost targets are combined with an earlier step that has the same link and
+// message.
+func (s *requestSearch) addStep(l *Line, link Link) {
+	if link == LinkSameTarget || link == LinkAllTargets || l.Message == messageTargetGone {
 		for i := range s.steps {
 			if p := &s.steps[i]; p.Link == link && p.Message == l.Message {
 				p.Count++
@@ -209,8 +216,7 @@
 	s.steps = append(s.steps, Step{Line: *l, Link: link, Count: 1, Processes: []string{l.Process}})
 }
 
-// FieldNames returns the names of a step's fields in the order in which they are
-// printed.
+// FieldNames returns the sorted names of a step's fields.
 func (s *Step) FieldNames() []string {
 	out := make([]string, 0, len(s.Fields))
 	for k := range s.Fields {
--- a/internal/core/explain/explain_test.go
+++ b/internal/core/explain/explain_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-var start = time.Unix(1000, 0)
+var requestTime = time.Unix(1000, 0)
 
-func line(ms int, process, message string, fields ...string) Line {
-	l := Line{Time: start.Add(time.Duration(ms) * time.Millisecond), Process: process, Message: message, Fields: map[string]any{}}
+func logLine(offsetMs int, process, message string, fields ...string) Line {
+	l := Line{Time: requestTime.Add(time.Duration(offsetMs) * time.Millisecond), Process: process, Message: message, Fields: map[string]any{}}
 	if strings.HasPrefix(process, "l") {
 		l.Role = roleLoader
 	}
@@ -19,8 +19,8 @@
 	return l
 }
 
-// messages returns the steps as "link: message".
-func messages(steps []Step) string {
+// formatSteps returns the steps in the form "link: message, link: message".
+func formatSteps(steps []Step) string {
 	var out []string
 	for _, s := range steps {
 		out = append(out, string(s.Link)+": "+s.Message)
@@ -28,47 +28,47 @@
 	return strings.Join(out, ", ")
 }
 
-// TestLostTarget guards against an explanation that leaves out the process beside
-// the target, or takes in lines of other targets and of long ago.
-func TestLostTarget(t *testing.T) {
+// TestStepsOfLostTarget guards against an explanation that omits the process on the
+// target's VM, or includes lines of other targets or from long ago.
+func TestStepsOfLostTarget(t *testing.T) {
 	lines := []Line{
-		line(-30000, "l1", "started", "admin", "10.0.0.1:9100"),
-		line(-30000, "l2", "started", "admin", "10.0.0.2:9100"),
-		line(-20000, "g1", "target", "target", "x", "address", "10.0.0.1:80"),
-		line(-20000, "g1", "lost the store"),
-		line(-500, "l1", "lost the engine"),
-		line(-500, "l2", "lost the engine"),
-		line(-400, "g2", "target gone", "target", "x"),
-		line(-300, "g2", "target gone", "target", "y"),
-		line(-200, "g2", "request", "request", "r2", "target", "x", "outcome", "refused"),
-		line(-100, "g2", "request", "request", "r3", "target", "x", "outcome", "served"),
-		line(100, "g3", "request", "request", "r4", "target", "x", "outcome", "cut"),
-		line(0, "g1", "request", "request", "r1", "target", "x", "outcome", "refused", "code", "target_lost"),
+		logLine(-30000, "l1", "started", "admin", "10.0.0.1:9100"),
+		logLine(-30000, "l2", "started", "admin", "10.0.0.2:9100"),
+		logLine(-20000, "g1", "target", "target", "x", "address", "10.0.0.1:80"),
+		logLine(-20000, "g1", "lost the store"),
+		logLine(-500, "l1", "lost the engine"),
+		logLine(-500, "l2", "lost the engine"),
+		logLine(-400, "g2", "target gone", "target", "x"),
+		logLine(-300, "g2", "target gone", "target", "y"),
+		logLine(-200, "g2", "request", "request", "r2", "target", "x", "outcome", "refused"),
+		logLine(-100, "g2", "request", "request", "r3", "target", "x", "outcome", "served"),
+		logLine(100, "g3", "request", "request", "r4", "target", "x", "outcome", "cut"),
+		logLine(0, "g1", "request", "request", "r1", "target", "x", "outcome", "refused", "code", "target_lost"),
 	}
-	steps := Request(lines, "r1")
+	steps := RequestSteps(lines, "r1")
 	want := "beside target: lost the engine, target: target gone, same target: request, request: request"
-	if got := messages(steps); got != want {
+	if got := formatSteps(steps); got != want {
 		t.Fatalf("steps %q, want %q", got, want)
 	}
 	if others := steps[2]; others.Count != 2 || len(others.Processes) != 2 {
-		t.Errorf("%d failures at %v", others.Count, others.Processes)
+		t.Errorf("%d failures of other requests at %v, want 2 at two gateways", others.Count, others.Processes)
 	}
 }
 
-// TestNoRoom guards against an explanation of a refusal under load that does not
-// say that engines were changing their weights.
-func TestNoRoom(t *testing.T) {
+// TestStepsWithoutCapacity guards against an explanation of a refusal for lack of
+// capacity that does not show that engines were loading weights.
+func TestStepsWithoutCapacity(t *testing.T) {
 	lines := []Line{
-		line(-3000, "l1", "ordering the engine to load"),
-		line(-2000, "l2", "ordering the engine to load"),
-		line(-1000, "g1", "target gone", "target", "x"),
-		line(-900, "g1", "target gone", "target", "y"),
-		line(-500, "g1", "cordon"),
-		line(0, "g1", "request", "request", "r1", "outcome", "refused", "code", "overloaded"),
+		logLine(-3000, "l1", "ordering the engine to load"),
+		logLine(-2000, "l2", "ordering the engine to load"),
+		logLine(-1000, "g1", "target gone", "target", "x"),
+		logLine(-900, "g1", "target gone", "target", "y"),
+		logLine(-500, "g1", "cordon"),
+		logLine(0, "g1", "request", "request", "r1", "outcome", "refused", "code", "overloaded"),
 	}
-	steps := Request(lines, "r1")
+	steps := RequestSteps(lines, "r1")
 	want := "all targets: ordering the engine to load, gateway: target gone, gateway: cordon, request: request"
-	if got := messages(steps); got != want {
+	if got := formatSteps(steps); got != want {
 		t.Fatalf("steps %q, want %q", got, want)
 	}
 	if steps[0].Count != 2 || steps[1].Count != 2 {
@@ -76,9 +76,10 @@
 	}
 }
 
-// TestUnknownRequest guards against an explanation of nothing.
-func TestUnknownRequest(t *testing.T) {
-	if s := Request([]Line{line(0, "g1", "started")}, "r1"); s != nil {
-		t.Errorf("steps %v", s)
+// TestNoStepsOfUnknownRequest guards against an explanation of a request that no
+// line mentions.
+func TestNoStepsOfUnknownRequest(t *testing.T) {
+	if s := RequestSteps([]Line{logLine(0, "g1", "started")}, "r1"); s != nil {
+		t.Errorf("steps %v, want none", s)
 	}
 }
