--- a/test/soak/check_test.go
+++ b/test/soak/check_test.go
@@ -31,7 +31,7 @@
 		"complete stream, two runs": {ok("/s/x"), 2, false},
 		"response without a run":    {ok("/r/x"), 0, true},
 		"call that ran twice":       {ok("/w/x"), 2, true},
-		"response to another":       {changed("/r/x", func(r *result) { r.body = "answer to 2" }), 1, true},
+		"response to other request": {changed("/r/x", func(r *result) { r.body = "answer to 2" }), 1, true},
 		"short stream":              {changed("/s/x", func(r *result) { r.body = r.body[:20] }), 1, true},
 		"short stream that was cut": {changed("/s/x", func(r *result) { r.body, r.err = r.body[:20], cut }), 1, false},
 		"duplicate event":           {changed("/s/x", func(r *result) { r.body, r.err = r.body[:10]+r.body[:10], cut }), 1, true},
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -94,8 +94,8 @@
 	for i := range clientCount {
 		wg.Go(func() { f.sendRequests(ctx, int64(100+i), seed, l) })
 	}
-	p := &faultInjector{f: f, rng: rand.New(rand.NewPCG(seed, 0)), locked: map[string]bool{}}
-	p.inject(faultTime)
+	inj := &faultInjector{f: f, rng: rand.New(rand.NewPCG(seed, 0)), locked: map[string]bool{}}
+	inj.inject(faultTime)
 	faultsEnd := time.Now()
 	f.declareWeights()
 	time.Sleep(recoveryTime)
@@ -113,7 +113,7 @@
 		}
 	}
 	served, all := countServed(l.since(time.Time{}))
-	t.Logf("seed %d: %d of %d requests served, faults: %v", seed, served, all, p.injected)
+	t.Logf("seed %d: %d of %d requests served, faults: %v", seed, served, all, inj.injected)
 	for i, v := range violations {
 		if i == 20 {
 			t.Errorf("and %d more", len(violations)-i)
@@ -171,127 +171,127 @@
 
 // tryLock reserves a resource for a fault. It returns false if the resource is
 // already under a fault.
-func (p *faultInjector) tryLock(resource string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.locked[resource] {
+func (inj *faultInjector) tryLock(resource string) bool {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	if inj.locked[resource] {
 		return false
 	}
-	p.locked[resource] = true
+	inj.locked[resource] = true
 	return true
 }
 
-func (p *faultInjector) unlock(resource string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	delete(p.locked, resource)
+func (inj *faultInjector) unlock(resource string) {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	delete(inj.locked, resource)
 }
 
 // inject injects faults for d and returns once all of them have ended.
-func (p *faultInjector) inject(d time.Duration) {
+func (inj *faultInjector) inject(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
-		for range 1 + p.rng.IntN(2) {
-			p.injectOne()
+		for range 1 + inj.rng.IntN(2) {
+			inj.injectOne()
 		}
-		time.Sleep(time.Duration(200+p.rng.IntN(1200)) * time.Millisecond)
+		time.Sleep(time.Duration(200+inj.rng.IntN(1200)) * time.Millisecond)
 	}
-	p.wg.Wait()
+	inj.wg.Wait()
 }
 
 // randomDuration returns the duration of a fault, between 200 and 4200 ms.
-func (p *faultInjector) randomDuration() time.Duration {
-	return time.Duration(200+p.rng.IntN(4000)) * time.Millisecond
+func (inj *faultInjector) randomDuration() time.Duration {
+	return time.Duration(200+inj.rng.IntN(4000)) * time.Millisecond
 }
 
-func pickRandom[T any](p *faultInjector, xs []T) T { return xs[p.rng.IntN(len(xs))] }
+func pickRandom[T any](inj *faultInjector, xs []T) T { return xs[inj.rng.IntN(len(xs))] }
 
 // injectFor applies a fault to a resource for a random duration, unless the resource
 // is already under a fault.
-func (p *faultInjector) injectFor(resource, name string, begin, end func()) {
-	d := p.randomDuration()
-	if !p.tryLock(resource) {
+func (inj *faultInjector) injectFor(resource, name string, begin, end func()) {
+	d := inj.randomDuration()
+	if !inj.tryLock(resource) {
 		return
 	}
-	p.injected = append(p.injected, fmt.Sprintf("%s %v", name, d.Round(100*time.Millisecond)))
+	inj.injected = append(inj.injected, fmt.Sprintf("%s %v", name, d.Round(100*time.Millisecond)))
 	begin()
-	p.wg.Go(func() {
+	inj.wg.Go(func() {
 		time.Sleep(d)
 		end()
-		p.unlock(resource)
+		inj.unlock(resource)
 	})
 }
 
 // injectOne injects one random fault.
-func (p *faultInjector) injectOne() {
-	f := p.f
+func (inj *faultInjector) injectOne() {
+	f := inj.f
 	processes := append(append([]*process{}, f.gateways...), f.loaders...)
-	switch p.rng.IntN(10) {
+	switch inj.rng.IntN(10) {
 	case 0, 1:
-		p.disruptProcess(pickRandom(p, processes))
+		inj.disruptProcess(pickRandom(inj, processes))
 	case 2:
-		x := pickRandom(p, processes)
+		x := pickRandom(inj, processes)
 		faults := []relay.Faults{{Cut: true}, {Freeze: relay.FreezeAll}, {Freeze: relay.FreezeOld}, {DelayMillis: 300}}
-		k := p.rng.IntN(len(faults))
-		p.injectFor("route of "+x.name, fmt.Sprintf("store of %s %+v", x.name, faults[k]),
+		k := inj.rng.IntN(len(faults))
+		inj.injectFor("route of "+x.name, fmt.Sprintf("store of %s %+v", x.name, faults[k]),
 			func() { _ = f.relay.SetFaults(x.store, faults[k]) }, func() { _ = f.relay.SetFaults(x.store, relay.Faults{}) })
 	case 3:
-		fault := pickRandom(p, []platformtest.StoreFault{platformtest.StoreBusy, platformtest.StoreSilent, platformtest.StoreLosingResponses})
-		p.injectFor("store", "store "+string(fault), func() { f.store.SetFault(fault) }, func() { f.store.SetFault(platformtest.StoreHealthy) })
+		fault := pickRandom(inj, []platformtest.StoreFault{platformtest.StoreBusy, platformtest.StoreSilent, platformtest.StoreLosingResponses})
+		inj.injectFor("store", "store "+string(fault), func() { f.store.SetFault(fault) }, func() { f.store.SetFault(platformtest.StoreHealthy) })
 	case 4:
-		p.injected = append(p.injected, "history dropped")
+		inj.injected = append(inj.injected, "history dropped")
 		f.store.DropHistory()
 	case 5:
-		x := pickRandom(p, append(append([]*platformtest.Target{}, f.engines...), f.services...))
-		p.injectFor("responses of "+x.ID, "responses lost at "+x.ID, func() { x.DropEveryNthResponse(3) }, func() { x.DropEveryNthResponse(0) })
+		x := pickRandom(inj, append(append([]*platformtest.Target{}, f.engines...), f.services...))
+		inj.injectFor("responses of "+x.ID, "responses lost at "+x.ID, func() { x.DropEveryNthResponse(3) }, func() { x.DropEveryNthResponse(0) })
 	case 6:
-		p.crash(pickRandom(p, f.engines))
+		inj.crash(pickRandom(inj, f.engines))
 	case 7:
-		p.injected = append(p.injected, "key revoked")
-		f.revokeKey(fmt.Sprint("k", p.rng.IntN(4)))
+		inj.injected = append(inj.injected, "key revoked")
+		f.revokeKey(fmt.Sprint("k", inj.rng.IntN(4)))
 	case 8:
-		p.injected = append(p.injected, "weights declared")
+		inj.injected = append(inj.injected, "weights declared")
 		f.declareWeights()
 	case 9:
-		d := pickRandom(p, domains)
-		p.injectFor("domain "+d, "cordon of "+d, func() { f.store.Put("op/evacuate/"+d, object{}) }, func() { f.store.Remove("op/evacuate/" + d) })
+		d := pickRandom(inj, domains)
+		inj.injectFor("domain "+d, "cordon of "+d, func() { f.store.Put("op/evacuate/"+d, object{}) }, func() { f.store.Remove("op/evacuate/" + d) })
 	}
 }
 
 // disruptProcess kills, pauses or stops a process, and restarts or resumes it.
-func (p *faultInjector) disruptProcess(x *process) {
+func (inj *faultInjector) disruptProcess(x *process) {
 	restart := func() {
-		if err := p.f.startProcess(x); err != nil {
-			p.f.recorder.RecordViolation("%v", err)
+		if err := inj.f.startProcess(x); err != nil {
+			inj.f.recorder.RecordViolation("%v", err)
 		}
 	}
-	switch p.rng.IntN(3) {
+	switch inj.rng.IntN(3) {
 	case 0:
-		p.injectFor(x.name, "kill of "+x.name, func() { _ = x.current().Kill() }, restart)
+		inj.injectFor(x.name, "kill of "+x.name, func() { _ = x.current().Kill() }, restart)
 	case 1:
 		r := x.current()
-		p.injectFor(x.name, "pause of "+x.name, func() { _ = r.Pause() }, func() { _ = r.Resume() })
+		inj.injectFor(x.name, "pause of "+x.name, func() { _ = r.Pause() }, func() { _ = r.Resume() })
 	case 2:
-		if !p.tryLock(x.name) {
+		if !inj.tryLock(x.name) {
 			return
 		}
-		p.injected = append(p.injected, "stop of "+x.name)
+		inj.injected = append(inj.injected, "stop of "+x.name)
 		r := x.current()
-		p.wg.Go(func() {
+		inj.wg.Go(func() {
 			if _, err := r.Stop(stopTimeout); err != nil {
-				p.f.recorder.RecordViolation("%v", err)
+				inj.f.recorder.RecordViolation("%v", err)
 			}
 			restart()
-			p.unlock(x.name)
+			inj.unlock(x.name)
 		})
 	}
 }
 
 // crash crashes an engine and restarts it without weights at the same address.
-func (p *faultInjector) crash(e *platformtest.Target) {
+func (inj *faultInjector) crash(e *platformtest.Target) {
 	addr := e.Address()
-	p.injectFor(e.ID, "crash of "+e.ID, e.Crash, func() {
+	inj.injectFor(e.ID, "crash of "+e.ID, e.Crash, func() {
 		if err := e.Start(addr, 0); err != nil {
-			p.f.recorder.RecordViolation("%s does not restart: %v", e.ID, err)
+			inj.f.recorder.RecordViolation("%s does not restart: %v", e.ID, err)
 		}
 	})
 }
