--- a/internal/adapter/logging/async.go
+++ b/internal/adapter/logging/async.go
@@ -49,20 +49,20 @@
 // limit or the queue, and logs how many were dropped. Lines about served requests
 // have a lower priority than all others.
 type asyncWriter struct {
-	w                       io.Writer
-	servedQueue, otherQueue chan []byte
-	servedLimit             rateLimit
-	otherLimit              rateLimit
-	stop                    chan struct{}
-	once                    sync.Once
-	wg                      conc.WaitGroup
-	done                    chan struct{}
-	formatDropped           func(served, other int64) []byte
+	w             io.Writer
+	served, other chan []byte
+	servedLimit   rateLimit
+	otherLimit    rateLimit
+	stop          chan struct{}
+	once          sync.Once
+	wg            conc.WaitGroup
+	done          chan struct{}
+	formatDropped func(served, other int64) []byte
 }
 
 func newAsyncWriter(w io.Writer, formatDropped func(served, other int64) []byte) *asyncWriter {
 	b := &asyncWriter{
-		w: w, servedQueue: make(chan []byte, queueLines), otherQueue: make(chan []byte, queueLines),
+		w: w, served: make(chan []byte, queueLines), other: make(chan []byte, queueLines),
 		stop: make(chan struct{}), done: make(chan struct{}), formatDropped: formatDropped,
 	}
 	b.servedLimit.linesPerSecond, b.otherLimit.linesPerSecond = servedPerSecond, otherPerSecond
@@ -89,61 +89,61 @@
 	return len(p), nil
 }
 
-// run writes lines until stop is closed. It prefers otherQueue to servedQueue.
-func (w *asyncWriter) run() {
-	defer close(w.done)
+// run writes lines until stop is closed. It prefers other to served.
+func (a *asyncWriter) run() {
+	defer close(a.done)
 	t := time.NewTicker(dropReportInterval)
 	defer t.Stop()
 	for {
 		select {
-		case p := <-w.otherQueue:
-			w.write(p)
+		case p := <-a.other:
+			a.write(p)
 			continue
 		default:
 		}
 		select {
-		case p := <-w.otherQueue:
-			w.write(p)
-		case p := <-w.servedQueue:
-			w.write(p)
+		case p := <-a.other:
+			a.write(p)
+		case p := <-a.served:
+			a.write(p)
 		case <-t.C:
-			w.reportDropped()
-		case <-w.stop:
-			w.drain()
+			a.reportDropped()
+		case <-a.stop:
+			a.drain()
 			return
 		}
 	}
 }
 
-func (w *asyncWriter) reportDropped() {
-	served, other := w.servedLimit.dropped.Swap(0), w.otherLimit.dropped.Swap(0)
+func (a *asyncWriter) reportDropped() {
+	served, other := a.servedLimit.dropped.Swap(0), a.otherLimit.dropped.Swap(0)
 	if served+other > 0 {
-		w.write(w.formatDropped(served, other))
+		a.write(a.formatDropped(served, other))
 	}
 }
 
-func (w *asyncWriter) drain() {
+func (a *asyncWriter) drain() {
 	for {
 		select {
-		case p := <-w.otherQueue:
-			w.write(p)
-		case p := <-w.servedQueue:
-			w.write(p)
+		case p := <-a.other:
+			a.write(p)
+		case p := <-a.served:
+			a.write(p)
 		default:
-			w.reportDropped()
+			a.reportDropped()
 			return
 		}
 	}
 }
 
 // write ignores errors, since there is no other place to report them.
-func (w *asyncWriter) write(p []byte) { _, _ = w.w.Write(p) }
+func (a *asyncWriter) write(p []byte) { _, _ = a.w.Write(p) }
 
 // close writes the queued lines and waits up to closeTimeout for that.
-func (w *asyncWriter) close() {
-	w.once.Do(func() { close(w.stop) })
+func (a *asyncWriter) close() {
+	a.once.Do(func() { close(a.stop) })
 	select {
-	case <-w.done:
+	case <-a.done:
 	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/adapter/logging/logging.go
+++ b/internal/adapter/logging/logging.go
@@ -14,7 +14,7 @@
 
 // Logger writes JSON lines.
 type Logger struct {
-	other *log.Logger
+	l *log.Logger
 	// served writes the lines about served requests, which may be dropped first.
 	served *log.Logger
 }
@@ -32,8 +32,8 @@
 func NewAsync(w io.Writer, role, id string) (*Logger, func()) {
 	b := newAsyncWriter(w, droppedLineFormatter(role, id))
 	l := &Logger{
-		other:  newLogger(limitedWriter{&b.otherLimit, b.otherQueue}, role, id),
-		served: newLogger(limitedWriter{&b.servedLimit, b.servedQueue}, role, id),
+		l:      newLogger(limitedWriter{&b.otherLimit, b.other}, role, id),
+		served: newLogger(limitedWriter{&b.servedLimit, b.served}, role, id),
 	}
 	return l, b.close
 }
@@ -74,18 +74,18 @@
 func Millis(key string, d time.Duration) Field { return Field{key, d.Milliseconds()} }
 
 // StateChange logs a change of state, at level info.
-func (l *Logger) StateChange(msg string, fields ...Field) { write(l.other.Info(), msg, fields) }
+func (l *Logger) StateChange(msg string, fields ...Field) { write(l.l.Info(), msg, fields) }
 
 // Failure logs a change to a failed state, at level error.
 func (l *Logger) Failure(msg string, err error, fields ...Field) {
-	write(l.other.Error().Err(err), msg, fields)
+	write(l.l.Error().Err(err), msg, fields)
 }
 
 // ServedRequest logs a request that was served, at level info.
 func (l *Logger) ServedRequest(msg string, fields ...Field) { write(l.served.Info(), msg, fields) }
 
 // FailedRequest logs a request that was not served, at level warn.
-func (l *Logger) FailedRequest(msg string, fields ...Field) { write(l.other.Warn(), msg, fields) }
+func (l *Logger) FailedRequest(msg string, fields ...Field) { write(l.l.Warn(), msg, fields) }
 
 func write(e *log.Entry, msg string, fields []Field) {
 	for _, f := range fields {
