--- /dev/null
+++ b/internal/adapter/loadudp/loadudp.go
@@ -0,0 +1,184 @@
+// Package loadudp sends the load of targets to the gateways in UDP datagrams.
+// The process next to each target sends load reports, and each gateway notifies the
+// other gateways of the requests that it sends. Delivery is not guaranteed: the next
+// report replaces a lost report, and also includes the request of a lost notice.
+//
+// All numbers are in network byte order; sizes are in bytes. A report has 30 bytes:
+// version (1), flags (1), IPv4 address and port of the target (6), start time of the
+// target in Unix milliseconds (8), version of its weights (8), and the numbers of
+// running requests, waiting requests and slots (2 each). A notice has 12 bytes:
+// version (1), reserved (1), IPv4 address and port of the target (6), and the number
+// of prompt tokens (4). The version also tells reports and notices apart.
+package loadudp
+
+import (
+	"context"
+	"encoding/binary"
+	"net"
+	"net/netip"
+
+	"github.com/pkg/errors"
+
+	"github.com/masticwing/masticwing/internal/core/fleet"
+	"github.com/masticwing/masticwing/internal/core/placement"
+)
+
+const (
+	reportVersion = 1
+	noticeVersion = 2
+	reportBytes   = 30
+	noticeBytes   = 12
+	flagLoading   = 1
+)
+
+// Notice tells the other gateways that the sender has sent a request to a target.
+type Notice struct {
+	Target       fleet.Address
+	PromptTokens int
+}
+
+// Report is the load of one target at the time of sending.
+type Report struct {
+	Target          fleet.Address
+	StartedAtMillis int64
+	WeightsVersion  int64
+	Load            placement.Load
+}
+
+func encodeTarget(version, flags byte, target fleet.Address) ([]byte, error) {
+	ap, err := netip.ParseAddrPort(string(target))
+	if err != nil || !ap.Addr().Is4() {
+		return nil, errors.Errorf("target %q has no IPv4 address", target)
+	}
+	ip := ap.Addr().As4()
+	b := make([]byte, 0, reportBytes)
+	b = append(b, version, flags)
+	b = append(b, ip[:]...)
+	return binary.BigEndian.AppendUint16(b, ap.Port()), nil
+}
+
+func decodeTarget(b []byte) fleet.Address {
+	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[2:6])), binary.BigEndian.Uint16(b[6:]))
+	return fleet.Address(addr.String())
+}
+
+func encodeNotice(n Notice) ([]byte, error) {
+	b, err := encodeTarget(noticeVersion, 0, n.Target)
+	return binary.BigEndian.AppendUint32(b, uint32(max(n.PromptTokens, 0))), err
+}
+
+func decodeNotice(b []byte) (Notice, bool) {
+	if len(b) != noticeBytes || b[0] != noticeVersion {
+		return Notice{}, false
+	}
+	return Notice{Target: decodeTarget(b), PromptTokens: int(binary.BigEndian.Uint32(b[8:]))}, true
+}
+
+func encodeReport(r Report) ([]byte, error) {
+	flags := byte(0)
+	if r.Load.Loading {
+		flags |= flagLoading
+	}
+	b, err := encodeTarget(reportVersion, flags, r.Target)
+	if err != nil {
+		return nil, err
+	}
+	b = binary.BigEndian.AppendUint64(b, uint64(r.StartedAtMillis))
+	b = binary.BigEndian.AppendUint64(b, uint64(r.WeightsVersion))
+	for _, n := range []int{r.Load.Running, r.Load.Waiting, r.Load.Slots} {
+		b = binary.BigEndian.AppendUint16(b, uint16(min(max(n, 0), 1<<16-1)))
+	}
+	return b, nil
+}
+
+func decodeReport(b []byte) (Report, bool) {
+	if len(b) != reportBytes || b[0] != reportVersion {
+		return Report{}, false
+	}
+	uint16At := func(offset int) int { return int(binary.BigEndian.Uint16(b[offset:])) }
+	return Report{
+		Target:          decodeTarget(b),
+		StartedAtMillis: int64(binary.BigEndian.Uint64(b[8:])),
+		WeightsVersion:  int64(binary.BigEndian.Uint64(b[16:])),
+		Load: placement.Load{
+			Running: uint16At(24), Waiting: uint16At(26), Slots: uint16At(28), Loading: b[1]&flagLoading != 0,
+		},
+	}, true
+}
+
+// Sender sends reports and notices.
+type Sender struct{ conn *net.UDPConn }
+
+// NewSender opens a UDP socket at ip, on a port that the system chooses.
+func NewSender(ip netip.Addr) (*Sender, error) {
+	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(ip, 0)))
+	return &Sender{c}, errors.Wrap(err, "opening UDP socket for load reports")
+}
+
+// SendReport sends a report to all addresses. An error for one address does not
+// stop the others; the last error is returned.
+func (s *Sender) SendReport(r Report, to []netip.AddrPort) error {
+	b, err := encodeReport(r)
+	if err != nil {
+		return err
+	}
+	return s.send(b, to)
+}
+
+// SendNotice sends a notice to all addresses. It handles errors like SendReport.
+func (s *Sender) SendNotice(n Notice, to []netip.AddrPort) error {
+	b, err := encodeNotice(n)
+	if err != nil {
+		return err
+	}
+	return s.send(b, to)
+}
+
+func (s *Sender) send(b []byte, to []netip.AddrPort) (err error) {
+	for _, a := range to {
+		if _, e := s.conn.WriteToUDPAddrPort(b, a); e != nil {
+			err = errors.Wrap(e, "sending datagram")
+		}
+	}
+	return err
+}
+
+// Close closes the socket.
+func (s *Sender) Close() error { return s.conn.Close() }
+
+// Handler handles received datagrams.
+type Handler interface {
+	HandleReport(r Report)
+	HandleNotice(n Notice)
+}
+
+// Receive passes the reports and notices received at addr to h until ctx ends. It
+// ignores other datagrams.
+func Receive(ctx context.Context, addr fleet.Address, h Handler) error {
+	ap, err := netip.ParseAddrPort(string(addr))
+	if err != nil {
+		return errors.Wrap(err, "parsing address for load reports")
+	}
+	c, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(ap))
+	if err != nil {
+		return errors.Wrap(err, "opening UDP socket for load reports")
+	}
+	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
+	defer stop()
+	buf := make([]byte, reportBytes+1)
+	for {
+		n, _, err := c.ReadFromUDPAddrPort(buf)
+		if ctx.Err() != nil {
+			return nil
+		}
+		if err != nil {
+			_ = c.Close()
+			return errors.Wrap(err, "receiving datagram")
+		}
+		if r, ok := decodeReport(buf[:n]); ok {
+			h.HandleReport(r)
+		} else if notice, ok := decodeNotice(buf[:n]); ok {
+			h.HandleNotice(notice)
+		}
+	}
+}
--- a/internal/adapter/loadcast/loadcast_test.go
+++ b/internal/adapter/loadudp/loadudp_test.go
@@ -1,4 +1,4 @@
-package loadcast
+package loadudp
 
 import (
 	"context"
@@ -13,13 +13,13 @@
 	"github.com/masticwing/masticwing/internal/core/placement"
 )
 
-type handler struct {
+type channelHandler struct {
 	reports chan Report
 	notices chan Notice
 }
 
-func (h handler) Reported(r Report) { h.reports <- r }
-func (h handler) Notified(n Notice) { h.notices <- n }
+func (h channelHandler) HandleReport(r Report) { h.reports <- r }
+func (h channelHandler) HandleNotice(n Notice) { h.notices <- n }
 
 // freeAddress returns an address at which nothing listens.
 func freeAddress(t *testing.T) netip.AddrPort {
@@ -32,11 +32,12 @@
 	return c.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// TestArrives guards against a field that is lost or mixed up on the way, and
-// against datagrams of others that end the receiver or are taken for a report.
-func TestArrives(t *testing.T) {
+// TestSendAndReceive guards against a field that is lost or swapped in the
+// encoding, and against foreign datagrams that stop the receiver or are decoded as a
+// report.
+func TestSendAndReceive(t *testing.T) {
 	to := freeAddress(t)
-	h := handler{make(chan Report, 1), make(chan Notice, 1)}
+	h := channelHandler{make(chan Report, 1), make(chan Notice, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -52,7 +53,7 @@
 	}
 	defer func() { _ = s.Close() }()
 	report := Report{
-		Target: "10.1.2.3:456", Started: 1767344219909, Weights: 7,
+		Target: "10.1.2.3:456", StartedAtMillis: 1767344219909, WeightsVersion: 7,
 		Load: placement.Load{Running: 12, Waiting: 3, Slots: 16, Loading: true},
 	}
 	notice := Notice{Target: "10.1.2.3:456", PromptTokens: 70000}
@@ -60,28 +61,28 @@
 		for _, junk := range [][]byte{nil, {1}, make([]byte, reportBytes), make([]byte, 500)} {
 			_, _ = s.conn.WriteToUDPAddrPort(junk, to)
 		}
-		if err := s.Report(report, []netip.AddrPort{to}); err != nil {
+		if err := s.SendReport(report, []netip.AddrPort{to}); err != nil {
 			continue // the receiver does not listen yet
 		}
-		if err := s.Notify(notice, []netip.AddrPort{to}); err != nil {
+		if err := s.SendNotice(notice, []netip.AddrPort{to}); err != nil {
 			continue
 		}
 		select {
 		case r := <-h.reports:
 			if n := <-h.notices; r != report || n != notice {
-				t.Errorf("%+v, %+v", r, n)
+				t.Errorf("received report %+v and notice %+v", r, n)
 			}
 			cancel()
-			// Further datagrams may be on their way.
-			wg.Go(func() { drain(h) })
+			// Unblocks the receiver if it handles further datagrams.
+			wg.Go(func() { discardPending(h) })
 			return
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
-	t.Fatal("nothing arrived")
+	t.Fatal("no datagram was received")
 }
 
-func drain(h handler) {
+func discardPending(h channelHandler) {
 	for {
 		select {
 		case <-h.reports:
@@ -92,11 +93,12 @@
 	}
 }
 
-// TestBadTarget guards against a report of a target that the format cannot name.
-func TestBadTarget(t *testing.T) {
+// TestUnsupportedTargetAddress guards against a report about a target whose address
+// the format cannot hold.
+func TestUnsupportedTargetAddress(t *testing.T) {
 	for _, a := range []fleet.Address{"", "host:80", "[::1]:80"} {
 		if _, err := encodeReport(Report{Target: a}); err == nil {
-			t.Errorf("%q is encoded", a)
+			t.Errorf("target %q was encoded, want an error", a)
 		}
 	}
 }
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -11,7 +11,7 @@
 
 	"github.com/sourcegraph/conc"
 
-	"github.com/masticwing/masticwing/internal/adapter/loadcast"
+	"github.com/masticwing/masticwing/internal/adapter/loadudp"
 	"github.com/masticwing/masticwing/internal/adapter/logging"
 	"github.com/masticwing/masticwing/internal/app/feed"
 	"github.com/masticwing/masticwing/internal/app/follow"
@@ -54,7 +54,7 @@
 	// applyOperatorKeys publishes changes of the operator keys, which are the store's keys
 	// that operators write, to other processes and applies them to the view.
 	applyOperatorKeys func(follow.Event)
-	noticeSender      atomic.Pointer[loadcast.Sender]
+	noticeSender      atomic.Pointer[loadudp.Sender]
 }
 
 var _ port.InboundHandler = (*Gateway)(nil)
--- a/internal/app/loader/loader.go
+++ b/internal/app/loader/loader.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 	"github.com/sourcegraph/conc"
 
-	"github.com/masticwing/masticwing/internal/adapter/loadcast"
+	"github.com/masticwing/masticwing/internal/adapter/loadudp"
 	"github.com/masticwing/masticwing/internal/adapter/logging"
 	"github.com/masticwing/masticwing/internal/adapter/rpc"
 	"github.com/masticwing/masticwing/internal/app/chunks"
@@ -123,7 +123,7 @@
 	if err != nil {
 		return errors.Wrap(err, "parsing the internal address")
 	}
-	sender, err := loadcast.NewSender(ip.Addr())
+	sender, err := loadudp.NewSender(ip.Addr())
 	if err != nil {
 		return err
 	}
@@ -166,8 +166,8 @@
 )
 
 // reportLoad queries the engine's load and sends it to the gateways until ctx ends.
-func (l *Loader) reportLoad(ctx context.Context, sender *loadcast.Sender) {
-	var last loadcast.Report
+func (l *Loader) reportLoad(ctx context.Context, sender *loadudp.Sender) {
+	var last loadudp.Report
 	var lastAt time.Time
 	lost := false
 	for ctx.Err() == nil {
@@ -188,7 +188,7 @@
 			report := l.loadReport(r)
 			if report != last || now.Sub(lastAt) >= maxReportInterval {
 				last, lastAt = report, now
-				if err := sender.Report(report, l.view.gateways()); err != nil {
+				if err := sender.SendReport(report, l.view.gateways()); err != nil {
 					l.deps.Metrics.Count("loader_reports_unsent_total", 1)
 				}
 			}
@@ -218,12 +218,12 @@
 }
 
 // loadReport returns the load report for the gateways.
-func (l *Loader) loadReport(r port.EngineReport) loadcast.Report {
-	out := loadcast.Report{Target: l.settings.Engine, Started: r.Started, Load: placement.Load{
+func (l *Loader) loadReport(r port.EngineReport) loadudp.Report {
+	out := loadudp.Report{Target: l.settings.Engine, StartedAtMillis: r.Started, Load: placement.Load{
 		Running: r.Running, Waiting: r.Waiting, Slots: l.view.slots(), Loading: r.Busy,
 	}}
 	for _, h := range r.Held {
-		out.Weights = max(out.Weights, h.Number)
+		out.WeightsVersion = max(out.WeightsVersion, h.Number)
 	}
 	return out
 }
