--- a/internal/app/agent/orders.go
+++ b/internal/app/agent/orders.go
@@ -62,9 +62,9 @@
 		decision = o.gate.NextStep(o.a.deps.Clock.Now())
 	}
 	switch decision.Step {
-	case rollout.GiveOrder:
+	case rollout.SendOrder:
 		return false, o.runOrder(ctx, action, decision)
-	case rollout.HoldOrder:
+	case rollout.DeferOrder:
 		select {
 		case <-o.a.deps.Clock.After(decision.Wait):
 		case <-ctx.Done():
--- a/internal/app/agent/orders_test.go
+++ b/internal/app/agent/orders_test.go
@@ -106,7 +106,7 @@
 		c := &skipClock{time.Unix(1000, 0)}
 		e := porttest.NewEngine()
 		o := newTestOrderer(c, porttest.NewKV(c.Now), e, 1)
-		decision := rollout.Decision{Step: rollout.GiveOrder, Fence: 5, ValidUntil: c.now.Add(time.Second), Leased: leased}
+		decision := rollout.Decision{Step: rollout.SendOrder, Fence: 5, ValidUntil: c.now.Add(time.Second), Leased: leased}
 		c.now = decision.ValidUntil
 		for _, action := range []rollout.Action{unload, {Kind: rollout.Load, Ref: rollout.Ref{Version: "v1"}}} {
 			if err := o.runOrder(context.Background(), action, decision); !errors.Is(err, errLeaseLost) || len(e.Orders()) > 0 {
--- a/internal/core/explain/explain.go
+++ b/internal/core/explain/explain.go
@@ -60,8 +60,8 @@
 	// refuses API keys 5 s after their last confirmation, and an engine changes its
 	// weights within 8 s.
 	lookback = 10 * time.Second
-	// failureWindow is the time failureWindow a request in which failures of other requests at
-	// its target count.
+	// failureWindow is the time before and after the end of a request in which
+	// failures of other requests at its target are included.
 	failureWindow = 5 * time.Second
 )
 
--- a/internal/core/rollout/gate.go
+++ b/internal/core/rollout/gate.go
@@ -14,17 +14,17 @@
 	leaseMargin = 500 * time.Millisecond
 )
 
-// Step is what an agent has to do next in order to give an order.
+// Step is what an agent has to do next before it may send an order.
 type Step uint8
 
 // Steps before an order.
 const (
 	// AcquireLease means that the order lease has to be acquired from the platform.
 	AcquireLease Step = iota
-	// HoldOrder means that no order may be given before Decision.Wait has passed.
-	HoldOrder
-	// GiveOrder means that an order may be given now under Decision.Fence.
-	GiveOrder
+	// DeferOrder means that no order may be sent before Decision.Wait has passed.
+	DeferOrder
+	// SendOrder means that an order may be sent now with Decision.Fence.
+	SendOrder
 )
 
 // Decision is the result of OrderGate.NextStep.
@@ -38,11 +38,11 @@
 	// ValidUntil is the time until which the order may be sent. It is computed from
 	// the time of the decision, so that it includes any pause after the decision.
 	ValidUntil time.Time
-	// Leased reports whether the order is given under a lease.
+	// Leased reports whether the order is sent under a lease.
 	Leased bool
 }
 
-// OrderGate decides whether an agent may give its engine an order. All times are
+// OrderGate decides whether an agent may send an order to its engine. All times are
 // readings of the monotonic clock, so an agent that was paused past the end of its
 // lease detects that the lease has lapsed. An OrderGate is not safe for concurrent
 // use.
@@ -89,7 +89,7 @@
 }
 
 // LeaseRefused records that another agent holds the lease. If the platform becomes
-// unreachable, that lease has to lapse before this agent may give an order.
+// unreachable, that lease has to lapse before this agent may send an order.
 func (g *OrderGate) LeaseRefused(now time.Time) {
 	g.lastFailure, g.unreachable = now, false
 	g.lapsedAt = now.Add(LeaseDuration)
@@ -107,39 +107,39 @@
 	g.lastFailure, g.unreachable = now, true
 }
 
-// LeaseHeld reports whether an order may be given under the lease now.
+// LeaseHeld reports whether an order may be sent under the lease now.
 func (g *OrderGate) LeaseHeld(now time.Time) bool { return g.leaseUntil.Sub(now) > leaseMargin }
 
 // NextStep returns the next step towards an order. While the platform is
-// unreachable, an order may be given once every lease of this VM has lapsed. Its
+// unreachable, an order may be sent once every lease of this VM has lapsed. Its
 // fencing number is then the engine's plus one. If the engine reports a higher
 // number than this agent's last one, another agent has taken over, and this agent
-// gives no more orders.
+// sends no more orders.
 func (g *OrderGate) NextStep(now time.Time) Decision {
 	retryWait := retryInterval - now.Sub(g.lastFailure)
 	switch {
 	case g.LeaseHeld(now):
 		g.lastFence = g.nextFence()
-		return Decision{Step: GiveOrder, Fence: g.lastFence, ValidUntil: g.leaseUntil.Add(-leaseMargin), Leased: true}
+		return Decision{Step: SendOrder, Fence: g.lastFence, ValidUntil: g.leaseUntil.Add(-leaseMargin), Leased: true}
 	case g.lastFailure.IsZero() || retryWait <= 0:
 		// A new attempt is also made before each order without a lease.
 		return Decision{Step: AcquireLease}
 	case g.unreachable && !now.Before(g.lapsedAt) && !g.superseded():
 		g.lastFence = g.engineFence + 1
-		return Decision{Step: GiveOrder, Fence: g.lastFence, ValidUntil: now.Add(LeaseDuration - leaseMargin)}
+		return Decision{Step: SendOrder, Fence: g.lastFence, ValidUntil: now.Add(LeaseDuration - leaseMargin)}
 	default:
-		return Decision{Step: HoldOrder, Wait: max(retryWait, time.Millisecond)}
+		return Decision{Step: DeferOrder, Wait: max(retryWait, time.Millisecond)}
 	}
 }
 
 // superseded reports whether the engine received an order of another agent after
-// this agent's last one. This agent then gives no order without the platform.
+// this agent's last one. This agent then sends no order without the platform.
 func (g *OrderGate) superseded() bool { return g.lastFence > 0 && g.engineFence > g.lastFence }
 
 // nextFence returns the fencing number of an order under a valid lease: the lease's
 // revision, unless orders without the platform have raised the engine's number above
 // it. Then it is one more than the engine's, which is safe, since only the holder of
-// the lease gives orders.
+// the lease sends orders.
 func (g *OrderGate) nextFence() int64 {
 	if g.leaseFence < g.engineFence {
 		g.leaseFence = g.engineFence + 1
--- a/internal/core/rollout/rollout.go
+++ b/internal/core/rollout/rollout.go
@@ -55,7 +55,7 @@
 
 // Kinds of actions.
 const (
-	// NoAction means that there is no order to give until the next event.
+	// NoAction means that there is no order to send until the next event.
 	NoAction Kind = iota
 	// Load orders the engine to load a version.
 	Load
@@ -144,7 +144,7 @@
 	}
 }
 
-// OrderStarted is the event that an order was given to the engine.
+// OrderStarted is the event that an order was sent to the engine.
 func OrderStarted(a Action) Event { return func(m *StateMachine) { m.currentOrder = a } }
 
 // OrderEnded is the event that the order succeeded or failed. The next report of the
--- a/internal/core/rollout/rollout_test.go
+++ b/internal/core/rollout/rollout_test.go
@@ -207,13 +207,13 @@
 	}
 }
 
-// TestOrderGate guards against an order that is given without a valid lease, before
+// TestOrderGate guards against an order that is sent without a valid lease, before
 // an unknown lease has lapsed, or with a fencing number that the engine refuses.
 func TestOrderGate(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	expect := func(g *OrderGate, now time.Time, want Step, fence int64) {
 		t.Helper()
-		if d := g.NextStep(now); d.Step != want || d.Fence != fence || want == HoldOrder && d.Wait <= 0 {
+		if d := g.NextStep(now); d.Step != want || d.Fence != fence || want == DeferOrder && d.Wait <= 0 {
 			t.Fatalf("at %v got %+v, want step %d fence %d", now.Sub(t0), d, want, fence)
 		}
 	}
@@ -222,50 +222,50 @@
 	g := NewOrderGate(t0)
 	expect(&g, t0, AcquireLease, 0)
 	g.LeaseAcquired(7, t0)
-	expect(&g, at(time.Second), GiveOrder, 7)
+	expect(&g, at(time.Second), SendOrder, 7)
 	expect(&g, at(LeaseDuration), AcquireLease, 0) // paused past the end of the lease
 	g.SetEngineFence(20)
 	g.LeaseAcquired(9, at(LeaseDuration))
-	expect(&g, at(LeaseDuration), GiveOrder, 21)
+	expect(&g, at(LeaseDuration), SendOrder, 21)
 
 	g = NewOrderGate(t0)
 	g.SetEngineFence(4)
 	g.PlatformUnreachable(at(time.Millisecond))
-	expect(&g, at(2*time.Millisecond), HoldOrder, 0)
+	expect(&g, at(2*time.Millisecond), DeferOrder, 0)
 	g.PlatformUnreachable(at(LeaseDuration - time.Millisecond))
-	expect(&g, at(LeaseDuration-time.Millisecond), HoldOrder, 0)
+	expect(&g, at(LeaseDuration-time.Millisecond), DeferOrder, 0)
 	g.PlatformUnreachable(at(LeaseDuration))
-	expect(&g, at(LeaseDuration), HoldOrder, 0) // a lease acquired just before the outage is still valid
+	expect(&g, at(LeaseDuration), DeferOrder, 0) // a lease acquired just before the outage is still valid
 	g.PlatformUnreachable(at(LeaseDuration + time.Millisecond))
-	expect(&g, at(LeaseDuration+time.Millisecond), GiveOrder, 5)
+	expect(&g, at(LeaseDuration+time.Millisecond), SendOrder, 5)
 
 	g = NewOrderGate(t0)
 	g.LeaseRefused(at(time.Minute))
-	expect(&g, at(time.Minute), HoldOrder, 0)
+	expect(&g, at(time.Minute), DeferOrder, 0)
 	expect(&g, at(time.Minute+retryInterval), AcquireLease, 0)
 	g.PlatformUnreachable(at(time.Minute + retryInterval))
-	expect(&g, at(time.Minute+retryInterval), HoldOrder, 0)
+	expect(&g, at(time.Minute+retryInterval), DeferOrder, 0)
 	g.PlatformUnreachable(at(time.Minute + LeaseDuration))
-	expect(&g, at(time.Minute+LeaseDuration), HoldOrder, 0)
+	expect(&g, at(time.Minute+LeaseDuration), DeferOrder, 0)
 	g.PlatformUnreachable(at(time.Minute + retryInterval + LeaseDuration))
-	expect(&g, at(time.Minute+retryInterval+LeaseDuration), GiveOrder, 1)
+	expect(&g, at(time.Minute+retryInterval+LeaseDuration), SendOrder, 1)
 
-	// Another agent gave an order in between. An engine that restarted reports none.
+	// Another agent sent an order in between. An engine that restarted reports none.
 	g.SetEngineFence(2)
 	g.PlatformUnreachable(at(time.Minute + 2*LeaseDuration))
-	expect(&g, at(time.Minute+2*LeaseDuration), HoldOrder, 0)
+	expect(&g, at(time.Minute+2*LeaseDuration), DeferOrder, 0)
 	g.SetEngineFence(0)
-	expect(&g, at(time.Minute+2*LeaseDuration), GiveOrder, 1)
+	expect(&g, at(time.Minute+2*LeaseDuration), SendOrder, 1)
 
 	// The agent's own lease lapsed long ago; another agent may have acquired one since.
 	g = NewOrderGate(t0)
 	g.LeaseAcquired(7, t0)
 	g.PlatformUnreachable(at(time.Minute))
-	expect(&g, at(time.Minute), HoldOrder, 0)
+	expect(&g, at(time.Minute), DeferOrder, 0)
 	g.PlatformUnreachable(at(time.Minute + LeaseDuration))
-	expect(&g, at(time.Minute+LeaseDuration), GiveOrder, 1)
+	expect(&g, at(time.Minute+LeaseDuration), SendOrder, 1)
 	g.PlatformUnreachable(at(time.Hour)) // the platform may have been reachable in between
-	expect(&g, at(time.Hour), HoldOrder, 0)
+	expect(&g, at(time.Hour), DeferOrder, 0)
 }
 
 // TestOrderValidityLapses guards against an order that is sent although the process
@@ -282,7 +282,7 @@
 		d := g.NextStep(t0)
 		var v OrderValidity
 		v.Start(d)
-		if d.Step != GiveOrder || v.Lapsed(end.Add(-1)) || !v.Lapsed(end) {
+		if d.Step != SendOrder || v.Lapsed(end.Add(-1)) || !v.Lapsed(end) {
 			t.Fatalf("%s: decision %+v ends at another time than %v", name, d, end)
 		}
 		v.ExtendUnleased(end)
--- a/internal/port/store.go
+++ b/internal/port/store.go
@@ -99,9 +99,10 @@
 	Age time.Duration
 }
 
-// ErrFeedRefused means that the other process replied that it cannot relay changes
-// at present.
-var ErrFeedRefused = errors.New("process does not relay store changes at present")
+// ErrFeedRefused means that the other process replied that it cannot serve changes
+// at present. Its text ends the refusals that processes send to each other, and the
+// receiver removes it from there, so it must not differ between releases.
+var ErrFeedRefused = errors.New("process passes no changes on")
 
 // FeedClient reads changes of the store from another process.
 type FeedClient interface {
@@ -109,9 +110,9 @@
 	Feed(ctx context.Context, addr fleet.Address, r FeedRequest) (FeedReply, error)
 }
 
-// FeedHandler relays changes of the store to other processes.
+// FeedHandler serves changes of the store to other processes.
 type FeedHandler interface {
-	// Feed waits for changes. It returns ErrFeedRefused if it cannot relay any.
+	// Feed waits for changes. It returns ErrFeedRefused if it cannot serve any.
 	Feed(ctx context.Context, r FeedRequest) (FeedReply, error)
 }
 
