--- a/internal/adapter/httpapi/httpapi.go
+++ b/internal/adapter/httpapi/httpapi.go
@@ -172,7 +172,7 @@
 // IdleConnections returns the number of connections without a request in progress.
 func (a *API) IdleConnections() int { return a.connTracker.idle() }
 
-// BytesHeld returns the bytes that are counted for bodies and answers of callers.
+// BytesHeld returns the bytes reserved for bodies and answers of callers.
 func (a *API) BytesHeld() int64 { return a.callerMemory.bytes.Total() }
 
 // Handler returns the handler of all paths.
@@ -291,7 +291,7 @@
 
 // readBody reserves memory for the body and reads it. It returns the bytes reserved,
 // also with an error.
-func (x *exchange) readBody(hr *http.Request) (held int64, err error) {
+func (x *exchange) readBody(hr *http.Request) (reserved int64, err error) {
 	limit := x.api.cfg.MaxBody
 	if hr.ContentLength > limit {
 		return 0, verdict.New(verdict.NotRun, verdict.CodeTooLarge, "body is larger than %d bytes", limit)
@@ -305,22 +305,22 @@
 	var buf []byte
 	for {
 		if err := x.api.callerMemory.reserveBody(x.caller, step); err != nil {
-			return held, err
+			return reserved, err
 		}
-		held += step
-		grown := make([]byte, held)
+		reserved += step
+		grown := make([]byte, reserved)
 		n := copy(grown, buf)
 		m, err := io.ReadFull(hr.Body, grown[n:])
 		buf = grown[:n+m]
-		step = held
+		step = reserved
 		switch {
 		case int64(len(buf)) > limit:
-			return held, verdict.New(verdict.NotRun, verdict.CodeTooLarge, "body is larger than %d bytes", limit)
+			return reserved, verdict.New(verdict.NotRun, verdict.CodeTooLarge, "body is larger than %d bytes", limit)
 		case hr.ContentLength >= 0 && err == nil, hr.ContentLength < 0 && isEOF(err):
 			x.r.Body = buf
-			return held, nil
+			return reserved, nil
 		case err != nil:
-			return held, badRequest("body cannot be read")
+			return reserved, badRequest("body cannot be read")
 		}
 	}
 }
--- a/internal/adapter/rpc/pool.go
+++ b/internal/adapter/rpc/pool.go
@@ -143,21 +143,21 @@
 
 func newRecvWatchdog(ctx context.Context) (context.Context, *recvWatchdog) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	s := &recvWatchdog{cancel: cancel}
-	s.timer = time.AfterFunc(HeartbeatTimeout, func() { cancel(errHeartbeatTimeout) })
-	s.timer.Stop()
-	return ctx, s
+	w := &recvWatchdog{cancel: cancel}
+	w.timer = time.AfterFunc(HeartbeatTimeout, func() { cancel(errHeartbeatTimeout) })
+	w.timer.Stop()
+	return ctx, w
 }
 
 // run calls receive with the timer running.
-func (s *recvWatchdog) run(receive func() error) error {
-	s.timer.Reset(HeartbeatTimeout)
+func (w *recvWatchdog) run(receive func() error) error {
+	w.timer.Reset(HeartbeatTimeout)
 	err := receive()
-	s.timer.Stop()
+	w.timer.Stop()
 	return err
 }
 
-func (s *recvWatchdog) close() {
-	s.timer.Stop()
-	s.cancel(context.Canceled)
+func (w *recvWatchdog) close() {
+	w.timer.Stop()
+	w.cancel(context.Canceled)
 }
