--- a/internal/adapter/loadudp/loadudp.go
+++ b/internal/adapter/loadudp/loadudp.go
@@ -39,10 +39,12 @@
 
 // Report is the load of one target at the time of sending.
 type Report struct {
-	Target          fleet.Address
-	StartedAtMillis int64
-	WeightsVersion  int64
-	Load            placement.Load
+	Target fleet.Address
+	// Started is the start time of the target, in Unix milliseconds.
+	Started int64
+	// Weights is the version of the weights that the target holds.
+	Weights int64
+	Load    placement.Load
 }
 
 func encodeTarget(version, flags byte, target fleet.Address) ([]byte, error) {
@@ -83,8 +85,8 @@
 	if err != nil {
 		return nil, err
 	}
-	b = binary.BigEndian.AppendUint64(b, uint64(r.StartedAtMillis))
-	b = binary.BigEndian.AppendUint64(b, uint64(r.WeightsVersion))
+	b = binary.BigEndian.AppendUint64(b, uint64(r.Started))
+	b = binary.BigEndian.AppendUint64(b, uint64(r.Weights))
 	for _, n := range []int{r.Load.Running, r.Load.Waiting, r.Load.Slots} {
 		b = binary.BigEndian.AppendUint16(b, uint16(min(max(n, 0), 1<<16-1)))
 	}
@@ -97,9 +99,9 @@
 	}
 	uint16At := func(offset int) int { return int(binary.BigEndian.Uint16(b[offset:])) }
 	return Report{
-		Target:          decodeTarget(b),
-		StartedAtMillis: int64(binary.BigEndian.Uint64(b[8:])),
-		WeightsVersion:  int64(binary.BigEndian.Uint64(b[16:])),
+		Target:  decodeTarget(b),
+		Started: int64(binary.BigEndian.Uint64(b[8:])),
+		Weights: int64(binary.BigEndian.Uint64(b[16:])),
 		Load: placement.Load{
 			Running: uint16At(24), Waiting: uint16At(26), Slots: uint16At(28), Loading: b[1]&flagLoading != 0,
 		},
--- a/internal/adapter/loadudp/loadudp_test.go
+++ b/internal/adapter/loadudp/loadudp_test.go
@@ -53,7 +53,7 @@
 	}
 	defer func() { _ = s.Close() }()
 	report := Report{
-		Target: "10.1.2.3:456", StartedAtMillis: 1767344219909, WeightsVersion: 7,
+		Target: "10.1.2.3:456", Started: 1767344219909, Weights: 7,
 		Load: placement.Load{Running: 12, Waiting: 3, Slots: 16, Loading: true},
 	}
 	notice := Notice{Target: "10.1.2.3:456", PromptTokens: 70000}
--- a/internal/app/loader/loader.go
+++ b/internal/app/loader/loader.go
@@ -219,11 +219,11 @@
 
 // loadReport returns the load report for the gateways.
 func (l *Loader) loadReport(r port.EngineReport) loadudp.Report {
-	out := loadudp.Report{Target: l.settings.Engine, StartedAtMillis: r.Started, Load: placement.Load{
+	out := loadudp.Report{Target: l.settings.Engine, Started: r.Started, Load: placement.Load{
 		Running: r.Running, Waiting: r.Waiting, Slots: l.view.slots(), Loading: r.Busy,
 	}}
 	for _, h := range r.Held {
-		out.WeightsVersion = max(out.WeightsVersion, h.Number)
+		out.Weights = max(out.Weights, h.Number)
 	}
 	return out
 }
