--- a/internal/adapter/inifile/document.go
+++ b/internal/adapter/inifile/document.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// MaxDocumentBytes is the platform's limit of a value.
+	// MaxDocumentBytes is the largest value that the platform stores.
 	MaxDocumentBytes = 1 << 20
-	// MaxHistory is the number of changes that a document remembers. An
-	// operator whose answer was lost finds the write id there unless 32 others
-	// have changed the document since.
+	// MaxHistory is the number of changes kept in a document. An operator who
+	// got no response to a write looks up its write id there, which works until
+	// 32 further changes have been made.
 	MaxHistory = 32
-	// Key is the platform's key of the document.
-	Key = "config/current"
+	// DocumentKey is the key under which the platform stores the document.
+	DocumentKey = "config/current"
 )
 
-// ErrTooLarge means that a document exceeds the platform's limit of a value.
+// ErrTooLarge means that a document exceeds MaxDocumentBytes.
 var ErrTooLarge = errors.New("document exceeds 1 MB")
 
-// ChangeRecord is one accepted change.
+// ChangeRecord describes one accepted change of the document.
 type ChangeRecord struct {
 	Revision uint64    `json:"revision"`
 	WriteID  string    `json:"write_id"`
@@ -44,14 +44,15 @@
 	WriteID  string         `json:"write_id"`
 	Config   string         `json:"config"`
 	History  []ChangeRecord `json:"history"`
-	// CordonedDomains and CordonedVMs are set by command and kept by apply.
+	// CordonedDomains and CordonedVMs are changed by the cordon commands; applying
+	// a new configuration keeps them.
 	CordonedDomains []string `json:"cordoned_domains"`
 	CordonedVMs     []string `json:"cordoned_vms"`
 }
 
-// Next returns a copy of d as the change c leaves it. The revision rises by
-// one and c is the newest of the history.
-func (d Document) Next(c ChangeRecord) Document {
+// WithChange returns a copy of d with the next revision, and with c as the newest
+// entry of its history.
+func (d Document) WithChange(c ChangeRecord) Document {
 	c.Revision = d.Revision + 1
 	n := d
 	n.Revision, n.WriteID = c.Revision, c.WriteID
@@ -63,8 +64,8 @@
 	return n
 }
 
-// Wrote returns the change with the write id, if the document contains it.
-func (d Document) Wrote(writeID string) (ChangeRecord, bool) {
+// FindChange returns the change with the given write id, if it is in the history.
+func (d Document) FindChange(writeID string) (ChangeRecord, bool) {
 	for _, c := range d.History {
 		if c.WriteID == writeID {
 			return c, true
@@ -73,12 +74,13 @@
 	return ChangeRecord{}, false
 }
 
-// gzipMagic starts the stored form. A document without it is read as plain
-// JSON.
+// gzipMagic is the prefix of a compressed document. A document without it is
+// read as plain JSON.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// Encode returns the stored form, JSON compressed with gzip. Every process
-// gets it once per change and passes it on about once, as it is.
+// Encode returns the stored form, JSON compressed with gzip. Compression also
+// saves traffic between processes: each process receives this form once per
+// change and forwards it unchanged about once.
 func (d Document) Encode() ([]byte, error) {
 	b, err := json.Marshal(d)
 	if err != nil {
@@ -98,9 +100,9 @@
 	return out.Bytes(), nil
 }
 
-// inflate returns the JSON of a stored form, of at most MaxDocumentBytes and
-// one.
-func inflate(b []byte) ([]byte, error) {
+// decompress returns the JSON of a stored document. It stops after
+// MaxDocumentBytes+1 bytes, so that the caller detects a document that is too large.
+func decompress(b []byte) ([]byte, error) {
 	if !bytes.HasPrefix(b, gzipMagic) {
 		return b, nil
 	}
@@ -112,10 +114,10 @@
 	return out, errors.Wrap(err, "decompressing document")
 }
 
-// DecodeDocument reads the stored form without its configuration.
+// DecodeDocument decodes a stored document, but does not parse its configuration.
 func DecodeDocument(b []byte) (Document, error) {
 	var d Document
-	b, err := inflate(b)
+	b, err := decompress(b)
 	if err != nil {
 		return d, err
 	}
@@ -134,7 +136,7 @@
 	return d, nil
 }
 
-// Declaration parses the configuration of d and adds the cordons.
+// Declaration parses the configuration of d and adds the cordons of d.
 func (d Document) Declaration() (*declare.Declaration, []declare.Fault) {
 	decl, faults := Parse([]File{{Text: d.Config}})
 	if len(faults) > 0 {
@@ -150,7 +152,7 @@
 	return decl, nil
 }
 
-// Decode reads the stored form with its configuration.
+// Decode decodes a stored document and parses its configuration.
 func Decode(b []byte) (*declare.Declaration, error) {
 	d, err := DecodeDocument(b)
 	if err != nil {
@@ -163,13 +165,13 @@
 	return decl, nil
 }
 
-// Cordon returns list with or without name, sorted.
-func Cordon(list []string, name string, on bool) []string {
+// SetCordon returns the sorted names with name added or removed.
+func SetCordon(names []string, name string, cordoned bool) []string {
 	set := map[string]bool{}
-	for _, x := range list {
+	for _, x := range names {
 		set[x] = true
 	}
-	if set[name] = true; !on {
+	if set[name] = true; !cordoned {
 		delete(set, name)
 	}
 	return slices.Sorted(maps.Keys(set))
--- a/internal/adapter/inifile/inifile_test.go
+++ b/internal/adapter/inifile/inifile_test.go
@@ -43,7 +43,7 @@
 call.log = once
 `
 
-// TestParse guards against a section that is read into the wrong field.
+// TestParse guards against values that are assigned to the wrong field.
 func TestParse(t *testing.T) {
 	d, faults := Parse([]File{{"all.ini", example}})
 	if len(faults) > 0 {
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestAllFaultsAtOnce guards against a fault that is found only after the one
-// before it was corrected, and against a fault without its place.
-func TestAllFaultsAtOnce(t *testing.T) {
+// TestParseReportsAllFaults guards against faults that are reported only after
+// earlier ones have been corrected, and against faults without file, section or key.
+func TestParseReportsAllFaults(t *testing.T) {
 	_, faults := Parse([]File{
 		{"a.ini", "stray = 1\n[customer x]\nshare = many\nshares = 1\n[zone b]\n"},
 		{"b.ini", "[customer x]\n[group g]\nvms = a in b\nmax_bytes = 1\nmax_bytes = 2\n[domain a]\nout = maybe\n"},
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestCrossSectionFaults guards against a rule without a model or version and
-// a fault that names no file.
+// TestCrossSectionFaults guards against accepting inconsistent sections, such as
+// a rule without a matching model or version, and against faults that name no file.
 func TestCrossSectionFaults(t *testing.T) {
 	for text, key := range map[string]string{
 		strings.Replace(example, "version = 2026-12", "version = 2027", 1):               "version",
@@ -98,12 +98,12 @@
 	}
 }
 
-// TestDocument guards against a history that grows without bound, a write id
-// that is not found again, and a document over the platform's limit.
+// TestDocument guards against a history that grows without limit, a recent write
+// id that is not found, and a document that exceeds the platform's limit.
 func TestDocument(t *testing.T) {
 	d := Document{Config: example, CordonedDomains: []string{"a"}}
 	for i := range MaxHistory + 5 {
-		d = d.Next(ChangeRecord{WriteID: fmt.Sprint("w", i)})
+		d = d.WithChange(ChangeRecord{WriteID: fmt.Sprint("w", i)})
 	}
 	b, err := d.Encode()
 	if err != nil {
@@ -113,10 +113,10 @@
 	if err != nil || len(got.History) != MaxHistory || got.Revision != MaxHistory+5 {
 		t.Fatalf("decoded = %+v, %v", got, err)
 	}
-	if _, ok := got.Wrote("w36"); !ok {
+	if _, ok := got.FindChange("w36"); !ok {
 		t.Error("newest write not found")
 	}
-	if _, ok := got.Wrote("w4"); ok {
+	if _, ok := got.FindChange("w4"); ok {
 		t.Error("oldest write still present")
 	}
 	decl, err := Decode(b)
@@ -129,8 +129,8 @@
 	}
 }
 
-// FuzzParse guards against a text that makes the parser panic or hang, and against a
-// joined text that reads differently from its file.
+// FuzzParse guards against a panic or hang of the parser, and against a joined text
+// that parses differently from its files.
 func FuzzParse(f *testing.F) {
 	f.Add(example)
 	f.Add("[group x]\nvms = \"\"\"a\n")
@@ -154,9 +154,9 @@
 	})
 }
 
-// FuzzDecode guards against a stored document that makes a process panic.
+// FuzzDecode guards against a panic on a corrupted stored document.
 func FuzzDecode(f *testing.F) {
-	b, _ := Document{Config: example}.Next(ChangeRecord{WriteID: "w"}).Encode()
+	b, _ := Document{Config: example}.WithChange(ChangeRecord{WriteID: "w"}).Encode()
 	f.Add(b)
 	f.Add([]byte(`{"revision":1,"config":"[vm"}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -167,27 +167,27 @@
 	})
 }
 
-// TestStoredForm guards against a stored form that is not compressed, that
-// grows beyond the bound when it is read, or that is cut, and against a plain
-// one that is refused.
-func TestStoredForm(t *testing.T) {
+// TestDocumentCompression guards against documents that are stored uncompressed, against
+// accepting truncated ones and ones that exceed the limit when decompressed, and
+// against rejecting plain JSON.
+func TestDocumentCompression(t *testing.T) {
 	d := Document{Revision: 1, Config: strings.Repeat("[domain a]\nregion = r\n", 100)}
 	b, err := d.Encode()
 	if err != nil || len(b) > len(d.Config)/4 {
 		t.Fatalf("%d bytes for a configuration of %d: %v", len(b), len(d.Config), err)
 	}
 	if _, err := DecodeDocument(b[:len(b)-4]); err == nil {
-		t.Error("a cut document was accepted")
+		t.Error("a truncated document was accepted")
 	}
-	plain, _ := inflate(b)
+	plain, _ := decompress(b)
 	if got, err := DecodeDocument(plain); err != nil || got.Config != d.Config {
-		t.Errorf("plain form: %v", err)
+		t.Errorf("plain JSON: %v", err)
 	}
 	var bomb bytes.Buffer
 	w := gzip.NewWriter(&bomb)
 	_, _ = w.Write(make([]byte, 4*MaxDocumentBytes))
 	_ = w.Close()
 	if _, err := DecodeDocument(bomb.Bytes()); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("4 MB in %d bytes: %v, want ErrTooLarge", bomb.Len(), err)
+		t.Errorf("document of 4 MB compressed to %d bytes: %v, want ErrTooLarge", bomb.Len(), err)
 	}
 }
--- a/internal/adapter/inifile/parse.go
+++ b/internal/adapter/inifile/parse.go
@@ -1,5 +1,6 @@
-// Package inifile reads declarations from INI files and encodes the document
-// that the platform stores. All faults of all files are reported at once.
+// Package inifile parses declarations in INI files, and encodes and decodes the
+// document in which the platform stores a declaration. Parsing reports the faults
+// of all files together.
 package inifile
 
 import (
@@ -12,45 +13,47 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// File is one file of a declaration.
+// File is an INI file that holds all or a part of a declaration.
 type File struct {
 	Name string
 	Text string
 }
 
-// Join returns the text of all files as one, as it is stored.
+// Join concatenates the files to the text that is stored, with a comment that
+// names the file before each part.
 func Join(files []File) string {
 	var b strings.Builder
 	for _, f := range files {
-		b.WriteString("; from " + strings.Map(printable, f.Name) + "\n")
+		b.WriteString("; from " + strings.Map(replaceControlRune, f.Name) + "\n")
 		b.WriteString(strings.TrimRight(f.Text, "\r\n") + "\n\n")
 	}
 	return b.String()
 }
 
-// printable keeps a file name from ending the comment that contains it.
-func printable(r rune) rune {
+// replaceControlRune replaces control characters. A line break in a file name would
+// end the comment that contains the name.
+func replaceControlRune(r rune) rune {
 	if r < ' ' {
 		return '?'
 	}
 	return r
 }
 
-// parser collects the declaration and the faults of all files.
+// parser accumulates the declaration and the faults of all files.
 type parser struct {
 	decl   *declare.Declaration
 	faults []declare.Fault
-	// origin is the file that declares a section.
-	origin map[string]string
-	file   string
+	// declaredIn maps the name of a section to the name of its file.
+	declaredIn map[string]string
+	file       string
 }
 
-// Parse reads the files as one declaration of revision 0. It returns every
-// fault found; the declaration is nil if there is any.
+// Parse parses the files as one declaration, of revision 0. It returns all faults
+// found; the declaration is nil if there are any.
 func Parse(files []File) (*declare.Declaration, []declare.Fault) {
-	p := &parser{decl: empty(), origin: map[string]string{}}
+	p := &parser{decl: newDeclaration(), declaredIn: map[string]string{}}
 	for _, f := range files {
-		p.parse(f)
+		p.parseFile(f)
 	}
 	if len(p.faults) == 0 {
 		p.validate()
@@ -61,16 +64,16 @@
 	return p.decl, nil
 }
 
-// validate runs the checks over all sections. They run only on values that
-// could be read, since a value that could not would be reported twice.
+// validate runs the checks that involve several sections. It is called only if
+// all values were parsed, since a malformed value would be reported twice.
 func (p *parser) validate() {
 	for _, f := range declare.Validate(p.decl) {
-		f.File = p.origin[f.Section]
+		f.File = p.declaredIn[f.Section]
 		p.faults = append(p.faults, f)
 	}
 }
 
-func empty() *declare.Declaration {
+func newDeclaration() *declare.Declaration {
 	return &declare.Declaration{
 		Customers: map[fleet.Customer]declare.Customer{},
 		Domains:   map[fleet.Domain]declare.Domain{},
@@ -82,14 +85,14 @@
 	}
 }
 
-func (p *parser) fault(section, key, msg string) {
+func (p *parser) addFault(section, key, msg string) {
 	p.faults = append(p.faults, declare.Fault{File: p.file, Section: section, Key: key, Message: msg})
 }
 
-func (p *parser) parse(f File) {
+func (p *parser) parseFile(f File) {
 	p.file = f.Name
-	if !plainText(f.Text) {
-		p.fault("", "", "not plain UTF-8 text without a byte order mark or control characters")
+	if !isPlainText(f.Text) {
+		p.addFault("", "", "file must be UTF-8 text without a byte order mark or control characters")
 		return
 	}
 	x, err := ini.LoadSources(ini.LoadOptions{
@@ -101,17 +104,18 @@
 		KeyValueDelimiters:         "=",
 	}, []byte(f.Text))
 	if err != nil {
-		p.fault("", "", "not a readable INI file: "+err.Error())
+		p.addFault("", "", "file is not a valid INI file: "+err.Error())
 		return
 	}
 	for _, s := range x.Sections() {
-		p.section(s)
+		p.parseSection(s)
 	}
 }
 
-// plainText refuses byte order marks, which the INI library drops at the start
-// of a file only, so that a joined text would read differently.
-func plainText(s string) bool {
+// isPlainText reports whether s is UTF-8 without control characters and byte order
+// marks. The INI library drops a byte order mark only at the start of a file, so
+// the joined text would parse differently.
+func isPlainText(s string) bool {
 	if !utf8.ValidString(s) {
 		return false
 	}
@@ -120,33 +124,33 @@
 	})
 }
 
-func (p *parser) section(s *ini.Section) {
+func (p *parser) parseSection(s *ini.Section) {
 	name := s.Name()
 	if name == ini.DefaultSection {
 		for _, k := range s.KeyStrings() {
-			p.fault("", k, "key outside of a section")
+			p.addFault("", k, "key outside of a section")
 		}
 		return
 	}
 	kind, id, _ := strings.Cut(name, " ")
-	read, ok := kinds[kind]
+	read, ok := sectionReaders[kind]
 	if !ok {
-		p.fault(name, "", "unknown kind of section; known are customer, domain, vm, model, group, serve, service")
+		p.addFault(name, "", "unknown kind of section; known are customer, domain, vm, model, group, serve, service")
 		return
 	}
 	if !validName(id) {
-		p.fault(name, "", "the name must be 1 to 63 letters, digits, '-', '_' or '.'")
+		p.addFault(name, "", "the name must be 1 to 63 letters, digits, '-', '_' or '.'")
 		return
 	}
-	if other, dup := p.origin[name]; dup {
-		p.fault(name, "", "section is declared twice, first in "+quoteFile(other))
+	if other, dup := p.declaredIn[name]; dup {
+		p.addFault(name, "", "section is declared twice, first in "+fileDescription(other))
 		return
 	}
-	p.origin[name] = p.file
-	read(p, &reader{p: p, section: s, used: map[string]bool{}}, id)
+	p.declaredIn[name] = p.file
+	read(p, &sectionReader{p: p, section: s, usedKeys: map[string]bool{}}, id)
 }
 
-func quoteFile(name string) string {
+func fileDescription(name string) string {
 	if name == "" {
 		return "the same text"
 	}
--- a/internal/adapter/inifile/selector.go
+++ b/internal/adapter/inifile/selector.go
@@ -10,8 +10,8 @@
 	"github.com/masticwing/masticwing/internal/core/declare"
 )
 
-// parseSelector reads the grammar of Kubernetes label selectors. The empty
-// selector is refused, since it would match everything.
+// parseSelector parses a selector in the syntax of Kubernetes label selectors. It
+// rejects an empty selector, which would match everything.
 func parseSelector(v string) (declare.Selector, error) {
 	sel, err := labels.Parse(v)
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	out := make(declare.Selector, 0, len(reqs))
 	for _, r := range reqs {
-		op, err := operator(r.Operator())
+		op, err := convertOperator(r.Operator())
 		if err != nil {
 			return nil, err
 		}
@@ -36,7 +36,7 @@
 	return out, nil
 }
 
-func operator(o selection.Operator) (declare.Op, error) {
+func convertOperator(o selection.Operator) (declare.Op, error) {
 	switch o {
 	case selection.In, selection.Equals, selection.DoubleEquals:
 		return declare.In, nil
@@ -51,7 +51,7 @@
 	}
 }
 
-// parseLabels reads "key=value,...".
+// parseLabels parses labels of the form "key=value,...".
 func parseLabels(v string) (declare.Labels, error) {
 	set, err := labels.ConvertSelectorToLabelsMap(v)
 	if err != nil {
--- a/internal/adapter/settings/fields.go
+++ b/internal/adapter/settings/fields.go
@@ -10,9 +10,10 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-// String registers a text key. A required text must not be empty.
+// String registers a key for any text. If the key is required, the text must not
+// be empty.
 func (s *Set) String(section, key string, p *string, def, help string) {
-	s.add(section, key, def, help, "text", func(v string) error {
+	s.register(section, key, def, help, "text", func(v string) error {
 		*p = v
 		return nil
 	})
@@ -21,9 +22,9 @@
 // Name registers a key for a name of letters, digits, dots, dashes and
 // underscores.
 func (s *Set) Name(section, key string, set func(string), def, help string) {
-	s.add(section, key, def, help, "letters, digits, '.', '-' and '_', at most 128", func(v string) error {
+	s.register(section, key, def, help, "letters, digits, '.', '-' and '_', at most 128", func(v string) error {
 		if !validName(v) {
-			return errValue
+			return errInvalidValue
 		}
 		set(v)
 		return nil
@@ -43,87 +44,87 @@
 	return true
 }
 
-// Int registers a whole number between low and high.
+// Int registers a key for a whole number from low to high.
 func (s *Set) Int(section, key string, p *int, def, low, high int, help string) {
 	allowed := fmt.Sprintf("a whole number from %d to %d", low, high)
-	s.add(section, key, strconv.Itoa(def), help, allowed, func(v string) error {
+	s.register(section, key, strconv.Itoa(def), help, allowed, func(v string) error {
 		n, err := strconv.Atoi(v)
 		if err != nil || n < low || n > high {
-			return errValue
+			return errInvalidValue
 		}
 		*p = n
 		return nil
 	})
 }
 
-// Float registers a number between low and high.
+// Float registers a key for a number from low to high.
 func (s *Set) Float(section, key string, p *float64, def, low, high float64, help string) {
 	allowed := fmt.Sprintf("a number from %g to %g", low, high)
-	s.add(section, key, strconv.FormatFloat(def, 'g', -1, 64), help, allowed, func(v string) error {
+	s.register(section, key, strconv.FormatFloat(def, 'g', -1, 64), help, allowed, func(v string) error {
 		n, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(n >= low && n <= high) {
-			return errValue
+			return errInvalidValue
 		}
 		*p = n
 		return nil
 	})
 }
 
-// Bool registers true or false.
+// Bool registers a key whose value is true or false.
 func (s *Set) Bool(section, key string, p *bool, def bool, help string) {
-	s.add(section, key, strconv.FormatBool(def), help, "true or false", func(v string) error {
+	s.register(section, key, strconv.FormatBool(def), help, "true or false", func(v string) error {
 		if v != "true" && v != "false" {
-			return errValue
+			return errInvalidValue
 		}
 		*p = v == "true"
 		return nil
 	})
 }
 
-// Duration registers a duration between low and high.
+// Duration registers a key for a duration from low to high.
 func (s *Set) Duration(section, key string, p *time.Duration, def, low, high time.Duration, help string) {
 	allowed := fmt.Sprintf("a duration from %v to %v", low, high)
-	s.add(section, key, def.String(), help, allowed, func(v string) error {
+	s.register(section, key, def.String(), help, allowed, func(v string) error {
 		d, err := time.ParseDuration(v)
 		if err != nil || d < low || d > high {
-			return errValue
+			return errInvalidValue
 		}
 		*p = d
 		return nil
 	})
 }
 
-// Bytes registers a size such as "64MiB", "20KiB" or "1000", between low and
-// high bytes.
+// Bytes registers a key for a size such as "64MiB", "20KiB" or "1000", from low
+// to high bytes.
 func (s *Set) Bytes(section, key string, p *int64, def, low, high int64, help string) {
 	allowed := fmt.Sprintf("a size from %s to %s", FormatBytes(low), FormatBytes(high))
-	s.add(section, key, FormatBytes(def), help, allowed, func(v string) error {
+	s.register(section, key, FormatBytes(def), help, allowed, func(v string) error {
 		n, err := ParseBytes(v)
 		if err != nil || n < low || n > high {
-			return errValue
+			return errInvalidValue
 		}
 		*p = n
 		return nil
 	})
 }
 
-// Address registers an "ip:port". An empty default makes the key optional.
+// Address registers a key for an "ip:port". An empty default makes the key optional.
 func (s *Set) Address(section, key string, p *fleet.Address, def, help string) {
-	s.add(section, key, def, help, "ip:port", func(v string) error {
+	s.register(section, key, def, help, "ip:port", func(v string) error {
 		if v == "" && def == "" {
 			return nil
 		}
 		if !validAddress(v) {
-			return errValue
+			return errInvalidValue
 		}
 		*p = fleet.Address(v)
 		return nil
 	})
 }
 
-// IP registers an IP address, or an empty value if def is empty.
+// IP registers a key for an IP address. If the value is empty, p is not changed.
 func (s *Set) IP(section, key string, p *netip.Addr, def, help string) {
-	s.add(section, key, def, help, "an IP address", func(v string) error {
+	s.register(section, key, def, help, "an IP address", func(v string) error {
 		if v == "" {
 			return nil
 		}
@@ -133,13 +134,14 @@
 	})
 }
 
-// Addresses registers a comma-separated list of "ip:port", which may be empty.
+// Addresses registers a key for a comma-separated list of "ip:port", which may be
+// empty.
 func (s *Set) Addresses(section, key string, p *[]fleet.Address, def, help string) {
-	s.add(section, key, def, help, "ip:port, separated by commas", func(v string) error {
+	s.register(section, key, def, help, "ip:port, separated by commas", func(v string) error {
 		var out []fleet.Address
 		for _, a := range splitList(v) {
 			if !validAddress(a) {
-				return errValue
+				return errInvalidValue
 			}
 			out = append(out, fleet.Address(a))
 		}
@@ -148,14 +150,14 @@
 	})
 }
 
-// Labels registers a comma-separated list of key=value.
+// Labels registers a key for a comma-separated list of key=value.
 func (s *Set) Labels(section, key string, p *map[string]string, def, help string) {
-	s.add(section, key, def, help, "key=value, separated by commas", func(v string) error {
+	s.register(section, key, def, help, "key=value, separated by commas", func(v string) error {
 		out := map[string]string{}
 		for _, kv := range splitList(v) {
 			k, val, ok := strings.Cut(kv, "=")
 			if !ok || !validName(k) {
-				return errValue
+				return errInvalidValue
 			}
 			out[k] = val
 		}
@@ -179,4 +181,4 @@
 	return err == nil
 }
 
-var errValue = fmt.Errorf("value not allowed")
+var errInvalidValue = fmt.Errorf("value not allowed")
--- a/internal/adapter/settings/settings.go
+++ b/internal/adapter/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads INI settings and checks every value. A binary
-// registers its keys with their defaults and allowed values; Load reports all
-// faults at once.
+// Package settings loads and validates the settings file of a binary, an INI file.
+// A binary registers its keys with default and allowed values; Load reports all
+// faults together.
 package settings
 
 import (
@@ -11,12 +11,12 @@
 	"gopkg.in/ini.v1"
 )
 
-// Fault is one wrong setting.
+// Fault describes an invalid setting.
 type Fault struct {
 	File, Section, Key, Value, Allowed string
 }
 
-// Error returns one line that names the setting and what is allowed.
+// Error returns one line with the setting, its value and the allowed values.
 func (f Fault) Error() string {
 	return fmt.Sprintf("%s: [%s] %s = %q: allowed: %s", f.File, f.Section, f.Key, f.Value, f.Allowed)
 }
@@ -27,7 +27,7 @@
 	parse                            func(string) error
 }
 
-// Set is the set of settings of one binary.
+// Set holds the registered settings of one binary.
 type Set struct {
 	name   string
 	fields []*field
@@ -37,10 +37,10 @@
 // New returns an empty set for the named binary.
 func New(name string) *Set { return &Set{name: name} }
 
-// Required as a default marks a key that must be set.
+// Required, passed as the default of a key, means that the key must be set.
 const Required = "\x00required"
 
-func (s *Set) add(section, key, def, help, allowed string, parse func(string) error) {
+func (s *Set) register(section, key, def, help, allowed string, parse func(string) error) {
 	f := &field{section: section, key: key, def: def, help: help, allowed: allowed, parse: parse}
 	if def == Required {
 		f.required, f.def = true, ""
@@ -48,18 +48,19 @@
 	s.fields = append(s.fields, f)
 }
 
-// Check registers a check over several values, run once all are parsed.
-func (s *Set) Check(f func() []Fault) { s.checks = append(s.checks, f) }
+// AddCheck registers a check that involves several settings. Load runs it only if
+// all values are valid.
+func (s *Set) AddCheck(f func() []Fault) { s.checks = append(s.checks, f) }
 
-// Load reads the file and returns all faults found.
+// Load reads the file at path, assigns the values and returns all faults found.
 func (s *Set) Load(path string) []Fault {
 	f, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, path)
 	if err != nil {
 		return []Fault{{File: path, Value: err.Error(), Allowed: "a readable INI file"}}
 	}
-	faults := s.unknown(path, f)
+	faults := s.unknownKeys(path, f)
 	for _, fd := range s.fields {
-		if fault, bad := fd.load(path, f); bad {
+		if fault, bad := fd.readFrom(path, f); bad {
 			faults = append(faults, fault)
 		}
 	}
@@ -75,7 +76,7 @@
 	return faults
 }
 
-func (fd *field) load(path string, f *ini.File) (Fault, bool) {
+func (fd *field) readFrom(path string, f *ini.File) (Fault, bool) {
 	v := fd.def
 	if sec, err := f.GetSection(fd.section); err == nil && sec.HasKey(fd.key) {
 		v = sec.Key(fd.key).String()
@@ -91,7 +92,7 @@
 	return Fault{}, false
 }
 
-func (s *Set) unknown(path string, f *ini.File) []Fault {
+func (s *Set) unknownKeys(path string, f *ini.File) []Fault {
 	sections := map[string][]string{}
 	for _, fd := range s.fields {
 		sections[fd.section] = append(sections[fd.section], fd.key)
@@ -112,7 +113,7 @@
 	return out
 }
 
-// Example returns a commented settings file with every key at its default.
+// Example returns a settings file that documents every key and its default.
 func (s *Set) Example() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "; Settings of %s. Keys that start with ';' show their default.\n", s.name)
--- a/internal/adapter/settings/settings_test.go
+++ b/internal/adapter/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"github.com/masticwing/masticwing/internal/core/fleet"
 )
 
-type sample struct {
+type sampleConfig struct {
 	id    string
 	addr  fleet.Address
 	drain time.Duration
@@ -19,15 +19,15 @@
 	high  int
 }
 
-func newSample(c *sample) *Set {
+func newSampleSet(c *sampleConfig) *Set {
 	s := New("sample")
 	s.Name("node", "id", func(v string) { c.id = v }, Required, "The name.")
 	s.Address("node", "listen", &c.addr, "127.0.0.1:1", "The address.")
 	s.Duration("limits", "drain", &c.drain, time.Second, 0, time.Minute, "Drain time.")
 	s.Bytes("limits", "size", &c.size, 1<<20, 1, 1<<30, "Memory.")
-	s.Int("limits", "low", &c.low, 1, 0, 10, "Low mark.")
-	s.Int("limits", "high", &c.high, 2, 0, 10, "High mark.")
-	s.Check(func() []Fault {
+	s.Int("limits", "low", &c.low, 1, 0, 10, "Low watermark.")
+	s.Int("limits", "high", &c.high, 2, 0, 10, "High watermark.")
+	s.AddCheck(func() []Fault {
 		if c.low <= c.high {
 			return nil
 		}
@@ -36,19 +36,19 @@
 	return s
 }
 
-func load(t *testing.T, text string) (sample, []Fault) {
+func load(t *testing.T, text string) (sampleConfig, []Fault) {
 	t.Helper()
 	p := filepath.Join(t.TempDir(), "s.ini")
 	if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var c sample
-	return c, newSample(&c).Load(p)
+	var c sampleConfig
+	return c, newSampleSet(&c).Load(p)
 }
 
-// TestAllFaultsAtOnce guards against an operator who has to start a process
-// once per mistake.
-func TestAllFaultsAtOnce(t *testing.T) {
+// TestLoadReportsAllFaults guards against reporting only the first fault, which
+// would force an operator to restart a process once per fault.
+func TestLoadReportsAllFaults(t *testing.T) {
 	_, faults := load(t, "[node]\nlisten = nowhere\n[limits]\ndrain = 2h\nsize = 5XB\nlow = 11\nspeed = 1\n[extra]\na = 1\n")
 	var all []string
 	for _, f := range faults {
@@ -62,18 +62,18 @@
 	}
 }
 
-// TestContradiction guards against values that are each allowed but do not fit
-// together.
-func TestContradiction(t *testing.T) {
+// TestInconsistentValues guards against accepting values that are valid each but
+// contradict each other.
+func TestInconsistentValues(t *testing.T) {
 	if _, faults := load(t, "[node]\nid = a\n[limits]\nlow = 5\nhigh = 3\n"); len(faults) != 1 {
 		t.Fatalf("faults = %v, want one", faults)
 	}
 }
 
-// TestExampleLoads guards against an example file that its own binary refuses.
+// TestExampleLoads guards against a generated example that Load rejects.
 func TestExampleLoads(t *testing.T) {
-	var c sample
-	text := strings.Replace(newSample(&c).Example(), "id =", "id = a", 1)
+	var c sampleConfig
+	text := strings.Replace(newSampleSet(&c).Example(), "id =", "id = a", 1)
 	if _, faults := load(t, text); len(faults) != 0 {
 		t.Fatalf("faults = %v", faults)
 	}
@@ -83,8 +83,8 @@
 	}
 }
 
-// FuzzParseBytes guards against overflow and against sizes that do not survive
-// formatting.
+// FuzzParseBytes guards against overflow, and against sizes that change when they
+// are formatted and parsed again.
 func FuzzParseBytes(f *testing.F) {
 	f.Add("64MiB")
 	f.Add("9223372036854775807GiB")
@@ -95,7 +95,7 @@
 		}
 		back, err := ParseBytes(FormatBytes(n))
 		if n < 0 || err != nil || back != n {
-			t.Fatalf("%q = %d, back %d, %v", v, n, back, err)
+			t.Fatalf("%q = %d, parsed again %d, %v", v, n, back, err)
 		}
 	})
 }
--- a/internal/app/agent/settings.go
+++ b/internal/app/agent/settings.go
@@ -55,7 +55,7 @@
 	s.Duration("ledger", "window", &c.LedgerWindow, time.Hour, time.Minute, 24*time.Hour, "Time for which a key of a call is kept.")
 	s.Bytes("ledger", "answers", &c.LedgerAnswers, 16*mib, 64*kib, gib, "Memory for answers to repeated calls.")
 	s.Duration("limits", "drain_timeout", &c.DrainTimeout, 30*time.Second, time.Second, time.Hour, "Longest graceful shutdown.")
-	s.Check(c.checkTarget)
+	s.AddCheck(c.checkTarget)
 }
 
 // checkTarget reports settings of the target and the origin that contradict each
--- a/internal/app/ctl/change.go
+++ b/internal/app/ctl/change.go
@@ -124,7 +124,7 @@
 	if s.c.IsSet("revision") && cur.doc.Revision != s.c.Uint64("revision") {
 		return s.baseConflict(s.c.Uint64("revision"), cur)
 	}
-	next := cur.doc.Next(s.newChangeRecord("apply " + strings.Join(s.c.Args().Slice(), " ")))
+	next := cur.doc.WithChange(s.newChangeRecord("apply " + strings.Join(s.c.Args().Slice(), " ")))
 	next.Config = config
 	effect, err := s.checkEffect(ctx, cur.doc, next, true)
 	if err != nil {
@@ -250,11 +250,11 @@
 		if err := s.checkNameKnown(ctx, cur.doc, kind, name, cordoned); err != nil {
 			return err
 		}
-		next := cur.doc.Next(rec)
+		next := cur.doc.WithChange(rec)
 		if kind == "domain" {
-			next.CordonedDomains = inifile.Cordon(next.CordonedDomains, name, cordoned)
+			next.CordonedDomains = inifile.SetCordon(next.CordonedDomains, name, cordoned)
 		} else {
-			next.CordonedVMs = inifile.Cordon(next.CordonedVMs, name, cordoned)
+			next.CordonedVMs = inifile.SetCordon(next.CordonedVMs, name, cordoned)
 		}
 		effect, err := s.checkEffect(ctx, cur.doc, next, false)
 		if err != nil {
--- a/internal/app/ctl/store.go
+++ b/internal/app/ctl/store.go
@@ -58,7 +58,7 @@
 }
 
 func readDocumentOnce(ctx context.Context, kv port.KV) (storedDocument, error) {
-	e, err := kv.Get(ctx, inifile.Key)
+	e, err := kv.Get(ctx, inifile.DocumentKey)
 	if errors.Is(err, port.ErrNotFound) {
 		return storedDocument{}, nil
 	}
@@ -118,7 +118,7 @@
 	until := s.deadline()
 	maybeApplied := false
 	for {
-		_, err := kv.CompareAndSwap(ctx, inifile.Key, base.platformRevision, b, port.NoLease)
+		_, err := kv.CompareAndSwap(ctx, inifile.DocumentKey, base.platformRevision, b, port.NoLease)
 		switch {
 		case err == nil:
 			return nil
@@ -145,7 +145,7 @@
 	for {
 		now, err := readDocumentOnce(ctx, kv)
 		if err == nil {
-			if _, found := now.doc.Wrote(next.WriteID); found {
+			if _, found := now.doc.FindChange(next.WriteID); found {
 				return nil
 			}
 			if now.platformRevision != base.platformRevision && now.doc.Revision > base.doc.Revision {
--- a/internal/app/directory/fleet_test.go
+++ b/internal/app/directory/fleet_test.go
@@ -218,14 +218,14 @@
 // writeRevision writes the next revision to the platform and returns it.
 func (tf *testFleet) writeRevision() uint64 {
 	tf.t.Helper()
-	tf.doc = tf.doc.Next(inifile.ChangeRecord{WriteID: fmt.Sprint("w", tf.doc.Revision)})
+	tf.doc = tf.doc.WithChange(inifile.ChangeRecord{WriteID: fmt.Sprint("w", tf.doc.Revision)})
 	b, err := tf.doc.Encode()
 	if err != nil {
 		tf.t.Fatal(err)
 	}
-	rev, err := tf.kv.CompareAndSwap(context.Background(), inifile.Key, tf.rev, b, port.NoLease)
+	rev, err := tf.kv.CompareAndSwap(context.Background(), inifile.DocumentKey, tf.rev, b, port.NoLease)
 	if errors.Is(err, port.ErrUnknownOutcome) {
-		e, gerr := tf.kv.Get(context.Background(), inifile.Key)
+		e, gerr := tf.kv.Get(context.Background(), inifile.DocumentKey)
 		if gerr != nil || !bytes.Equal(e.Value, b) {
 			tf.t.Fatalf("write was lost: %v, %v", err, gerr)
 		}
@@ -248,7 +248,7 @@
 	if err != nil {
 		tf.t.Fatal(err)
 	}
-	if tf.rev, err = tf.kv.CompareAndSwap(context.Background(), inifile.Key, tf.rev, b, port.NoLease); err != nil {
+	if tf.rev, err = tf.kv.CompareAndSwap(context.Background(), inifile.DocumentKey, tf.rev, b, port.NoLease); err != nil {
 		tf.t.Fatal(err)
 	}
 }
--- a/internal/app/entry/settings.go
+++ b/internal/app/entry/settings.go
@@ -30,7 +30,7 @@
 	s.Bytes("limits", "body", &c.MaxBody, 1<<20, 1<<10, 64<<20, "Largest body of a request.")
 	s.Int("limits", "queued", &c.MaxQueued, 2000, 1, 1_000_000, "Requests that may wait for one group or service.")
 	s.Duration("limits", "drain_timeout", &c.Drain, 30*time.Second, 0, time.Hour, "Longest graceful shutdown.")
-	s.Check(func() []settings.Fault {
+	s.AddCheck(func() []settings.Fault {
 		if c.MaxBody <= c.Memory {
 			return nil
 		}
--- a/internal/app/loader/settings.go
+++ b/internal/app/loader/settings.go
@@ -51,7 +51,7 @@
 	var mbit float64
 	s.Float("limits", "link_mbit", &mbit, 1000, 0.1, 1e6, "Capacity of the VM's link in Mbit/s.")
 	s.Bytes("limits", "memory", &c.Memory, 128*mib, 16*mib, 1024*gib, "Memory of the process.")
-	s.Check(func() []settings.Fault {
+	s.AddCheck(func() []settings.Fault {
 		c.Link = int64(mbit * 1e6 / 8)
 		return nil
 	})
--- a/internal/app/registration/settings.go
+++ b/internal/app/registration/settings.go
@@ -23,7 +23,7 @@
 	s.Labels("node", "regions", &labels, settings.Required, "Region of each failure domain, as domain=region.")
 	s.Address("listen", "internal", &c.Internal, settings.Required, "Address for other gateways and loaders, TCP and UDP.")
 	s.Address("platform", "address", &c.Platform, settings.Required, "The platform's metadata store.")
-	s.Check(func() []settings.Fault {
+	s.AddCheck(func() []settings.Fault {
 		c.Regions = map[fleet.Domain]fleet.Region{}
 		for d, r := range labels {
 			c.Regions[fleet.Domain(d)] = fleet.Region(r)
