--- a/test/spread/faults_test.go
+++ b/test/spread/faults_test.go
@@ -14,127 +14,129 @@
 
 func contains(line []byte, s string) bool { return bytes.Contains(line, []byte(s)) }
 
-// TestAgentRestarts guards against an agent that is killed half way and does
-// not get the version after its restart, and against more than one further
-// copy from the origin on its account.
+// TestAgentRestarts kills an agent during its fetch and restarts it. It guards
+// against an agent that never completes the version afterwards, and against a
+// restart that costs the origin more than one further copy.
 func TestAgentRestarts(t *testing.T) {
-	b := start(t, nil)
-	before, err := b.OriginBytes(t.Context())
+	d := startDeployment(t, nil)
+	before, err := d.OriginBytes(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := b.declare(2)
-	n := b.agents("b")[1]
-	b.partly(n, v, 0.4)
+	v := d.publishAndApply(2)
+	n := d.agentsIn("b")[1]
+	d.waitForPartialCopy(n, v, 0.4)
 	if err := n.Proc.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.StartNode(t.Context(), n); err != nil {
+	if err := d.StartNode(t.Context(), n); err != nil {
 		t.Fatal(err)
 	}
-	b.serves(v, b.Agents...)
-	after, err := b.OriginBytes(t.Context())
+	d.waitForVersion(v, d.Agents...)
+	after, err := d.OriginBytes(t.Context())
 	if copies := float64(after-before) / newBytes; err != nil || copies > 5 {
-		t.Fatalf("the origin gave %.2f copies, %v", copies, err)
+		t.Fatalf("the origin sent %.2f copies, %v", copies, err)
 	}
-	b.answers(version(2, newBytes), b.Entries[1])
+	d.checkResponses(originVersion(2, newBytes), d.Entries[1])
 }
 
-// TestAgentStops guards against machines that wait for one that is stopped,
-// and against one that does not catch up after 5 s.
-func TestAgentStops(t *testing.T) {
-	b := start(t, nil)
-	v := b.declare(2)
-	n := b.agents("b")[0]
-	b.partly(n, v, 0.3)
+// TestAgentPauses stops an agent with SIGSTOP for 5 s during the fetch. It
+// guards against agents that wait for the stopped one, and against a resumed
+// agent that does not catch up.
+func TestAgentPauses(t *testing.T) {
+	d := startDeployment(t, nil)
+	v := d.publishAndApply(2)
+	n := d.agentsIn("b")[0]
+	d.waitForPartialCopy(n, v, 0.3)
 	if err := n.Proc.Pause(); err != nil {
 		t.Fatal(err)
 	}
-	at := time.Now()
-	b.serves(v, append(b.agents("a"), b.agents("b")[1:]...)...)
-	time.Sleep(time.Until(at.Add(5 * time.Second)))
+	pausedAt := time.Now()
+	d.waitForVersion(v, append(d.agentsIn("a"), d.agentsIn("b")[1:]...)...)
+	time.Sleep(time.Until(pausedAt.Add(5 * time.Second)))
 	if err := n.Proc.Resume(); err != nil {
 		t.Fatal(err)
 	}
-	b.serves(v, n)
+	d.waitForVersion(v, n)
 }
 
-// TestOriginDown guards against a spread that does not say what it waits for,
-// or does not go on when the origin is back.
+// TestOriginDown guards against agents that do not report that they wait for the
+// origin, or do not continue when it is back.
 func TestOriginDown(t *testing.T) {
-	b := start(t, nil)
-	v := b.declare(2)
-	b.partly(b.Agents[0], v, 0.2)
-	b.faults(origin.Faults{Down: true})
-	b.shows("waiting for origin")
-	b.answers(version(1, oldBytes), b.Entries[0])
-	b.faults(origin.Faults{})
-	b.serves(v, b.Agents...)
+	d := startDeployment(t, nil)
+	v := d.publishAndApply(2)
+	d.waitForPartialCopy(d.Agents[0], v, 0.2)
+	d.setOriginFaults(origin.Faults{Down: true})
+	d.waitForStatusText("waiting for origin")
+	d.checkResponses(originVersion(1, oldBytes), d.Entries[0])
+	d.setOriginFaults(origin.Faults{})
+	d.waitForVersion(v, d.Agents...)
 }
 
-// shows waits until masticwingctl status shows a text.
-func (b *bed) shows(text string) {
-	b.t.Helper()
-	err := harness.WaitFor(b.t.Context(), limit, "status to show "+text, func() error {
-		out, _, err := b.Ctl(b.t.Context(), "status", "--peer", b.Entries[0].RPC)
+// waitForStatusText waits until masticwingctl status prints a text.
+func (d *deployment) waitForStatusText(text string) {
+	d.t.Helper()
+	err := harness.WaitFor(d.t.Context(), waitTimeout, "status to show "+text, func() error {
+		out, _, err := d.Ctl(d.t.Context(), "status", "--peer", d.Entries[0].RPC)
 		if err == nil && !strings.Contains(out, text) {
-			return errNotShown(out)
+			return statusTextError(out)
 		}
 		return err
 	})
 	if err != nil {
-		b.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 }
 
-// TestOriginDownBeforeManifest guards against a status that does not name the
-// origin as the reason while a version has not even a manifest, and that calls
-// an origin down that answers and does not have the version.
+// TestOriginDownBeforeManifest guards against two faults of the status: the
+// origin is not named as the reason while an agent has no manifest of the
+// version, and an origin that responds without having the version is reported as
+// unreachable.
 func TestOriginDownBeforeManifest(t *testing.T) {
-	b := start(t, nil)
-	v := b.publish(2)
-	b.faults(origin.Faults{Down: true})
-	b.apply(2)
-	for _, n := range b.Agents {
-		b.shows("stuck: " + n.Name + ": waiting for origin")
-	}
-	b.answers(version(1, oldBytes), b.Entries[0])
-	b.faults(origin.Faults{})
-	b.serves(v, b.Agents...)
-	b.ids["v3"] = strings.Repeat("3", len(v))
-	b.apply(3)
-	b.shows("origin does not have the version")
+	d := startDeployment(t, nil)
+	v := d.publishVersion(2)
+	d.setOriginFaults(origin.Faults{Down: true})
+	d.applyVersion(2)
+	for _, n := range d.Agents {
+		d.waitForStatusText("stuck: " + n.Name + ": waiting for origin")
+	}
+	d.checkResponses(originVersion(1, oldBytes), d.Entries[0])
+	d.setOriginFaults(origin.Faults{})
+	d.waitForVersion(v, d.Agents...)
+	d.digests["v3"] = strings.Repeat("3", len(v))
+	d.applyVersion(3)
+	d.waitForStatusText("origin does not have the version")
 }
 
-type errNotShown string
+type statusTextError string
 
-func (e errNotShown) Error() string { return "status shows: " + string(e) }
+func (e statusTextError) Error() string { return "status shows: " + string(e) }
 
-func (b *bed) faults(f origin.Faults) {
-	b.t.Helper()
-	if err := harness.SetFaults(b.t.Context(), b.OriginAddr, f); err != nil {
-		b.t.Fatal(err)
+func (d *deployment) setOriginFaults(f origin.Faults) {
+	d.t.Helper()
+	if err := harness.SetFaults(d.t.Context(), d.OriginAddr, f); err != nil {
+		d.t.Fatal(err)
 	}
 }
 
-// TestOriginCorrupts guards against a corrupted chunk that reaches an engine
-// or stops the spread.
+// TestOriginCorrupts guards against corrupted chunks that reach an engine or keep
+// the agents from completing the version.
 func TestOriginCorrupts(t *testing.T) {
-	b := start(t, nil)
-	b.faults(origin.Faults{Corrupt: 0.1})
-	v := b.declare(2)
-	b.serves(v, b.Agents...)
-	b.answers(version(2, newBytes), b.Entries[0])
-	b.answers(version(2, newBytes), b.Entries[1])
-	for _, n := range b.Agents {
-		if strings.Contains(metrics(t, n), "weights_corrupted_chunks") {
+	d := startDeployment(t, nil)
+	d.setOriginFaults(origin.Faults{Corrupt: 0.1})
+	v := d.publishAndApply(2)
+	d.waitForVersion(v, d.Agents...)
+	d.checkResponses(originVersion(2, newBytes), d.Entries[0])
+	d.checkResponses(originVersion(2, newBytes), d.Entries[1])
+	for _, n := range d.Agents {
+		if strings.Contains(readMetrics(t, n), "weights_corrupted_chunks") {
 			return
 		}
 	}
 	t.Fatal("no agent counted a corrupted chunk")
 }
 
-func metrics(t *testing.T, n *harness.Node) string {
+func readMetrics(t *testing.T, n *harness.Node) string {
 	t.Helper()
 	resp, err := http.Get("http://" + n.Admin + "/metrics")
 	if err != nil {
@@ -148,50 +150,52 @@
 	return string(text)
 }
 
-func memory(s *harness.Spec) {
+// limitMemory leaves an agent memory for one new version, not for two.
+func limitMemory(s *harness.Spec) {
 	s.Agent = map[string]map[string]string{"weights": {"memory": "4MiB"}}
 }
 
-// TestVersionChanges guards against a partial copy that keeps its memory when
-// the version changes: two copies do not fit, so the newest one arrives only
-// if the other was released.
+// TestVersionChanges declares another version during a fetch. It guards against
+// a partial copy that keeps its memory: the memory does not hold two copies, so
+// the newest version completes only if the partial one was released.
 func TestVersionChanges(t *testing.T) {
-	b := start(t, memory)
-	old := b.declare(2)
-	b.partly(b.Agents[0], old, 0.3)
-	v := b.declare(3)
-	b.until("the newest version or the one before the change", b.Agents, func(s status) bool {
-		if s.Version == old {
+	d := startDeployment(t, limitMemory)
+	withdrawn := d.publishAndApply(2)
+	d.waitForPartialCopy(d.Agents[0], withdrawn, 0.3)
+	v := d.publishAndApply(3)
+	d.waitForStatus("the newest version or the one before the change", d.Agents, func(s agentStatus) bool {
+		if s.Version == withdrawn {
 			t.Fatal("an engine serves the version that was withdrawn")
 		}
 		return s.Version == v
 	})
-	b.answers(version(3, newBytes), b.Entries[0])
+	d.checkResponses(originVersion(3, newBytes), d.Entries[0])
 }
 
-// TestMemoryForOneVersion guards against a change that never ends because the
-// complete old version leaves no memory for the new one.
+// TestMemoryForOneVersion guards against a change of version that never ends
+// because the complete old version leaves no memory for the new one.
 func TestMemoryForOneVersion(t *testing.T) {
-	b := start(t, func(s *harness.Spec) {
-		memory(s)
+	d := startDeployment(t, func(s *harness.Spec) {
+		limitMemory(s)
 		s.Limits = []string{"max_requests = 8", "max_bytes = 4MiB", "cold_requests = 2", "ramp_step = 200ms", "overlap = drain-first"}
 	})
-	b.serves(b.declare(2), b.Agents...)
-	b.serves(b.declare(3), b.Agents...)
-	b.answers(version(3, newBytes), b.Entries[0])
+	d.waitForVersion(d.publishAndApply(2), d.Agents...)
+	d.waitForVersion(d.publishAndApply(3), d.Agents...)
+	d.checkResponses(originVersion(3, newBytes), d.Entries[0])
 }
 
-// TestDomainCutOff guards against a failure domain that stops spreading what
-// it has, or stops to serve, when it hears neither from the platform and the
-// origin nor from other failure domains. The processes outside are stopped,
-// which is what a cut that drops all packets looks like from inside.
+// TestDomainCutOff guards against a failure domain whose agents stop exchanging
+// the chunks that they hold, or stop serving, while they reach neither the
+// platform, nor the origin, nor other failure domains. The test stops the outside
+// processes with SIGSTOP; to the domain this looks like a network partition that
+// drops all packets.
 func TestDomainCutOff(t *testing.T) {
-	b := start(t, nil)
-	v := b.declare(2)
-	inside := b.agents("b")
-	b.partly(inside[0], v, 0.15)
-	outside := []*harness.Process{b.Platform, b.Origin}
-	for _, n := range b.InDomain("a") {
+	d := startDeployment(t, nil)
+	v := d.publishAndApply(2)
+	inside := d.agentsIn("b")
+	d.waitForPartialCopy(inside[0], v, 0.15)
+	outside := []*harness.Process{d.Platform, d.Origin}
+	for _, n := range d.InDomain("a") {
 		outside = append(outside, n.Proc)
 	}
 	for _, p := range outside {
@@ -199,37 +203,37 @@
 			t.Fatal(err)
 		}
 	}
-	least := 1 << 30
+	fewestBefore := 1 << 30
 	for _, n := range inside {
-		s, err := b.status(n)
+		s, err := d.agentStatus(n)
 		if err != nil {
 			t.Fatal(err)
 		}
-		least = min(least, s.Progress.ChunksHave)
+		fewestBefore = min(fewestBefore, s.Progress.ChunksHave)
 	}
-	have := -1
-	err := harness.WaitFor(t.Context(), limit, "equal parts inside", func() error {
+	fewestNow := -1
+	err := harness.WaitFor(t.Context(), waitTimeout, "equal chunk counts in the domain", func() error {
 		lo, hi := 1<<30, 0
 		for _, n := range inside {
-			s, err := b.status(n)
+			s, err := d.agentStatus(n)
 			if err != nil {
 				return err
 			}
 			lo, hi = min(lo, s.Progress.ChunksHave), max(hi, s.Progress.ChunksHave)
 		}
-		if have = lo; lo != hi || lo <= least {
-			return errNotShown(time.Now().String())
+		if fewestNow = lo; lo != hi || lo <= fewestBefore {
+			return statusTextError(time.Now().String())
 		}
 		return nil
 	})
 	if err != nil {
-		t.Fatalf("%v; least at first %d, now %d", err, least, have)
+		t.Fatalf("%v; fewest chunks at first %d, now %d", err, fewestBefore, fewestNow)
 	}
-	b.answers(version(1, oldBytes), b.Entries[1])
+	d.checkResponses(originVersion(1, oldBytes), d.Entries[1])
 	for _, p := range outside {
 		if err := p.Resume(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	b.serves(v, b.Agents...)
+	d.waitForVersion(v, d.Agents...)
 }
