--- a/internal/app/weights/manager_test.go
+++ b/internal/app/weights/manager_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
-	took, err := c.Wait(ctx)
+	took, err := c.WaitComplete(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 // those of the origin, and against more copies from the origin than allowed.
 func TestAllAgentsComplete(t *testing.T) {
 	c := startCluster(t, cluster.Config{Machines: 12, Regions: 3, Version: smallVersion})
-	c.Want()
+	c.SetVersion()
 	t.Logf("took %v", waitComplete(t, c, 20*time.Second))
 	want := sha256.Sum256(smallVersion.Make())
 	for _, a := range c.Agents {
@@ -51,7 +51,7 @@
 			t.Fatalf("%s holds other weights", a.VM)
 		}
 	}
-	got := c.Copies()
+	got := c.LinkUsage()
 	t.Logf("%+v", got)
 	if got.Origin > 4 {
 		t.Fatalf("the origin sent %.2f copies", got.Origin)
@@ -79,14 +79,14 @@
 	next := smallVersion
 	next.Seed = 8
 	c := startCluster(t, cluster.Config{
-		Machines: 6, Regions: 2, Version: smallVersion, Others: []origin.Version{next}, MachineRate: 512 << 10,
+		Machines: 6, Regions: 2, Version: smallVersion, OtherVersions: []origin.Version{next}, MachineRate: 512 << 10,
 		Memory: int64(smallVersion.Bytes),
 	})
-	c.Want()
+	c.SetVersion()
 	waitProgress(t, c.Agents[0], "half way", func(p port.Progress) bool { return p.ChunksHave > 20 })
 	old := c.Target
 	c.Target = targetOf(next)
-	c.Want()
+	c.SetVersion()
 	waitComplete(t, c, 20*time.Second)
 	for _, a := range c.Agents {
 		if _, ok := a.Manager.Manifest(old.Version); ok {
@@ -101,7 +101,7 @@
 	next := smallVersion
 	next.Seed = 8
 	c := startCluster(t, cluster.Config{
-		Machines: 1, Regions: 1, Version: smallVersion, Others: []origin.Version{next}, MachineRate: 1 << 20,
+		Machines: 1, Regions: 1, Version: smallVersion, OtherVersions: []origin.Version{next}, MachineRate: 1 << 20,
 		Memory: int64(smallVersion.Bytes) + 100,
 	})
 	m := c.Agents[0].Manager
@@ -118,7 +118,7 @@
 // hung, and against progress that states no reason during the outage.
 func TestOriginOutage(t *testing.T) {
 	c := startCluster(t, cluster.Config{Machines: 6, Regions: 2, Version: smallVersion, OriginRate: 1 << 20})
-	c.Want()
+	c.SetVersion()
 	waitProgress(t, c.Agents[0], "started", func(p port.Progress) bool { return p.ChunksHave > 5 })
 	c.Origin.SetFaults(origin.Faults{Hang: true})
 	for _, a := range c.Agents {
@@ -138,17 +138,17 @@
 		Machines: 10, Regions: 2, Version: smallVersion, MachineRate: 512 << 10, OriginRate: 2 << 20, Corrupt: 0.05,
 	})
 	c.Origin.SetFaults(origin.Faults{Corrupt: 0.05})
-	c.Want()
+	c.SetVersion()
 	waitProgress(t, c.Agents[1], "half way", func(p port.Progress) bool { return p.ChunksHave > 30 })
-	c.Agents[0].Hang()
+	c.Agents[0].FreezeUnnoticed()
 	c.Agents[3].Stop()
 	if err := c.Restart(3); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("took %v, %+v", waitComplete(t, c, 30*time.Second), c.Copies())
+	t.Logf("took %v, %+v", waitComplete(t, c, 30*time.Second), c.LinkUsage())
 	want := sha256.Sum256(smallVersion.Make())
 	for _, a := range c.Agents {
-		if a.Lost() {
+		if a.IsLost() {
 			continue
 		}
 		r, _, _ := a.Manager.Open(c.Target.Version)
@@ -163,9 +163,9 @@
 // from the origin or never get them.
 func TestManyRegions(t *testing.T) {
 	c := startCluster(t, cluster.Config{Machines: 20, Regions: 5, Version: smallVersion, RegionRate: 2 << 20, OriginRate: 4 << 20})
-	c.Want()
+	c.SetVersion()
 	took := waitComplete(t, c, 20*time.Second)
-	got := c.Copies()
+	got := c.LinkUsage()
 	t.Logf("took %v, %+v", took, got)
 	if got.Origin > 4 || got.RegionMax > 1.2 {
 		t.Fatalf("too many copies: %+v", got)
--- a/test/bench/spread/cluster/agent.go
+++ b/test/bench/spread/cluster/agent.go
@@ -15,7 +15,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Agent is one machine.
+// Agent is one simulated machine: a weight manager with its server and client.
 type Agent struct {
 	VM      fleet.VM
 	Manager *weights.Manager
@@ -33,16 +33,16 @@
 		VM: fleet.VM(fmt.Sprintf("vm%03d", i)), Address: fleet.Address(lis.Addr().String()),
 		cluster: c, client: rpc.NewClient(), gate: newGate(),
 	}
-	var home fleet.Region
-	if c.Config.OriginInside {
-		home = c.Regions[0].name
+	var originRegion fleet.Region
+	if c.Config.OriginInRegion {
+		originRegion = c.Regions[0].name
 	}
 	a.Manager = weights.New(weights.Settings{
-		VM: a.VM, Region: region.name, OriginRegion: home, InRate: c.Config.MachineRate, OutRate: c.Config.MachineRate, Memory: c.Config.Memory,
+		VM: a.VM, Region: region.name, OriginRegion: originRegion, InRate: c.Config.MachineRate, OutRate: c.Config.MachineRate, Memory: c.Config.Memory,
 	}, weights.Deps{
-		Directory: c.dir.view(c.Config.Alone),
-		Peers:     &peers{PeerClient: a.client, agent: a, region: i % c.Config.Regions},
-		Origin:    &pacedOrigin{Origin: originhttp.New(c.originAddr, a.VM), agent: a, link: region},
+		Directory: c.dir.view(c.Config.WithoutPeers),
+		Peers:     &peerClient{PeerClient: a.client, agent: a, regionIndex: i % c.Config.Regions},
+		Origin:    &originClient{Origin: originhttp.New(c.originAddr, a.VM), agent: a, regionLink: region},
 		Clock:     sysclock.Clock{},
 		Rand:      sysclock.Rand{},
 		Metrics:   noMetrics{},
@@ -65,10 +65,11 @@
 	return a, nil
 }
 
-// Lost reports whether the machine was stopped or frozen.
-func (a *Agent) Lost() bool { return a.gate.isShut() }
+// IsLost reports whether the machine was stopped or frozen.
+func (a *Agent) IsLost() bool { return a.gate.isBlocked() }
 
-// Stop ends the machine and its connections. The directory notices later.
+// Stop stops the machine and closes its connections. The directory drops the
+// machine after removalDelay.
 func (a *Agent) Stop() {
 	a.gate.close()
 	a.cancel()
@@ -76,12 +77,12 @@
 	a.cluster.dir.removeLater(a)
 }
 
-// Freeze leaves the machine's connections open and silent. The directory
-// notices later.
+// Freeze stops all traffic of the machine but leaves its connections open. The
+// directory drops the machine after removalDelay.
 func (a *Agent) Freeze() {
 	a.gate.freeze()
 	a.cluster.dir.removeLater(a)
 }
 
-// Hang freezes the machine without the directory ever noticing.
-func (a *Agent) Hang() { a.gate.freeze() }
+// FreezeUnnoticed freezes the machine and leaves it in the directory.
+func (a *Agent) FreezeUnnoticed() { a.gate.freeze() }
--- a/test/bench/spread/cluster/cluster.go
+++ b/test/bench/spread/cluster/cluster.go
@@ -1,7 +1,7 @@
-// Package cluster runs many weight managers in one process. They talk over the
-// real protocol on loopback and draw from the stand-in of the origin over HTTP.
-// The links of machines are paced by their own settings, the links of regions
-// by pacing the sum of what crosses them.
+// Package cluster runs many weight managers in one process. They use the real
+// protocol on loopback and fetch from the origin's stand-in over HTTP. Each
+// manager limits the rate of its machine's link by its own settings; the package
+// limits the total that crosses each region's link.
 package cluster
 
 import (
@@ -19,25 +19,25 @@
 	"github.com/masticwing/masticwing/internal/standin/origin"
 )
 
-// Config describes a run.
+// Config describes the machines, links and versions of a cluster.
 type Config struct {
 	Machines, Regions int
 	// MachineRate, RegionRate and OriginRate are bytes per second; 0 means no
 	// limit.
 	MachineRate, RegionRate, OriginRate int64
 	Version                             origin.Version
-	// Others are further versions that the origin has.
-	Others []origin.Version
-	// OriginInside puts the origin into the first region, so that what it gives
-	// to the others crosses that region's link.
-	OriginInside bool
-	// Memory bounds the chunks of one machine.
+	// OtherVersions are further versions that the origin has.
+	OtherVersions []origin.Version
+	// OriginInRegion puts the origin into the first region, so that what it sends
+	// to other regions crosses the first region's link.
+	OriginInRegion bool
+	// Memory limits the bytes of chunks that one machine holds.
 	Memory int64
-	// Corrupt is the share of chunks between machines that carry a wrong byte.
+	// Corrupt is the fraction of chunks between machines that carry a wrong byte.
 	Corrupt float64
-	// Alone hides the machines from each other, so that each draws from the
-	// origin.
-	Alone bool
+	// WithoutPeers hides the machines from each other, so that each fetches
+	// everything from the origin.
+	WithoutPeers bool
 }
 
 // Cluster is a running set of machines with their origin.
@@ -57,17 +57,17 @@
 	start      time.Time
 }
 
-// New starts the machines. They want nothing yet.
+// New starts the origin and the machines. They fetch nothing until SetVersion.
 func New(cfg Config) (*Cluster, error) {
 	c := &Cluster{Config: cfg, regionOf: map[fleet.Address]int{}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	man := cfg.Version.Manifest()
 	c.Target = port.WantedVersion{Model: man.Model, Version: man.Version()}
 	c.dir = newDirectory(c.Target)
-	c.Origin = origin.New(cfg.OriginRate, append([]origin.Version{cfg.Version}, cfg.Others...)...)
+	c.Origin = origin.New(cfg.OriginRate, append([]origin.Version{cfg.Version}, cfg.OtherVersions...)...)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, errors.Wrap(err, "listening as origin")
+		return nil, errors.Wrap(err, "listening for the origin")
 	}
 	c.originAddr = fleet.Address(lis.Addr().String())
 	srv := &http.Server{Handler: c.Origin.Handler(), ReadHeaderTimeout: 5 * time.Second}
@@ -88,7 +88,7 @@
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			c.cancel()
-			return errors.Wrap(err, "listening as agent")
+			return errors.Wrap(err, "listening for an agent")
 		}
 		listeners[i] = l
 		c.regionOf[fleet.Address(l.Addr().String())] = i % c.Config.Regions
@@ -108,10 +108,10 @@
 func (c *Cluster) Restart(i int) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return errors.Wrap(err, "listening as agent")
+		return errors.Wrap(err, "listening for an agent")
 	}
-	// Restart is only for tests that have no region pacing: regionOf is read
-	// without a lock by running machines.
+	// regionOf does not learn the new address, because running machines read it
+	// without a lock. So Restart suits only tests without a limit of region links.
 	a, err := c.newAgent(i, l)
 	if err != nil {
 		return err
@@ -121,19 +121,19 @@
 	return nil
 }
 
-// Want lets all machines want the version.
-func (c *Cluster) Want() {
+// SetVersion makes all machines fetch the version.
+func (c *Cluster) SetVersion() {
 	c.start = time.Now()
 	for _, a := range c.Agents {
 		a.Manager.Want([]port.WantedVersion{c.Target})
 	}
 }
 
-// Wait waits until all machines that are neither stopped nor frozen hold the
-// version, and returns the time since Want.
-func (c *Cluster) Wait(ctx context.Context) (time.Duration, error) {
+// WaitComplete waits until all machines that are neither stopped nor frozen hold
+// the version, and returns the time since SetVersion.
+func (c *Cluster) WaitComplete(ctx context.Context) (time.Duration, error) {
 	for _, a := range c.Agents {
-		for !a.Lost() {
+		for !a.IsLost() {
 			if _, _, ok := a.Manager.Open(c.Target.Version); ok {
 				break
 			}
@@ -148,18 +148,18 @@
 	return time.Since(c.start), nil
 }
 
-// Held returns the share of chunks that the machines hold.
-func (c *Cluster) Held() float64 {
-	have, all := 0, 0
+// HeldFraction returns the fraction of all machines' chunks that are held.
+func (c *Cluster) HeldFraction() float64 {
+	held, total := 0, 0
 	for _, a := range c.Agents {
 		p := a.Manager.Progress()
-		have += p.ChunksHave
-		all += max(1, p.Chunks)
+		held += p.ChunksHave
+		total += max(1, p.Chunks)
 	}
-	return float64(have) / float64(all)
+	return float64(held) / float64(total)
 }
 
-// Close ends everything.
+// Close stops the machines and the origin and closes their connections.
 func (c *Cluster) Close() {
 	for _, a := range c.Agents {
 		a.gate.close()
@@ -171,17 +171,18 @@
 	}
 }
 
-// Copies is the use of links in copies of the version.
-type Copies struct {
+// LinkUsage is the number of bytes on links, in copies of the version. MachineMax
+// and RegionMax belong to the most loaded machine and region.
+type LinkUsage struct {
 	Origin, MachineMax, RegionMax float64
-	Corrupted                     int64
+	Corrupted                     int64 // chunks
 }
 
-// Copies returns the use of the links since the start, those of stopped and
-// frozen machines included.
-func (c *Cluster) Copies() Copies {
+// LinkUsage returns the usage of all links since the start, including those of
+// stopped and frozen machines.
+func (c *Cluster) LinkUsage() LinkUsage {
 	size := float64(c.Config.Version.Bytes)
-	out := Copies{Origin: float64(c.Origin.TotalBytes()) / size}
+	out := LinkUsage{Origin: float64(c.Origin.TotalBytes()) / size}
 	for _, a := range c.Agents {
 		n := a.Manager.Counters()
 		sum := n.Origin + n.SameRegion + n.OtherRegion + n.ToPeers
--- a/test/bench/spread/cluster/directory.go
+++ b/test/bench/spread/cluster/directory.go
@@ -9,10 +9,10 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// noticeAfter is the time until the directory drops a lost machine.
-const noticeAfter = 5 * time.Second
+// removalDelay is the time after which the directory drops a lost machine.
+const removalDelay = 5 * time.Second
 
-// directory stands in for the membership of a deployment.
+// directory replaces the membership protocol: all machines share it.
 type directory struct {
 	decl *declare.Declaration
 
@@ -22,13 +22,13 @@
 }
 
 func newDirectory(t port.WantedVersion) *directory {
-	all := declare.Selector{{Key: declare.LabelVM, Op: declare.Exists}}
-	named := declare.Selector{{Key: declare.LabelName, Op: declare.Exists}}
+	anyVM := declare.Selector{{Key: declare.LabelVM, Op: declare.Exists}}
+	anyName := declare.Selector{{Key: declare.LabelName, Op: declare.Exists}}
 	return &directory{
 		decl: &declare.Declaration{
-			Groups: map[fleet.Group]declare.Group{"all": {VMs: all}},
+			Groups: map[fleet.Group]declare.Group{"all": {VMs: anyVM}},
 			Models: map[fleet.Model]declare.Model{t.Model: {Versions: map[string]fleet.Version{"v": t.Version}}},
-			Rules:  []declare.Rule{{Groups: named, Models: named, Version: "v"}},
+			Rules:  []declare.Rule{{Groups: anyName, Models: anyName, Version: "v"}},
 		},
 		members: map[string]port.MemberRecord{},
 		subs:    map[chan struct{}]bool{},
@@ -39,21 +39,22 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.members[r.ID] = r
-	d.changed()
+	d.notify()
 }
 
 func (d *directory) removeLater(a *Agent) {
-	time.AfterFunc(noticeAfter, func() {
+	time.AfterFunc(removalDelay, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if d.members[string(a.VM)].Address == a.Address {
 			delete(d.members, string(a.VM))
-			d.changed()
+			d.notify()
 		}
 	})
 }
 
-func (d *directory) changed() {
+// notify wakes the subscribers. Callers hold d.mu.
+func (d *directory) notify() {
 	for c := range d.subs {
 		select {
 		case c <- struct{}{}:
@@ -62,12 +63,12 @@
 	}
 }
 
-func (d *directory) view(alone bool) port.Directory { return view{d, alone} }
+func (d *directory) view(withoutPeers bool) port.Directory { return view{d, withoutPeers} }
 
-// view implements port.Directory.
+// view is the directory as one machine sees it.
 type view struct {
-	d     *directory
-	alone bool
+	d            *directory
+	withoutPeers bool
 }
 
 // Declaration implements port.Directory.
@@ -75,7 +76,7 @@
 
 // Members implements port.Directory.
 func (v view) Members(fleet.Kind) []port.MemberRecord {
-	if v.alone {
+	if v.withoutPeers {
 		return nil
 	}
 	v.d.mu.Lock()
--- a/test/bench/spread/cluster/links.go
+++ b/test/bench/spread/cluster/links.go
@@ -15,7 +15,7 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// pieceBytes is the unit in which region links are paced.
+// pieceBytes is the largest read for which a region link makes one reservation.
 const pieceBytes = 16 << 10
 
 // RegionLink is the link of a region to everything outside it.
@@ -29,49 +29,50 @@
 	return &RegionLink{name: name, link: ratelimit.NewLink(rate, rate, time.Now())}
 }
 
-// gate blocks a machine's traffic while it is frozen.
+// gate blocks the traffic of a frozen machine.
 type gate struct {
-	mu     sync.Mutex
-	open   chan struct{} // closed while traffic passes
-	shut   bool
-	closed chan struct{}
-	once   sync.Once
+	mu      sync.Mutex
+	passing chan struct{} // closed while traffic passes
+	blocked bool          // the machine is frozen or stopped
+	closed  chan struct{} // closed when the machine is stopped
+	once    sync.Once
 }
 
 func newGate() *gate {
-	g := &gate{open: make(chan struct{}), closed: make(chan struct{})}
-	close(g.open)
+	g := &gate{passing: make(chan struct{}), closed: make(chan struct{})}
+	close(g.passing)
 	return g
 }
 
 func (g *gate) freeze() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.shut {
-		g.shut, g.open = true, make(chan struct{})
+	if !g.blocked {
+		g.blocked, g.passing = true, make(chan struct{})
 	}
 }
 
-func (g *gate) isShut() bool {
+func (g *gate) isBlocked() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.shut
+	return g.blocked
 }
 
 func (g *gate) close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.shut = true
+	g.blocked = true
 	g.once.Do(func() { close(g.closed) })
 }
 
-// pass waits while the machine is frozen.
-func (g *gate) pass(done <-chan struct{}) error {
+// wait blocks while the machine is frozen. It returns an error if the machine is
+// stopped or done is closed.
+func (g *gate) wait(done <-chan struct{}) error {
 	g.mu.Lock()
-	open := g.open
+	passing := g.passing
 	g.mu.Unlock()
 	select {
-	case <-open:
+	case <-passing:
 		select {
 		case <-g.closed:
 			return net.ErrClosed
@@ -105,91 +106,91 @@
 
 func (c gatedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if e := c.gate.pass(nil); e != nil {
+	if e := c.gate.wait(nil); e != nil {
 		return 0, e
 	}
 	return n, err
 }
 
 func (c gatedConn) Write(b []byte) (int, error) {
-	if err := c.gate.pass(nil); err != nil {
+	if err := c.gate.wait(nil); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
 }
 
-// pacedOrigin sends what comes from the origin through the region's link.
-type pacedOrigin struct {
+// originClient is a machine's client of the origin, limited by the region's link.
+type originClient struct {
 	port.Origin
-	agent *Agent
-	link  *RegionLink
+	agent      *Agent
+	regionLink *RegionLink
 }
 
 // manifestChunkBytes is the size of one chunk's line in the JSON manifest.
 const manifestChunkBytes = 92
 
-// Manifest implements port.Origin. It counts the bytes on the region's link but
-// does not pace them.
-func (o *pacedOrigin) Manifest(ctx context.Context, v fleet.Version) (manifest.Manifest, error) {
+// Manifest implements port.Origin. The region's link counts the bytes, but
+// its rate limit does not apply to them.
+func (o *originClient) Manifest(ctx context.Context, v fleet.Version) (manifest.Manifest, error) {
 	m, err := o.Origin.Manifest(ctx, v)
-	o.link.in.Add(int64(manifestChunkBytes * len(m.Chunks)))
+	o.regionLink.in.Add(int64(manifestChunkBytes * len(m.Chunks)))
 	return m, err
 }
 
 // Chunk implements port.Origin.
-func (o *pacedOrigin) Chunk(ctx context.Context, v fleet.Version, i int) (io.ReadCloser, error) {
+func (o *originClient) Chunk(ctx context.Context, v fleet.Version, i int) (io.ReadCloser, error) {
 	rc, err := o.Origin.Chunk(ctx, v, i)
 	if err != nil {
 		return nil, err
 	}
-	r := &reader{ReadCloser: rc, ctx: ctx, gate: o.agent.gate, in: o.link}
-	if c := o.agent.cluster; c.Config.OriginInside {
-		home := c.Regions[0]
-		if r.out = home; o.link == home {
+	r := &linkReader{ReadCloser: rc, ctx: ctx, gate: o.agent.gate, in: o.regionLink}
+	if c := o.agent.cluster; c.Config.OriginInRegion {
+		originLink := c.Regions[0]
+		if r.out = originLink; o.regionLink == originLink {
 			r.in, r.out = nil, nil
 		}
 	}
 	return r, nil
 }
 
-// peers is a machine's client of other machines.
-type peers struct {
+// peerClient is a machine's client of other machines.
+type peerClient struct {
 	port.PeerClient
-	agent  *Agent
-	region int
+	agent       *Agent
+	regionIndex int
 }
 
 // WatchChunks implements port.PeerClient.
-func (p *peers) WatchChunks(
+func (p *peerClient) WatchChunks(
 	ctx context.Context, addr fleet.Address, v fleet.Version, from fleet.VM,
 ) (port.ChunkStream, error) {
-	if err := p.agent.gate.pass(ctx.Done()); err != nil {
+	if err := p.agent.gate.wait(ctx.Done()); err != nil {
 		return nil, err
 	}
 	s, err := p.PeerClient.WatchChunks(ctx, addr, v, from)
 	if err != nil {
 		return nil, err
 	}
-	return &stream{s, ctx, p.agent.gate}, nil
+	return &gatedStream{s, ctx, p.agent.gate}, nil
 }
 
-type stream struct {
+type gatedStream struct {
 	port.ChunkStream
 	ctx  context.Context
 	gate *gate
 }
 
-func (s *stream) Next() (port.ChunkUpdate, error) {
+func (s *gatedStream) Next() (port.ChunkUpdate, error) {
 	u, err := s.ChunkStream.Next()
-	if e := s.gate.pass(s.ctx.Done()); e != nil {
+	if e := s.gate.wait(s.ctx.Done()); e != nil {
 		return u, e
 	}
 	return u, err
 }
 
 // FetchChunk implements port.PeerClient.
-func (p *peers) FetchChunk(ctx context.Context, addr fleet.Address, r port.ChunkRequest) (io.ReadCloser, error) {
-	if err := p.agent.gate.pass(ctx.Done()); err != nil {
+func (p *peerClient) FetchChunk(ctx context.Context, addr fleet.Address, r port.ChunkRequest) (io.ReadCloser, error) {
+	if err := p.agent.gate.wait(ctx.Done()); err != nil {
 		return nil, err
 	}
 	rc, err := p.PeerClient.FetchChunk(ctx, addr, r)
@@ -197,9 +198,9 @@
 		return nil, err
 	}
 	c := p.agent.cluster
-	out := &reader{ReadCloser: rc, ctx: ctx, gate: p.agent.gate}
-	if other, ok := c.regionOf[addr]; ok && other != p.region {
-		out.in, out.out = c.Regions[p.region], c.Regions[other]
+	out := &linkReader{ReadCloser: rc, ctx: ctx, gate: p.agent.gate}
+	if other, ok := c.regionOf[addr]; ok && other != p.regionIndex {
+		out.in, out.out = c.Regions[p.regionIndex], c.Regions[other]
 	}
 	if rand.Float64() < c.Config.Corrupt {
 		out.corrupt = true
@@ -207,8 +208,8 @@
 	return out, nil
 }
 
-// reader paces and counts what crosses region links.
-type reader struct {
+// linkReader counts the bytes that cross region links and limits their rate.
+type linkReader struct {
 	io.ReadCloser
 	ctx     context.Context
 	gate    *gate
@@ -216,9 +217,9 @@
 	corrupt bool
 }
 
-func (r *reader) Read(b []byte) (int, error) {
+func (r *linkReader) Read(b []byte) (int, error) {
 	n, err := r.ReadCloser.Read(b[:min(len(b), pieceBytes)])
-	if e := r.gate.pass(r.ctx.Done()); e != nil {
+	if e := r.gate.wait(r.ctx.Done()); e != nil {
 		return 0, e
 	}
 	if n > 0 && r.corrupt {
--- a/test/bench/spread/main.go
+++ b/test/bench/spread/main.go
@@ -137,7 +137,7 @@
 	if slowest == "machine" {
 		c.MachineRate = b.rate
 	} else {
-		c.RegionRate, c.OriginInside = b.rate, slowest == "inside"
+		c.RegionRate, c.OriginInRegion = b.rate, slowest == "inside"
 	}
 	return c
 }
@@ -162,10 +162,10 @@
 }
 
 // once runs a fleet to completion.
-func (b *bench) once(cfg cluster.Config) (time.Duration, cluster.Copies, error) {
+func (b *bench) once(cfg cluster.Config) (time.Duration, cluster.LinkUsage, error) {
 	c, err := cluster.New(cfg)
 	if err != nil {
-		return 0, cluster.Copies{}, err
+		return 0, cluster.LinkUsage{}, err
 	}
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
@@ -174,15 +174,15 @@
 		stop := b.follow(c)
 		defer stop()
 	}
-	c.Want()
-	took, err := c.Wait(ctx)
-	return took, c.Copies(), err
+	c.SetVersion()
+	took, err := c.WaitComplete(ctx)
+	return took, c.LinkUsage(), err
 }
 
 // baseline measures the same fleet when every machine draws from the origin.
 func (b *bench) baseline(n int) {
 	cfg := b.config(n, "machine")
-	cfg.Alone = true
+	cfg.WithoutPeers = true
 	took, copies, err := b.once(cfg)
 	if err != nil {
 		b.fail(fmt.Sprintf("spread.baseline.%d", n), err)
--- a/test/bench/spread/trace.go
+++ b/test/bench/spread/trace.go
@@ -62,7 +62,7 @@
 	low, high, sum, slowest := 1<<30, 0, 0, ""
 	for _, a := range c.Agents {
 		p := a.Manager.Progress()
-		if a.Lost() {
+		if a.IsLost() {
 			continue
 		}
 		sum += p.ChunksHave
@@ -71,7 +71,7 @@
 			low, slowest = p.ChunksHave, fmt.Sprintf("%s %q", a.VM, p.Reason)
 		}
 	}
-	n := c.Copies()
+	n := c.LinkUsage()
 	fmt.Printf("#   %5.1fs low %d mean %d high %d origin %.2f machine %.2f region %.2f slowest %s\n", at.Seconds(), low,
 		sum/len(c.Agents), high, n.Origin, n.MachineMax, n.RegionMax, slowest)
 }
