--- a/test/bench/spread/main.go
+++ b/test/bench/spread/main.go
@@ -1,9 +1,10 @@
-// Command spread measures how fast a version reaches N machines and what it
-// costs the links. It prints one line "name value unit bound ok|MISSED" for
-// each figure and exits with 1 if a bound is missed. Runs with slow machine
-// links start real processes and send live requests; runs with slow region
-// links and the baseline have Managers in one process. QUICK=1 leaves out the
-// largest fleet, the runs in one process and the memory of agents.
+// Command spread measures the time in which a version reaches N machines and the
+// bytes that the distribution puts on the links. It prints one line "name value
+// unit bound ok|MISSED" for each figure and exits with 1 if a bound is missed.
+// Runs with slow machine links start real processes and send live requests. Runs
+// with slow region links and the baseline use weight managers in one process.
+// QUICK=1 omits the largest fleet, the runs in one process and the memory of
+// agents.
 package main
 
 import (
@@ -20,21 +21,24 @@
 
 const (
 	regions = 3
-	// The bounds come from section 10 of the design.
+	// The bounds come from section 10 of the design. The first three are in copies
+	// of the version, boundFaulted is a multiple of the ideal time.
 	boundOrigin, boundMachine, boundRegion, boundFaulted = 4.0, 2.2, 1.2, 2.0
-	// faster is how much faster the other links are than the slowest one. The
-	// origin's link carries about four copies while a machine's carries one.
-	faster = 4
-	// runTimeout bounds one run.
+	// rateFactor is the rate of the other links divided by that of the slowest. It
+	// is 4 because the origin's link carries about four copies while a machine's
+	// carries one.
+	rateFactor = 4
+	// runTimeout limits one run.
 	runTimeout = 150 * time.Second
 )
 
+// timeBounds are the bounds of the time ratio by number of machines.
 var timeBounds = map[int]float64{15: 1.3, 60: 1.5, 200: 1.7}
 
 type bench struct {
 	version origin.Version
-	rate    int64 // of the slowest link
-	missed  bool
+	rate    int64 // of the slowest link, in bytes per second
+	missed  bool  // a figure missed its bound or a run failed
 	trace   bool
 }
 
@@ -64,7 +68,7 @@
 		rate:    1 << 20,
 		trace:   *trace,
 	}
-	if _, err := harness.Binary("masticwing-agent"); err != nil { // the build is not part of a run
+	if _, err := harness.Binary("masticwing-agent"); err != nil { // builds the binaries outside the timed runs
 		fmt.Fprintln(os.Stderr, "bench:", err)
 		return 1
 	}
@@ -77,26 +81,26 @@
 	}
 	fmt.Printf("# %d bytes in chunks of %d, %d regions; the slowest link has %d B/s, so that one copy takes %.0f s; "+
 		"the origin's link has %d times that\n",
-		b.version.Bytes, b.version.ChunkBytes, regions, b.rate, b.ideal().Seconds(), faster)
-	run := func(name string, inQuick bool) bool { return *only == name || *only == "" && (inQuick || !quick) }
+		b.version.Bytes, b.version.ChunkBytes, regions, b.rate, b.idealTime().Seconds(), rateFactor)
+	enabled := func(name string, inQuick bool) bool { return *only == name || *only == "" && (inQuick || !quick) }
 	for _, n := range sizes {
-		if run("machine", true) {
-			b.machine(n)
+		if enabled("machine", true) {
+			b.measureMachineLinks(n)
 		}
 		for _, kind := range []string{"region", "inside"} {
-			if run(kind, false) {
-				b.region(n, kind)
+			if enabled(kind, false) {
+				b.measureRegionLinks(n, kind)
 			}
 		}
 	}
-	if run("faulted", true) && (*n == 0 || *n == 60) {
-		b.faulted(60)
+	if enabled("faulted", true) && (*n == 0 || *n == 60) {
+		b.measureFaults(60)
 	}
-	if run("memory", false) && *n == 0 {
-		b.memory()
+	if enabled("memory", false) && *n == 0 {
+		b.measureMemory()
 	}
-	if run("baseline", false) {
-		b.baseline(15)
+	if enabled("baseline", false) {
+		b.measureBaseline(15)
 	}
 	if b.missed {
 		return 1
@@ -111,7 +115,8 @@
 	return timeBounds[200]
 }
 
-func (b *bench) line(name string, v float64, unit string, bound float64) {
+// report prints a figure whose bound is the highest allowed value.
+func (b *bench) report(name string, v float64, unit string, bound float64) {
 	state := "ok"
 	if v > bound {
 		state, b.missed = "MISSED", true
@@ -119,20 +124,21 @@
 	fmt.Printf("%s %.2f %s %.1f %s\n", name, v, unit, bound, state)
 }
 
+// fail prints that a run failed, which counts as a missed bound.
 func (b *bench) fail(name string, err error) {
 	b.missed = true
 	fmt.Printf("%s failed: %v MISSED\n", name, err)
 }
 
-// ideal is the time that the slowest link takes for one copy.
-func (b *bench) ideal() time.Duration {
+// idealTime is the time that the slowest link takes for one copy.
+func (b *bench) idealTime() time.Duration {
 	return time.Duration(float64(b.version.Bytes) / float64(b.rate) * float64(time.Second))
 }
 
-func (b *bench) config(n int, slowest string) cluster.Config {
+func (b *bench) clusterConfig(n int, slowest string) cluster.Config {
 	c := cluster.Config{
 		Machines: n, Regions: regions, Version: b.version,
-		MachineRate: faster * b.rate, RegionRate: faster * b.rate, OriginRate: faster * b.rate,
+		MachineRate: rateFactor * b.rate, RegionRate: rateFactor * b.rate, OriginRate: rateFactor * b.rate,
 	}
 	if slowest == "machine" {
 		c.MachineRate = b.rate
@@ -142,27 +148,27 @@
 	return c
 }
 
-// region runs a fleet of n machines with the region links the slowest, and the
-// origin outside all regions (kind "region") or inside one ("inside"). Its
-// Managers run in one process, because the pacing of a link that the machines
-// of a region share is part of that process.
-func (b *bench) region(n int, kind string) {
-	took, use, err := b.once(b.config(n, kind))
+// measureRegionLinks runs a cluster of n machines whose slowest links are those of
+// the regions. The origin is outside all regions (kind "region") or inside one
+// ("inside"). The managers run in one process, because the rate limit of a link
+// that the machines of a region share works only within a process.
+func (b *bench) measureRegionLinks(n int, kind string) {
+	took, used, err := b.runCluster(b.clusterConfig(n, kind))
 	if err != nil {
 		b.fail(fmt.Sprintf("spread.%s_run.%d", kind, n), err)
 		return
 	}
-	r := took.Seconds() / b.ideal().Seconds()
-	fmt.Printf("# %d Managers in one process, %s run: %.1f s, origin %.2f, machine %.2f, region %.2f copies\n",
-		n, kind, took.Seconds(), use.Origin, use.MachineMax, use.RegionMax)
-	b.line(fmt.Sprintf("spread.%s_run.origin_copies.%d", kind, n), use.Origin, "copies", boundOrigin)
-	b.line(fmt.Sprintf("spread.%s_run.machine_copies_max.%d", kind, n), use.MachineMax, "copies", boundMachine)
-	b.line(fmt.Sprintf("spread.%s_run.region_link_copies_max.%d", kind, n), use.RegionMax, "copies", boundRegion)
-	b.line(fmt.Sprintf("spread.%s_run.time_ratio.%d", kind, n), r, "region_link", b.timeBound(n))
+	ratio := took.Seconds() / b.idealTime().Seconds()
+	fmt.Printf("# %d managers in one process, %s run: %.1f s, origin %.2f, machine %.2f, region %.2f copies\n",
+		n, kind, took.Seconds(), used.Origin, used.MachineMax, used.RegionMax)
+	b.report(fmt.Sprintf("spread.%s_run.origin_copies.%d", kind, n), used.Origin, "copies", boundOrigin)
+	b.report(fmt.Sprintf("spread.%s_run.machine_copies_max.%d", kind, n), used.MachineMax, "copies", boundMachine)
+	b.report(fmt.Sprintf("spread.%s_run.region_link_copies_max.%d", kind, n), used.RegionMax, "copies", boundRegion)
+	b.report(fmt.Sprintf("spread.%s_run.time_ratio.%d", kind, n), ratio, "region_link", b.timeBound(n))
 }
 
-// once runs a fleet to completion.
-func (b *bench) once(cfg cluster.Config) (time.Duration, cluster.LinkUsage, error) {
+// runCluster runs a cluster until all machines hold the version.
+func (b *bench) runCluster(cfg cluster.Config) (time.Duration, cluster.LinkUsage, error) {
 	c, err := cluster.New(cfg)
 	if err != nil {
 		return 0, cluster.LinkUsage{}, err
@@ -171,7 +177,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
 	defer cancel()
 	if b.trace {
-		stop := b.follow(c)
+		stop := b.traceProgress(c)
 		defer stop()
 	}
 	c.SetVersion()
@@ -179,15 +185,16 @@
 	return took, c.LinkUsage(), err
 }
 
-// baseline measures the same fleet when every machine draws from the origin.
-func (b *bench) baseline(n int) {
-	cfg := b.config(n, "machine")
+// measureBaseline measures the fleet when every machine fetches everything from the
+// origin.
+func (b *bench) measureBaseline(n int) {
+	cfg := b.clusterConfig(n, "machine")
 	cfg.WithoutPeers = true
-	took, copies, err := b.once(cfg)
+	took, used, err := b.runCluster(cfg)
 	if err != nil {
 		b.fail(fmt.Sprintf("spread.baseline.%d", n), err)
 		return
 	}
-	fmt.Printf("# baseline, each of %d machines draws from the origin: %.1f s, ratio %.2f, origin %.2f copies\n",
-		n, took.Seconds(), took.Seconds()/b.ideal().Seconds(), copies.Origin)
+	fmt.Printf("# baseline, each of %d machines fetches from the origin: %.1f s, ratio %.2f, origin %.2f copies\n",
+		n, took.Seconds(), took.Seconds()/b.idealTime().Seconds(), used.Origin)
 }
--- a/test/bench/spread/memory.go
+++ b/test/bench/spread/memory.go
@@ -9,39 +9,41 @@
 )
 
 const (
-	// rssBytes is large against what an agent holds besides weights.
+	// rssBytes is the size of a version, large compared with the other memory of an
+	// agent.
 	rssBytes = 64 << 20
-	// rssRate makes the version last long enough to be sampled.
-	rssRate   = 32 << 20
-	rssSettle = 2 * time.Second
+	// rssRate, in bytes per second, makes a distribution take several samples.
+	rssRate = 32 << 20
+	// rssSettleTime is the time between the end of a distribution and a reading.
+	rssSettleTime = 2 * time.Second
 )
 
-// memory prints what the agents of a small fleet hold in copies of a version:
-// beyond an agent with almost no weights, with one version, and at most while
-// a second one arrives beside it.
-func (b *bench) memory() {
+// measureMemory prints the resident memory of the agents of a small fleet, in
+// copies of a version and without the memory of an agent that holds almost no
+// weights: with one version, and the peak while a second version arrives.
+func (b *bench) measureMemory() {
 	c := procs.Config{Machines: 3, Regions: regions, Bytes: rssBytes, Rate: rssRate}
 	b.withFleet("spread.agent_rss_copies", c, func(ctx context.Context, f *procs.Fleet) error {
 		idle, err := f.MaxRSS()
 		if err != nil {
 			return err
 		}
-		if _, _, err := f.Spread(ctx, nil); err != nil {
+		if _, _, err := f.Distribute(ctx, nil); err != nil {
 			return err
 		}
-		time.Sleep(rssSettle)
+		time.Sleep(rssSettleTime)
 		one, err := f.MaxRSS()
 		if err != nil {
 			return err
 		}
-		f.Next()
+		f.PrepareNextVersion()
 		peak := int64(0)
-		stop := every(func(time.Duration) {
+		stop := startTicker(func(time.Duration) {
 			if n, err := f.MaxRSS(); err == nil {
 				peak = max(peak, n)
 			}
 		})
-		_, _, err = f.Spread(ctx, nil)
+		_, _, err = f.Distribute(ctx, nil)
 		stop()
 		if err != nil {
 			return err
--- a/test/bench/spread/procs/fleet.go
+++ b/test/bench/spread/procs/fleet.go
@@ -1,6 +1,6 @@
-// Package procs measures the spread of a version with real processes: agents,
-// entries, the platform and the origin on loopback, with live requests during
-// the spread.
+// Package procs measures the distribution of a version with real processes on
+// loopback: agents, entries, the platform and the origin. It can send live
+// requests during the distribution.
 package procs
 
 import (
@@ -18,31 +18,32 @@
 )
 
 const (
-	model     = "bench"
-	chunkSize = 32 << 10
+	model      = "bench"
+	chunkBytes = 32 << 10
 	// oldBytes is the size of the first version. It is small, so that a fleet
-	// is ready soon.
+	// starts quickly.
 	oldBytes         = 256 << 10
 	oldSeed, newSeed = 1, 2
-	// originFaster is the rate of the origin's link over that of a machine's.
-	originFaster = 4
+	// originRateFactor is the rate of the origin's link divided by that of a
+	// machine's link.
+	originRateFactor = 4
 	// maxEntries is the number of entries, one in each of the first regions.
 	maxEntries = 2
-	// pollEvery is the time between two looks at the machines. It is part of
-	// the measured time.
-	pollEvery = 100 * time.Millisecond
-	// pollers bounds the status calls in progress.
-	pollers = 8
+	// pollInterval is the time between two status queries of the machines. The
+	// measured time includes up to one interval.
+	pollInterval = 100 * time.Millisecond
+	// maxStatusCalls limits the concurrent status calls.
+	maxStatusCalls = 8
 )
 
-// Config describes a fleet.
+// Config sets the size of a fleet, the rates of its links and its faults.
 type Config struct {
 	Machines, Regions int
-	// Bytes is the size of the version that is spread.
+	// Bytes is the size of the version that is distributed.
 	Bytes int
-	// Rate is that of each machine's link, each way, in bytes per second.
+	// Rate is the rate of each machine's link, in bytes per second and direction.
 	Rate int64
-	// Corrupt is the share of chunks that the origin sends with a wrong byte.
+	// Corrupt is the fraction of chunks that the origin sends with a wrong byte.
 	Corrupt float64
 }
 
@@ -53,21 +54,22 @@
 	old, new origin.Version
 	// lost holds the names of the agents that the bench killed or stopped.
 	lost map[string]bool
-	base map[string]usage
+	// base holds the counters at the start of the distribution, by agent.
+	base map[string]linkCounters
 }
 
 // Start starts the processes and waits until all engines serve the old version.
 func Start(ctx context.Context, h *harness.Harness, c Config) (*Fleet, error) {
 	f := &Fleet{cfg: c, lost: map[string]bool{}}
-	f.old = origin.Version{Model: fleet.Model(model), Bytes: oldBytes, ChunkBytes: chunkSize, Seed: oldSeed}
-	f.new = origin.Version{Model: fleet.Model(model), Bytes: c.Bytes, ChunkBytes: chunkSize, Seed: newSeed}
+	f.old = origin.Version{Model: fleet.Model(model), Bytes: oldBytes, ChunkBytes: chunkBytes, Seed: oldSeed}
+	f.new = origin.Version{Model: fleet.Model(model), Bytes: c.Bytes, ChunkBytes: chunkBytes, Seed: newSeed}
 	s := harness.Spec{
 		Origin: harness.OriginSpec{
-			Model: model, Size: strconv.Itoa(oldBytes), Chunk: strconv.Itoa(chunkSize), Seed: oldSeed,
-			Rate: strconv.FormatInt(originFaster*c.Rate, 10),
+			Model: model, Size: strconv.Itoa(oldBytes), Chunk: strconv.Itoa(chunkBytes), Seed: oldSeed,
+			Rate: strconv.FormatInt(originRateFactor*c.Rate, 10),
 		},
-		// The engines bear twice what their agents admit, because an engine
-		// counts a request out only after its agent read the end of the answer.
+		// The limit of an engine is twice that of its agent, because the agent
+		// reads the end of a response before the engine has freed the slot.
 		Engine:   harness.EngineSpec{MaxRequests: 2 * slots, ColdRequests: 2, TokenDelay: tokenDelay.String(), OneProcess: true},
 		LinkRate: strconv.FormatInt(c.Rate, 10),
 		Limits: []string{
@@ -85,17 +87,17 @@
 	var err error
 	f.Deployment, err = harness.Deploy(ctx, h, s)
 	if err != nil {
-		err = errors.Wrapf(err, "agents without a version now: %q", f.notReady(ctx))
+		err = errors.Wrapf(err, "agents that serve no version: %q", f.describeNotReady(ctx))
 	}
 	return f, err
 }
 
-// notReady describes the agents that serve nothing, for the message of a fleet
-// that does not start.
-func (f *Fleet) notReady(ctx context.Context) string {
+// describeNotReady describes the agents that serve no version, for the error of a
+// fleet that does not start.
+func (f *Fleet) describeNotReady(ctx context.Context) string {
 	out := ""
 	for _, n := range f.Agents {
-		var s status
+		var s agentStatus
 		if err := harness.Status(ctx, n.Admin, &s); err != nil || s.Version == "" {
 			out += fmt.Sprintf("%s: %+v %v; ", n.Name, s, err)
 		}
@@ -103,66 +105,69 @@
 	return out
 }
 
-// Next makes the version that was spread the old one and another the new one.
-func (f *Fleet) Next() {
+// PrepareNextVersion makes the distributed version the old one and generates
+// another as the new one.
+func (f *Fleet) PrepareNextVersion() {
 	f.old = f.new
 	f.new.Seed++
 }
 
-// id is the name of a version, the digest of its manifest.
-func id(v origin.Version) string { return string(v.Manifest().Version()) }
+// digest is the name of a version, the digest of its manifest.
+func digest(v origin.Version) string { return string(v.Manifest().Version()) }
 
-// declare publishes the new version and applies the declaration that serves it.
-// It returns the time of acceptance, before which no agent can know of it.
-func (f *Fleet) declare(ctx context.Context) (time.Time, error) {
-	in := map[string]any{"model": model, "size": strconv.Itoa(f.cfg.Bytes), "chunk": strconv.Itoa(chunkSize), "seed": f.new.Seed}
+// publishAndApply publishes the new version and applies the declaration that
+// serves it. It returns the time at which the platform accepted the declaration;
+// agents cannot learn of the version earlier.
+func (f *Fleet) publishAndApply(ctx context.Context) (time.Time, error) {
+	req := map[string]any{"model": model, "size": strconv.Itoa(f.cfg.Bytes), "chunk": strconv.Itoa(chunkBytes), "seed": f.new.Seed}
 	url := "http://" + f.OriginAddr + "/versions"
-	if err := harness.CallJSON(ctx, "POST", url, in, nil); err != nil {
+	if err := harness.CallJSON(ctx, "POST", url, req, nil); err != nil {
 		return time.Time{}, err
 	}
 	if err := harness.SetFaults(ctx, f.OriginAddr, origin.Faults{Corrupt: f.cfg.Corrupt}); err != nil {
 		return time.Time{}, err
 	}
-	text := f.Spec.Declare(map[string]string{"old": id(f.old), "new": id(f.new)}, "new")
+	text := f.Spec.Declare(map[string]string{"old": digest(f.old), "new": digest(f.new)}, "new")
 	err := f.Apply(ctx, text)
 	return time.Now(), err
 }
 
-// look is what one round over the machines showed.
-type look struct {
-	held    float64 // mean share of the new version that is held
-	serving int
-	behind  string // a machine that does not serve the new version
+// progress is the result of one status query of all machines.
+type progress struct {
+	held    float64 // mean fraction of the new version's chunks
+	serving int     // machines that serve the new version
+	behind  string  // describes a machine that does not serve it
 }
 
-// survey asks every machine that is not lost for its status.
-func (f *Fleet) survey(ctx context.Context) (look, error) {
-	agents := f.alive()
-	want := id(f.new)
-	got := make([]status, len(agents))
-	p := pool.New().WithErrors().WithMaxGoroutines(pollers)
+// queryProgress queries the status of every machine that is not lost.
+func (f *Fleet) queryProgress(ctx context.Context) (progress, error) {
+	agents := f.activeAgents()
+	want := digest(f.new)
+	statuses := make([]agentStatus, len(agents))
+	p := pool.New().WithErrors().WithMaxGoroutines(maxStatusCalls)
 	for i, n := range agents {
-		p.Go(func() error { return errors.Wrap(harness.Status(ctx, n.Admin, &got[i]), n.Name) })
+		p.Go(func() error { return errors.Wrap(harness.Status(ctx, n.Admin, &statuses[i]), n.Name) })
 	}
 	if err := p.Wait(); err != nil {
-		return look{}, err
+		return progress{}, err
 	}
-	var l look
-	for i, s := range got {
+	var pr progress
+	for i, s := range statuses {
 		if s.Version == want {
-			l.serving++
-			l.held += 1 / float64(len(got))
+			pr.serving++
+			pr.held += 1 / float64(len(statuses))
 			continue
 		}
-		l.behind = fmt.Sprintf("%s %+v", agents[i].Name, s.Progress)
+		pr.behind = fmt.Sprintf("%s %+v", agents[i].Name, s.Progress)
 		if s.Progress.Target == want && s.Progress.Chunks > 0 {
-			l.held += float64(s.Progress.ChunksHave) / float64(s.Progress.Chunks) / float64(len(got))
+			pr.held += float64(s.Progress.ChunksHave) / float64(s.Progress.Chunks) / float64(len(statuses))
 		}
 	}
-	return l, nil
+	return pr, nil
 }
 
-func (f *Fleet) alive() []*harness.Node {
+// activeAgents returns the agents that the bench neither killed nor stopped.
+func (f *Fleet) activeAgents() []*harness.Node {
 	var out []*harness.Node
 	for _, n := range f.Agents {
 		if !f.lost[n.Name] {
@@ -172,50 +177,51 @@
 	return out
 }
 
-// Spread declares the new version and waits until all machines that are not
-// lost serve it. half, if not nil, is called when they hold half of it. Use is
-// that of the spread alone.
-func (f *Fleet) Spread(ctx context.Context, half func() error) (took time.Duration, use Use, err error) {
-	if err := f.mark(ctx); err != nil {
-		return 0, use, err
+// Distribute applies a declaration of the new version and waits until all
+// machines that are not lost serve it. If atHalf is not nil, Distribute calls it
+// once when they hold half of the version. The returned usage excludes earlier
+// traffic.
+func (f *Fleet) Distribute(ctx context.Context, atHalf func() error) (took time.Duration, used LinkUsage, err error) {
+	if err := f.saveBase(ctx); err != nil {
+		return 0, used, err
 	}
-	start, err := f.declare(ctx)
+	start, err := f.publishAndApply(ctx)
 	if err != nil {
-		return 0, use, err
+		return 0, used, err
 	}
-	tick := time.NewTicker(pollEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		l, err := f.survey(ctx)
+		pr, err := f.queryProgress(ctx)
 		if err != nil {
-			return 0, use, err
+			return 0, used, err
 		}
-		if half != nil && l.held >= 0.5 {
-			if err := half(); err != nil {
-				return 0, use, err
+		if atHalf != nil && pr.held >= 0.5 {
+			if err := atHalf(); err != nil {
+				return 0, used, err
 			}
-			half = nil
+			atHalf = nil
 		}
-		if l.serving == len(f.alive()) {
+		if pr.serving == len(f.activeAgents()) {
 			took = time.Since(start)
-			use, err = f.use(ctx)
-			return took, use, err
+			used, err = f.linkUsage(ctx)
+			return took, used, err
 		}
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return 0, use, errors.Errorf("%d of %d machines serve; %s", l.serving, len(f.alive()), l.behind)
+			return 0, used, errors.Errorf("%d of %d machines serve the version; %s", pr.serving, len(f.activeAgents()), pr.behind)
 		}
 	}
 }
 
-// Fault kills a tenth of the agents with SIGKILL and stops another tenth with
+// StopAgents kills a tenth of the agents with SIGKILL and stops another tenth with
 // SIGSTOP.
-func (f *Fleet) Fault() error {
+func (f *Fleet) StopAgents() error {
 	for i := range len(f.Agents) / 10 {
-		dead, stopped := f.Agents[10*i+3], f.Agents[10*i+8]
-		f.lost[dead.Name], f.lost[stopped.Name] = true, true
-		if err := dead.Proc.Kill(); err != nil {
+		killed, stopped := f.Agents[10*i+3], f.Agents[10*i+8]
+		f.lost[killed.Name], f.lost[stopped.Name] = true, true
+		if err := killed.Proc.Kill(); err != nil {
 			return err
 		}
 		if err := stopped.Proc.Pause(); err != nil {
--- a/test/bench/spread/procs/live.go
+++ b/test/bench/spread/procs/live.go
@@ -21,72 +21,72 @@
 const (
 	// slots is the number of requests that an agent admits at a time.
 	slots = 2
-	// An answer takes tokens times tokenDelay, so an engine bears
+	// A response takes tokens times tokenDelay, so an engine can serve
 	// slots / 0.4 s = 5 requests/s.
 	tokens     = 10
 	tokenDelay = 40 * time.Millisecond
-	// share is the part of the engines' capacity that the live load uses.
-	share = 0.3
-	// visible is the number of agents that one entry watches.
-	visible = 32
+	// loadFraction is the fraction of the engines' capacity that live requests use.
+	loadFraction = 0.3
+	// agentsPerEntry is the number of agents that one entry watches.
+	agentsPerEntry = 32
 
 	requestTimeout = 10 * time.Second
 )
 
-// sample is one live request.
-type sample struct {
-	at   time.Time
-	took time.Duration
-	// first is the time to the first byte.
-	first   time.Duration
-	version string
-	err     error
+// result is the outcome of one live request.
+type result struct {
+	startedAt time.Time
+	took      time.Duration
+	firstByte time.Duration // time to the first byte
+	version   string
+	err       error
 }
 
-// Live sends requests at a steady rate until it is stopped.
+// Live sends requests at a constant rate until Stop.
 type Live struct {
 	// Rate is in requests per second.
 	Rate    float64
 	callers []*harness.Caller
 	body    string
-	expect  map[string][]string // texts of the answer by version
-	samples *shard.Map[int64, sample]
+	expect  map[string][]string // texts of the response's lines, by version
+	results *shard.Map[int64, result]
 	next    atomic.Int64
 	cancel  context.CancelFunc
 	wg      conc.WaitGroup
 }
 
-// StartLive starts the load at the fleet's entries. An entry sees a bounded
-// number of engines, and the rate is a share of the capacity that is seen.
+// StartLive starts to send requests to the fleet's entries. The rate is a fraction
+// of the capacity of the engines that the entries watch, which can be fewer than
+// all.
 func (f *Fleet) StartLive(ctx context.Context) *Live {
-	seen := min(len(f.Agents), visible*len(f.Entries))
+	watched := min(len(f.Agents), agentsPerEntry*len(f.Entries))
 	perEngine := slots / (tokens * tokenDelay).Seconds()
 	l := &Live{
-		Rate: share * perEngine * float64(seen), samples: shard.New[int64, sample](0), expect: map[string][]string{},
+		Rate: loadFraction * perEngine * float64(watched), results: shard.New[int64, result](0), expect: map[string][]string{},
 		body: fmt.Sprintf(`{"prompt":"status of station 4","max_tokens":%d}`, tokens),
 	}
 	for _, v := range []origin.Version{f.old, f.new} {
-		w, name := v.Make(), id(v)
+		weights, name := v.Make(), digest(v)
 		for i := range tokens {
-			l.expect[name] = append(l.expect[name], engine.Token(w, []byte(l.body), i))
+			l.expect[name] = append(l.expect[name], engine.Token(weights, []byte(l.body), i))
 		}
 	}
 	for _, e := range f.Entries {
 		l.callers = append(l.callers, harness.NewCaller(e.HTTP))
 	}
 	ctx, l.cancel = context.WithCancel(ctx)
-	l.wg.Go(func() { l.loop(ctx) })
+	l.wg.Go(func() { l.run(ctx) })
 	return l
 }
 
-// Stop ends the load after the requests in progress.
+// Stop sends no further requests and waits for those in progress.
 func (l *Live) Stop() {
 	l.cancel()
 	l.wg.Wait()
 }
 
-// loop starts requests on schedule, however long the earlier ones take.
-func (l *Live) loop(ctx context.Context) {
+// run starts requests at the rate, without waiting for earlier ones.
+func (l *Live) run(ctx context.Context) {
 	t := time.NewTicker(time.Duration(float64(time.Second) / l.Rate))
 	defer t.Stop()
 	for {
@@ -94,93 +94,94 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			l.wg.Go(l.one)
+			l.wg.Go(l.sendOne)
 		}
 	}
 }
 
-func (l *Live) one() {
-	// Not the load's context: a request in progress is finished.
+// sendOne sends a request and records its result.
+func (l *Live) sendOne() {
+	// The context is independent of Stop, which lets requests in progress finish.
 	ctx, cancel := context.WithTimeout(context.Background(), 2*requestTimeout)
 	defer cancel()
 	n := l.next.Add(1)
-	at := time.Now()
-	a, err := l.callers[int(n)%len(l.callers)].Send(ctx, harness.Request{
+	startedAt := time.Now()
+	resp, err := l.callers[int(n)%len(l.callers)].Send(ctx, harness.Request{
 		Path: harness.GeneratePath(harness.Group), Customer: harness.Customer, Class: "summary",
 		Timeout: requestTimeout, Body: l.body,
 	})
 	if err == nil {
-		err = l.check(&a)
+		err = l.check(&resp)
 	}
-	l.samples.Put(n, sample{at, time.Since(at), a.FirstByte, a.Version, err})
+	l.results.Put(n, result{startedAt, time.Since(startedAt), resp.FirstByte, resp.Version, err})
 }
 
-// check returns an error unless the answer is whole and all of it comes from
-// the weights of the one version that it names.
-func (l *Live) check(a *harness.Answer) error {
-	if err := a.CheckWhole(); err != nil {
+// check returns an error unless the response is complete and every line comes from
+// the weights of the version that the response names.
+func (l *Live) check(resp *harness.Answer) error {
+	if err := resp.CheckWhole(); err != nil {
 		return err
 	}
-	want, ok := l.expect[a.Version]
-	if !ok || len(a.Lines) != len(want) {
-		return errors.Errorf("%d lines from version %q", len(a.Lines), a.Version)
+	want, ok := l.expect[resp.Version]
+	if !ok || len(resp.Lines) != len(want) {
+		return errors.Errorf("%d lines from version %q", len(resp.Lines), resp.Version)
 	}
-	for i, b := range a.Lines {
-		var fr engine.Frame
-		if err := json.Unmarshal(b, &fr); err != nil || fr.Text != want[i] || fr.Seq != i {
-			return errors.Errorf("line %d of version %q: %s", i, a.Version, b)
+	for i, line := range resp.Lines {
+		var frame engine.Frame
+		if err := json.Unmarshal(line, &frame); err != nil || frame.Text != want[i] || frame.Seq != i {
+			return errors.Errorf("line %d of version %q: %s", i, resp.Version, line)
 		}
 	}
 	return nil
 }
 
-// Period is what happened to the requests of a stretch of time.
-type Period struct {
+// Summary counts the requests of an interval and their errors, and holds quantiles
+// of the latency.
+type Summary struct {
 	Requests, Errors int
-	First            error
+	ExampleError     error
 	P50, P99         time.Duration
 }
 
-// Between returns the requests that started in a stretch of time. Call it
-// after Stop.
-func (l *Live) Between(from, to time.Time) Period {
-	var p Period
-	var took []time.Duration
-	l.samples.Range(func(_ int64, s sample) bool {
-		if s.at.Before(from) || s.at.After(to) {
+// Summarize summarizes the requests that started between two times. Call it after
+// Stop.
+func (l *Live) Summarize(from, to time.Time) Summary {
+	var sum Summary
+	var latencies []time.Duration
+	l.results.Range(func(_ int64, r result) bool {
+		if r.startedAt.Before(from) || r.startedAt.After(to) {
 			return true
 		}
-		p.Requests++
-		if s.err != nil {
-			p.Errors++
-			p.First = s.err
+		sum.Requests++
+		if r.err != nil {
+			sum.Errors++
+			sum.ExampleError = r.err
 		}
-		took = append(took, s.took)
+		latencies = append(latencies, r.took)
 		return true
 	})
-	if len(took) == 0 {
-		return p
+	if len(latencies) == 0 {
+		return sum
 	}
-	slices.Sort(took)
-	p.P50, p.P99 = took[len(took)/2], took[len(took)*99/100]
-	return p
+	slices.Sort(latencies)
+	sum.P50, sum.P99 = latencies[len(latencies)/2], latencies[len(latencies)*99/100]
+	return sum
 }
 
-// Slowest returns a line for each of the slowest requests that started in a
-// stretch of time.
+// Slowest describes the n slowest requests that started between two times.
 func (l *Live) Slowest(from, to time.Time, n int) []string {
-	var ss []sample
-	l.samples.Range(func(_ int64, s sample) bool {
-		if !s.at.Before(from) && !s.at.After(to) {
-			ss = append(ss, s)
+	var rs []result
+	l.results.Range(func(_ int64, r result) bool {
+		if !r.startedAt.Before(from) && !r.startedAt.After(to) {
+			rs = append(rs, r)
 		}
 		return true
 	})
-	slices.SortFunc(ss, func(a, b sample) int { return cmp.Compare(b.took, a.took) })
+	slices.SortFunc(rs, func(a, b result) int { return cmp.Compare(b.took, a.took) })
 	var out []string
-	for _, s := range ss[:min(n, len(ss))] {
+	for _, r := range rs[:min(n, len(rs))] {
 		out = append(out, fmt.Sprintf("at %.2f s: first byte %.3f s, total %.3f s, version %.8s",
-			s.at.Sub(from).Seconds(), s.first.Seconds(), s.took.Seconds(), s.version))
+			r.startedAt.Sub(from).Seconds(), r.firstByte.Seconds(), r.took.Seconds(), r.version))
 	}
 	return out
 }
--- a/test/bench/spread/procs/proc.go
+++ b/test/bench/spread/procs/proc.go
@@ -15,39 +15,39 @@
 // ticksPerSecond is the unit of CPU times in /proc.
 const ticksPerSecond = 100
 
-// cpu returns the CPU time that a process has used.
-func cpu(pid int) (time.Duration, error) {
+// cpuTime returns the CPU time that a process has used.
+func cpuTime(pid int) (time.Duration, error) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, errors.Wrap(err, "reading CPU time")
 	}
-	// The fields after the name, which may hold spaces, start with the state;
-	// utime and stime are the 12th and 13th of them.
+	// The process name may contain spaces, so the fields are counted from the
+	// state, which follows the name: utime and stime are the 12th and 13th.
 	const utime, stime = 11, 12
 	_, rest, _ := strings.Cut(string(b), ") ")
-	f := strings.Fields(rest)
-	if len(f) <= stime {
-		return 0, errors.New("stat of a process is too short")
+	fields := strings.Fields(rest)
+	if len(fields) <= stime {
+		return 0, errors.New("too few fields in /proc/PID/stat")
 	}
-	u, _ := strconv.ParseInt(f[utime], 10, 64)
-	s, _ := strconv.ParseInt(f[stime], 10, 64)
-	return time.Duration(u+s) * time.Second / ticksPerSecond, nil
+	user, _ := strconv.ParseInt(fields[utime], 10, 64)
+	system, _ := strconv.ParseInt(fields[stime], 10, 64)
+	return time.Duration(user+system) * time.Second / ticksPerSecond, nil
 }
 
-// CPU is the CPU time of the processes of a fleet by kind.
-type CPU struct{ Agents, Entries, Engines, Standins time.Duration }
+// CPUTime is the CPU time of a fleet by kind of process.
+type CPUTime struct{ Agents, Entries, Engines, Standins time.Duration }
 
-// CPU returns the CPU time used so far.
-func (f *Fleet) CPU() CPU {
+// CPUTime returns the CPU time that the fleet has used so far.
+func (f *Fleet) CPUTime() CPUTime {
 	sum := func(ps ...*harness.Process) (t time.Duration) {
 		for _, p := range ps {
-			if d, err := cpu(p.PID); err == nil {
+			if d, err := cpuTime(p.PID); err == nil {
 				t += d
 			}
 		}
 		return t
 	}
-	var c CPU
+	var c CPUTime
 	for _, n := range f.Agents {
 		c.Agents += sum(n.Proc)
 	}
@@ -58,22 +58,24 @@
 	return c
 }
 
-// Sub returns the time used since an earlier look.
-func (c CPU) Sub(o CPU) CPU {
-	return CPU{c.Agents - o.Agents, c.Entries - o.Entries, c.Engines - o.Engines, c.Standins - o.Standins}
+// Sub returns the time used since an earlier reading.
+func (c CPUTime) Sub(earlier CPUTime) CPUTime {
+	return CPUTime{
+		c.Agents - earlier.Agents, c.Entries - earlier.Entries, c.Engines - earlier.Engines, c.Standins - earlier.Standins,
+	}
 }
 
-// MaxRSS returns the largest resident memory of an agent in bytes.
+// MaxRSS returns the resident memory in bytes of the agent with the most.
 func (f *Fleet) MaxRSS() (int64, error) {
-	most := int64(0)
+	largest := int64(0)
 	for _, n := range f.Agents {
 		rss, err := RSS(n.Proc)
 		if err != nil {
 			return 0, err
 		}
-		most = max(most, rss)
+		largest = max(largest, rss)
 	}
-	return most, nil
+	return largest, nil
 }
 
 // RSS returns the resident memory of a process in bytes.
@@ -88,5 +90,5 @@
 			return kib << 10, errors.Wrap(err, "parsing resident memory")
 		}
 	}
-	return 0, errors.Errorf("no resident memory of %s", p.Name)
+	return 0, errors.Errorf("no VmRSS in /proc/PID/status of %s", p.Name)
 }
--- a/test/bench/spread/procs/usage.go
+++ b/test/bench/spread/procs/usage.go
@@ -14,8 +14,8 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-// status is the part of an agent's /status that the bench reads.
-type status struct {
+// agentStatus is the part of an agent's /status that the bench reads.
+type agentStatus struct {
 	Version  string
 	Progress struct {
 		Target, State, Reason                         string
@@ -24,22 +24,24 @@
 	}
 }
 
-// usage is what one machine's link has carried.
-type usage struct {
+// linkCounters holds the bytes that one machine has received from the origin (origin)
+// and from peers (in) and sent to peers (out).
+type linkCounters struct {
 	origin, in, out int64
-	// inOther and outOther went from and to other regions.
+	// inOther and outOther are the parts from and to other regions.
 	inOther, outOther int64
-	corrupted         int64
+	corrupted         int64 // chunks
 }
 
-// Use is the use of links in copies of the new version. Lost machines count
-// only in Origin.
-type Use struct {
+// LinkUsage is the number of bytes on links, in copies of the new version.
+// MachineMax and RegionMax belong to the most loaded machine and region. Lost
+// machines count only in Origin.
+type LinkUsage struct {
 	Origin, MachineMax, RegionMax float64
-	Corrupted                     int64
+	Corrupted                     int64 // chunks
 }
 
-// names of the agent's metrics
+// Names of the agent's metrics.
 const (
 	metricFromPeers = "weights_from_peers_bytes"
 	metricToPeers   = "weights_to_peers_bytes"
@@ -47,106 +49,107 @@
 	metricOrigin    = "weights_origin_bytes"
 )
 
-// read returns the counters of one agent.
-func read(ctx context.Context, n *harness.Node) (usage, error) {
+// readCounters reads the counters of one agent.
+func readCounters(ctx context.Context, n *harness.Node) (linkCounters, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Admin+"/metrics", nil)
 	if err != nil {
-		return usage{}, errors.Wrap(err, "building a request for metrics")
+		return linkCounters{}, errors.Wrap(err, "creating the metrics request")
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return usage{}, errors.Wrapf(err, "metrics of %s", n.Name)
+		return linkCounters{}, errors.Wrapf(err, "reading the metrics of %s", n.Name)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return parse(resp.Body)
+	return parseCounters(resp.Body)
 }
 
-// parse reads the text format of metrics.
-func parse(r io.Reader) (usage, error) {
-	var u usage
+// parseCounters reads the counters from metrics in the text format.
+func parseCounters(r io.Reader) (linkCounters, error) {
+	var c linkCounters
 	sc := bufio.NewScanner(r)
 	for sc.Scan() {
 		line := sc.Text()
-		at := strings.LastIndexByte(line, ' ')
-		if at < 0 || line[0] == '#' {
+		space := strings.LastIndexByte(line, ' ')
+		if space < 0 || line[0] == '#' {
 			continue
 		}
-		x, err := strconv.ParseFloat(line[at+1:], 64)
+		value, err := strconv.ParseFloat(line[space+1:], 64)
 		if err != nil {
 			continue
 		}
-		u.add(line, int64(x), strings.Contains(line, `region="other"`))
+		c.add(line, int64(value), strings.Contains(line, `region="other"`))
 	}
-	return u, errors.Wrap(sc.Err(), "reading metrics")
+	return c, errors.Wrap(sc.Err(), "reading metrics")
 }
 
-func (u *usage) add(line string, n int64, other bool) {
+func (c *linkCounters) add(line string, n int64, otherRegion bool) {
 	switch {
 	case strings.HasPrefix(line, metricOrigin):
-		u.origin += n
+		c.origin += n
 	case strings.HasPrefix(line, metricFromPeers):
-		u.in += n
-		if other {
-			u.inOther += n
+		c.in += n
+		if otherRegion {
+			c.inOther += n
 		}
 	case strings.HasPrefix(line, metricToPeers):
-		u.out += n
-		if other {
-			u.outOther += n
+		c.out += n
+		if otherRegion {
+			c.outOther += n
 		}
 	case strings.HasPrefix(line, metricCorrupted):
-		u.corrupted += n
+		c.corrupted += n
 	}
 }
 
-// all reads the counters of the machines that are not lost.
-func (f *Fleet) all(ctx context.Context) (map[string]usage, error) {
-	agents := f.alive()
-	got := make([]usage, len(agents))
-	p := pool.New().WithErrors().WithMaxGoroutines(pollers)
+// readAllCounters reads the counters of the machines that are not lost, by name. The
+// empty name holds the bytes that the origin sent.
+func (f *Fleet) readAllCounters(ctx context.Context) (map[string]linkCounters, error) {
+	agents := f.activeAgents()
+	counters := make([]linkCounters, len(agents))
+	p := pool.New().WithErrors().WithMaxGoroutines(maxStatusCalls)
 	for i, n := range agents {
 		p.Go(func() (err error) {
-			got[i], err = read(ctx, n)
+			counters[i], err = readCounters(ctx, n)
 			return err
 		})
 	}
 	if err := p.Wait(); err != nil {
 		return nil, err
 	}
-	out := map[string]usage{}
+	out := map[string]linkCounters{}
 	for i, n := range agents {
-		out[n.Name] = got[i]
+		out[n.Name] = counters[i]
 	}
 	total, err := f.OriginBytes(ctx)
-	out[""] = usage{origin: total}
+	out[""] = linkCounters{origin: total}
 	return out, err
 }
 
-// mark remembers the counters before the spread.
-func (f *Fleet) mark(ctx context.Context) (err error) {
-	f.base, err = f.all(ctx)
+// saveBase saves the counters before a distribution.
+func (f *Fleet) saveBase(ctx context.Context) (err error) {
+	f.base, err = f.readAllCounters(ctx)
 	return err
 }
 
-// use returns the use of links since mark.
-func (f *Fleet) use(ctx context.Context) (Use, error) {
-	now, err := f.all(ctx)
+// linkUsage returns the usage of links since saveBase.
+func (f *Fleet) linkUsage(ctx context.Context) (LinkUsage, error) {
+	now, err := f.readAllCounters(ctx)
 	if err != nil {
-		return Use{}, err
+		return LinkUsage{}, err
 	}
 	size := float64(f.cfg.Bytes)
-	out := Use{Origin: float64(now[""].origin-f.base[""].origin) / size}
-	in, away := map[string]int64{}, map[string]int64{}
-	for _, n := range f.alive() {
-		a, b := f.base[n.Name], now[n.Name]
-		sum := b.origin + b.in + b.out - a.origin - a.in - a.out
+	out := LinkUsage{Origin: float64(now[""].origin-f.base[""].origin) / size}
+	regionIn, regionOut := map[string]int64{}, map[string]int64{}
+	for _, n := range f.activeAgents() {
+		base, cur := f.base[n.Name], now[n.Name]
+		sum := cur.origin + cur.in + cur.out - base.origin - base.in - base.out
 		out.MachineMax = max(out.MachineMax, float64(sum)/size)
-		out.Corrupted += b.corrupted - a.corrupted
-		in[n.Region] += b.origin + b.inOther - a.origin - a.inOther
-		away[n.Region] += b.outOther - a.outOther
+		out.Corrupted += cur.corrupted - base.corrupted
+		regionIn[n.Region] += cur.origin + cur.inOther - base.origin - base.inOther
+		regionOut[n.Region] += cur.outOther - base.outOther
 	}
-	for r := range in {
-		out.RegionMax = max(out.RegionMax, float64(in[r])/size, float64(away[r])/size)
+	for r := range regionIn {
+		out.RegionMax = max(out.RegionMax, float64(regionIn[r])/size, float64(regionOut[r])/size)
 	}
 	return out, nil
 }
--- a/test/bench/spread/trace.go
+++ b/test/bench/spread/trace.go
@@ -13,35 +13,36 @@
 	"github.com/masticwing/masticwing/test/bench/spread/procs"
 )
 
-// traceEvery is the time between two lines of a trace.
-const traceEvery = 500 * time.Millisecond
+// traceInterval is the time between two lines of a trace.
+const traceInterval = 500 * time.Millisecond
 
-// follow prints the slowest, median and fastest machines of a run until the
-// returned function is called.
-func (b *bench) follow(c *cluster.Cluster) func() {
-	return every(func(at time.Duration) { b.traceLine(c, at) })
+// traceProgress prints the lowest, mean and highest number of chunks that the
+// machines of a run hold, until the returned function is called.
+func (b *bench) traceProgress(c *cluster.Cluster) func() {
+	return startTicker(func(at time.Duration) { b.printProgress(c, at) })
 }
 
-// followCPU prints the CPU time that the processes of a fleet use until the
+// traceCPU prints the CPU time that the processes of a fleet use until the
 // returned function is called.
-func followCPU(f *procs.Fleet) func() {
-	last, start := f.CPU(), time.Duration(0)
-	return every(func(at time.Duration) {
-		now := f.CPU()
-		d := now.Sub(last)
-		cores := func(t time.Duration) float64 { return t.Seconds() / (at - start).Seconds() }
+func traceCPU(f *procs.Fleet) func() {
+	prev, prevAt := f.CPUTime(), time.Duration(0)
+	return startTicker(func(at time.Duration) {
+		cur := f.CPUTime()
+		used := cur.Sub(prev)
+		cores := func(t time.Duration) float64 { return t.Seconds() / (at - prevAt).Seconds() }
 		fmt.Printf("#   %5.1fs cores used by agents %.2f, entries %.2f, engines %.2f, platform and origin %.2f\n",
-			at.Seconds(), cores(d.Agents), cores(d.Entries), cores(d.Engines), cores(d.Standins))
-		last, start = now, at
+			at.Seconds(), cores(used.Agents), cores(used.Entries), cores(used.Engines), cores(used.Standins))
+		prev, prevAt = cur, at
 	})
 }
 
-// every calls f with the time passed until the returned function is called.
-func every(f func(at time.Duration)) func() {
+// startTicker calls f at traceInterval, with the time since the start, until the
+// returned function is called.
+func startTicker(f func(at time.Duration)) func() {
 	done, start := make(chan struct{}), time.Now()
 	var wg conc.WaitGroup
 	wg.Go(func() {
-		t := time.NewTicker(traceEvery)
+		t := time.NewTicker(traceInterval)
 		defer t.Stop()
 		for {
 			select {
@@ -58,7 +59,7 @@
 	}
 }
 
-func (b *bench) traceLine(c *cluster.Cluster, at time.Duration) {
+func (b *bench) printProgress(c *cluster.Cluster, at time.Duration) {
 	low, high, sum, slowest := 1<<30, 0, 0, ""
 	for _, a := range c.Agents {
 		p := a.Manager.Progress()
@@ -71,19 +72,19 @@
 			low, slowest = p.ChunksHave, fmt.Sprintf("%s %q", a.VM, p.Reason)
 		}
 	}
-	n := c.LinkUsage()
+	used := c.LinkUsage()
 	fmt.Printf("#   %5.1fs low %d mean %d high %d origin %.2f machine %.2f region %.2f slowest %s\n", at.Seconds(), low,
-		sum/len(c.Agents), high, n.Origin, n.MachineMax, n.RegionMax, slowest)
+		sum/len(c.Agents), high, used.Origin, used.MachineMax, used.RegionMax, slowest)
 }
 
 // startProfile writes a CPU profile until the returned function is called.
 func startProfile(file string) (func(), error) {
 	f, err := os.Create(file)
 	if err != nil {
-		return nil, errors.Wrap(err, "creating the profile")
+		return nil, errors.Wrap(err, "creating the CPU profile")
 	}
 	if err := pprof.StartCPUProfile(f); err != nil {
-		return nil, errors.Wrap(err, "starting the profile")
+		return nil, errors.Wrap(err, "starting the CPU profile")
 	}
 	return func() {
 		pprof.StopCPUProfile()
