--- a/test/bench/spread/cluster/links.go
+++ b/test/bench/spread/cluster/links.go
@@ -65,9 +65,9 @@
 	g.once.Do(func() { close(g.closed) })
 }
 
-// wait blocks while the machine is frozen. It returns an error if the machine is
+// waitOpen blocks while the machine is frozen. It returns an error if the machine is
 // stopped or done is closed.
-func (g *gate) wait(done <-chan struct{}) error {
+func (g *gate) waitOpen(done <-chan struct{}) error {
 	g.mu.Lock()
 	passing := g.passing
 	g.mu.Unlock()
@@ -106,14 +106,14 @@
 
 func (c gatedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if e := c.gate.wait(nil); e != nil {
+	if e := c.gate.waitOpen(nil); e != nil {
 		return 0, e
 	}
 	return n, err
 }
 
 func (c gatedConn) Write(b []byte) (int, error) {
-	if err := c.gate.wait(nil); err != nil {
+	if err := c.gate.waitOpen(nil); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
@@ -164,7 +164,7 @@
 func (p *peerClient) WatchChunks(
 	ctx context.Context, addr fleet.Address, v fleet.Version, from fleet.VM,
 ) (port.ChunkStream, error) {
-	if err := p.agent.gate.wait(ctx.Done()); err != nil {
+	if err := p.agent.gate.waitOpen(ctx.Done()); err != nil {
 		return nil, err
 	}
 	s, err := p.PeerClient.WatchChunks(ctx, addr, v, from)
@@ -182,7 +182,7 @@
 
 func (s *gatedStream) Next() (port.ChunkUpdate, error) {
 	u, err := s.ChunkStream.Next()
-	if e := s.gate.wait(s.ctx.Done()); e != nil {
+	if e := s.gate.waitOpen(s.ctx.Done()); e != nil {
 		return u, e
 	}
 	return u, err
@@ -190,7 +190,7 @@
 
 // FetchChunk implements port.PeerClient.
 func (p *peerClient) FetchChunk(ctx context.Context, addr fleet.Address, r port.ChunkRequest) (io.ReadCloser, error) {
-	if err := p.agent.gate.wait(ctx.Done()); err != nil {
+	if err := p.agent.gate.waitOpen(ctx.Done()); err != nil {
 		return nil, err
 	}
 	rc, err := p.PeerClient.FetchChunk(ctx, addr, r)
@@ -219,7 +219,7 @@
 
 func (r *linkReader) Read(b []byte) (int, error) {
 	n, err := r.ReadCloser.Read(b[:min(len(b), pieceBytes)])
-	if e := r.gate.wait(r.ctx.Done()); e != nil {
+	if e := r.gate.waitOpen(r.ctx.Done()); e != nil {
 		return 0, e
 	}
 	if n > 0 && r.corrupt {
--- a/test/bench/spread/processes.go
+++ b/test/bench/spread/processes.go
@@ -26,18 +26,18 @@
 
 // withFleet calls f with a fleet of real processes and stops the fleet afterwards.
 // It reports an error as a failed run.
-func (b *bench) withFleet(name string, c procs.Config, measure func(context.Context, *procs.Fleet) error) {
+func (b *bench) withFleet(name string, c procs.Config, f func(context.Context, *procs.Fleet) error) {
 	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
 	defer cancel()
-	h, err := harness.New(func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) })
+	h, err := harness.New(func(f string, args ...any) { fmt.Fprintf(os.Stderr, f+"\n", args...) })
 	if err != nil {
 		b.fail(name, err)
 		return
 	}
 	defer h.Close()
-	f, err := procs.Start(ctx, h, c)
+	fleet, err := procs.Start(ctx, h, c)
 	if err == nil {
-		err = measure(ctx, f)
+		err = f(ctx, fleet)
 	}
 	if err != nil {
 		b.fail(name, err)
--- a/test/bench/spread/procs/fleet.go
+++ b/test/bench/spread/procs/fleet.go
@@ -181,36 +181,36 @@
 // machines that are not lost serve it. If atHalf is not nil, Distribute calls it
 // once when they hold half of the version. The returned usage excludes earlier
 // traffic.
-func (f *Fleet) Distribute(ctx context.Context, atHalf func() error) (took time.Duration, used LinkUsage, err error) {
+func (f *Fleet) Distribute(ctx context.Context, atHalf func() error) (took time.Duration, usage LinkUsage, err error) {
 	if err := f.saveBase(ctx); err != nil {
-		return 0, used, err
+		return 0, usage, err
 	}
 	start, err := f.publishAndApply(ctx)
 	if err != nil {
-		return 0, used, err
+		return 0, usage, err
 	}
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		pr, err := f.queryProgress(ctx)
 		if err != nil {
-			return 0, used, err
+			return 0, usage, err
 		}
 		if atHalf != nil && pr.held >= 0.5 {
 			if err := atHalf(); err != nil {
-				return 0, used, err
+				return 0, usage, err
 			}
 			atHalf = nil
 		}
 		if pr.serving == len(f.activeAgents()) {
 			took = time.Since(start)
-			used, err = f.linkUsage(ctx)
-			return took, used, err
+			usage, err = f.usage(ctx)
+			return took, usage, err
 		}
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return 0, used, errors.Errorf("%d of %d machines serve the version; %s", pr.serving, len(f.activeAgents()), pr.behind)
+			return 0, usage, errors.Errorf("%d of %d machines serve the version; %s", pr.serving, len(f.activeAgents()), pr.behind)
 		}
 	}
 }
--- a/test/bench/spread/procs/live.go
+++ b/test/bench/spread/procs/live.go
@@ -147,7 +147,7 @@
 // Stop.
 func (l *Live) Summarize(from, to time.Time) Summary {
 	var sum Summary
-	var latencies []time.Duration
+	var took []time.Duration
 	l.results.Range(func(_ int64, r result) bool {
 		if r.startedAt.Before(from) || r.startedAt.After(to) {
 			return true
@@ -157,14 +157,14 @@
 			sum.Errors++
 			sum.ExampleError = r.err
 		}
-		latencies = append(latencies, r.took)
+		took = append(took, r.took)
 		return true
 	})
-	if len(latencies) == 0 {
+	if len(took) == 0 {
 		return sum
 	}
-	slices.Sort(latencies)
-	sum.P50, sum.P99 = latencies[len(latencies)/2], latencies[len(latencies)*99/100]
+	slices.Sort(took)
+	sum.P50, sum.P99 = took[len(took)/2], took[len(took)*99/100]
 	return sum
 }
 
--- a/test/bench/spread/procs/usage.go
+++ b/test/bench/spread/procs/usage.go
@@ -131,8 +131,8 @@
 	return err
 }
 
-// linkUsage returns the usage of links since saveBase.
-func (f *Fleet) linkUsage(ctx context.Context) (LinkUsage, error) {
+// usage returns the usage of links since saveBase.
+func (f *Fleet) usage(ctx context.Context) (LinkUsage, error) {
 	now, err := f.readAllCounters(ctx)
 	if err != nil {
 		return LinkUsage{}, err
@@ -141,12 +141,12 @@
 	out := LinkUsage{Origin: float64(now[""].origin-f.base[""].origin) / size}
 	regionIn, regionOut := map[string]int64{}, map[string]int64{}
 	for _, n := range f.activeAgents() {
-		base, cur := f.base[n.Name], now[n.Name]
-		sum := cur.origin + cur.in + cur.out - base.origin - base.in - base.out
+		prev, cur := f.base[n.Name], now[n.Name]
+		sum := cur.origin + cur.in + cur.out - prev.origin - prev.in - prev.out
 		out.MachineMax = max(out.MachineMax, float64(sum)/size)
-		out.Corrupted += cur.corrupted - base.corrupted
-		regionIn[n.Region] += cur.origin + cur.inOther - base.origin - base.inOther
-		regionOut[n.Region] += cur.outOther - base.outOther
+		out.Corrupted += cur.corrupted - prev.corrupted
+		regionIn[n.Region] += cur.origin + cur.inOther - prev.origin - prev.inOther
+		regionOut[n.Region] += cur.outOther - prev.outOther
 	}
 	for r := range regionIn {
 		out.RegionMax = max(out.RegionMax, float64(regionIn[r])/size, float64(regionOut[r])/size)
