--- a/test/bench/control/fit.go
+++ b/test/bench/control/fit.go
@@ -1,26 +1,26 @@
 package main
 
-// straight fits y = at0 + slope*x by least squares.
-func straight(xs, ys []float64) (slope, at0 float64) {
+// fitLine fits y = intercept + slope*x by least squares.
+func fitLine(xs, ys []float64) (slope, intercept float64) {
 	n := float64(len(xs))
-	var sx, sy, sxx, sxy float64
+	var sumX, sumY, sumXX, sumXY float64
 	for i, x := range xs {
-		sx, sy, sxx, sxy = sx+x, sy+ys[i], sxx+x*x, sxy+x*ys[i]
+		sumX, sumY, sumXX, sumXY = sumX+x, sumY+ys[i], sumXX+x*x, sumXY+x*ys[i]
 	}
-	slope = (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	return slope, (sy - slope*sx) / n
+	slope = (n*sumXY - sumX*sumY) / (n*sumXX - sumX*sumX)
+	return slope, (sumY - slope*sumX) / n
 }
 
-// plane fits calls = a + perEntry*entries + perAgent*agents by least squares.
-func plane(all []sample) (perEntry, perAgent float64) {
-	n := float64(len(all))
-	var me, ma, mc float64
-	for _, s := range all {
-		me, ma, mc = me+float64(s.entries)/n, ma+float64(s.agents)/n, mc+s.calls/n
+// fitPlane fits calls = a + perEntry*entries + perAgent*agents by least squares.
+func fitPlane(samples []sample) (perEntry, perAgent float64) {
+	n := float64(len(samples))
+	var meanEntries, meanAgents, meanCalls float64
+	for _, s := range samples {
+		meanEntries, meanAgents, meanCalls = meanEntries+float64(s.entries)/n, meanAgents+float64(s.agents)/n, meanCalls+s.calls/n
 	}
 	var ee, aa, ea, ec, ac float64
-	for _, s := range all {
-		e, a, c := float64(s.entries)-me, float64(s.agents)-ma, s.calls-mc
+	for _, s := range samples {
+		e, a, c := float64(s.entries)-meanEntries, float64(s.agents)-meanAgents, s.calls-meanCalls
 		ee, aa, ea, ec, ac = ee+e*e, aa+a*a, ea+e*a, ec+e*c, ac+a*c
 	}
 	det := ee*aa - ea*ea
--- a/test/bench/control/fleet.go
+++ b/test/bench/control/fleet.go
@@ -10,10 +10,10 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-// domains are the failure domains of the fleet.
-var domains = []string{"a", "b", "c"}
+// domainNames are the failure domains of the fleet.
+var domainNames = []string{"a", "b", "c"}
 
-// The declaration has the size of one at the design size.
+// The declaration is as large as one for a deployment of the design size.
 const (
 	declaredDomains   = 14
 	declaredCustomers = 10
@@ -25,14 +25,15 @@
 	size
 	h *harness.Harness
 	d *harness.Deployment
-	// revision is the newest one that this bench applied.
+	// revision is the last one that this bench applied.
 	revision uint64
-	// held is the highest revision that each process reported.
-	held    map[string]uint64
+	// highestSeen is the highest revision that each process reported, by name.
+	highestSeen map[string]uint64
+	// reverts counts reports of a revision below the highest one.
 	reverts int
 }
 
-func start(ctx context.Context, s size) (*fleet, error) {
+func startFleet(ctx context.Context, s size) (*fleet, error) {
 	h, err := harness.New(func(f string, args ...any) { fmt.Fprintf(os.Stderr, f+"\n", args...) })
 	if err != nil {
 		return nil, err
@@ -40,15 +41,15 @@
 	spec := harness.Spec{
 		Origin: harness.OriginSpec{Model: "summarizer", Size: "1MiB", Chunk: "256KiB", Seed: 1}, ShareTargets: true,
 	}
-	n := len(domains)
-	for i, name := range domains {
+	n := len(domainNames)
+	for i, name := range domainNames {
 		spec.Domains = append(spec.Domains, harness.DomainSpec{
 			Name: name, Region: fmt.Sprintf("r%d", i+1), Entries: (s.entries + n - 1 - i) / n,
 			Services: map[string]int{harness.Service: (s.agents + n - 1 - i) / n},
 		})
 	}
 	spec.Declaration = declaration(0)
-	f := &fleet{size: s, h: h, revision: 1, held: map[string]uint64{}}
+	f := &fleet{size: s, h: h, revision: 1, highestSeen: map[string]uint64{}}
 	if f.d, err = harness.Deploy(ctx, h, spec); err != nil {
 		h.Close()
 		return nil, err
@@ -56,7 +57,7 @@
 	return f, f.listVMs(ctx)
 }
 
-// listVMs fills the platform's list, which readers read.
+// listVMs fills the platform's list of VMs, which the readers fetch.
 func (f *fleet) listVMs(ctx context.Context) error {
 	var list []map[string]string
 	for _, n := range f.d.Agents {
@@ -65,7 +66,7 @@
 	return harness.CallJSON(ctx, "PUT", "http://"+f.d.PlatformAddr+"/vms", list, nil)
 }
 
-// declaration returns a document that differs by n.
+// declaration returns the text of a declaration whose shares depend on n.
 func declaration(n int) string {
 	var b strings.Builder
 	for i := range declaredCustomers {
@@ -73,8 +74,8 @@
 	}
 	for i := range declaredDomains {
 		name := fmt.Sprintf("d%02d", i)
-		if i < len(domains) {
-			name = domains[i]
+		if i < len(domainNames) {
+			name = domainNames[i]
 		}
 		fmt.Fprintf(&b, "[domain %s]\nregion = r%d\nlabels = coast=east\n\n", name, i%5+1)
 	}
@@ -89,8 +90,8 @@
 	return b.String()
 }
 
-// change applies the next declaration.
-func (f *fleet) change(ctx context.Context) error {
+// applyChange applies a declaration that differs from the current one.
+func (f *fleet) applyChange(ctx context.Context) error {
 	if err := f.d.Apply(ctx, declaration(int(f.revision))); err != nil {
 		return err
 	}
@@ -98,12 +99,12 @@
 	return nil
 }
 
-// changes spreads n changes over a window.
-func (f *fleet) changes(ctx context.Context, n int, window time.Duration) error {
+// applyChanges applies n changes at equal distances within a window.
+func (f *fleet) applyChanges(ctx context.Context, n int, window time.Duration) error {
 	end := time.Now().Add(window)
 	for range n {
 		next := time.Now().Add(window / time.Duration(n))
-		if err := f.change(ctx); err != nil {
+		if err := f.applyChange(ctx); err != nil {
 			return err
 		}
 		if err := pause(ctx, time.Until(next)); err != nil {
--- a/test/bench/control/inforce.go
+++ b/test/bench/control/inforce.go
@@ -15,42 +15,45 @@
 const (
 	// inForceBound is the design's bound in seconds.
 	inForceBound = 7
-	// inForceLimit ends the wait for a change.
-	inForceLimit = 20 * time.Second
-	// pollEvery is the time between two looks at the processes that lag.
-	pollEvery = 50 * time.Millisecond
-	// timedChanges is the number of changes whose time is taken.
+	// inForceTimeout limits the wait for a change.
+	inForceTimeout = 20 * time.Second
+	// pollInterval is the time between two status queries of the processes that
+	// have not reported a change.
+	pollInterval = 50 * time.Millisecond
+	// timedChanges is the number of changes that are timed.
 	timedChanges = 3
-	// outage is how long the platform is down.
-	outage = 30 * time.Second
+	// outageTime is the time for which the platform is down.
+	outageTime = 30 * time.Second
 )
 
-// inForce measures changes with and without a failure of the platform.
-func inForce(ctx context.Context, f *fleet, r *report) error {
+// measureInForce measures the time until changes are in force, with and without an
+// outage of the platform.
+func measureInForce(ctx context.Context, f *fleet, r *report) error {
 	worst := 0.0
 	for range timedChanges {
-		began := time.Now() // the start of the command, which is before the change is accepted
-		if err := f.change(ctx); err != nil {
+		start := time.Now() // before the platform accepts the change
+		if err := f.applyChange(ctx); err != nil {
 			return err
 		}
-		if err := f.await(ctx, f.revision); err != nil {
+		if err := f.waitForRevision(ctx, f.revision); err != nil {
 			return err
 		}
-		worst = max(worst, time.Since(began).Seconds())
+		worst = max(worst, time.Since(start).Seconds())
 	}
-	r.line("control.in_force_seconds_max", worst, "s", inForceBound)
-	took, err := f.outage(ctx)
+	r.bounded("control.in_force_seconds_max", worst, "s", inForceBound)
+	took, err := f.measureOutage(ctx)
 	if err != nil {
 		return err
 	}
-	r.line("control.in_force_after_outage_seconds", took, "s", inForceBound)
-	r.line("control.reverts", float64(f.reverts), "count", 0)
+	r.bounded("control.in_force_after_outage_seconds", took, "s", inForceBound)
+	r.bounded("control.reverts", float64(f.reverts), "count", 0)
 	return nil
 }
 
-// outage declares a change while the platform is down. When it returns, the
-// answers of all writes are lost at first. The time counts from its return.
-func (f *fleet) outage(ctx context.Context) (float64, error) {
+// measureOutage applies a change while the platform is down. After the outage the
+// platform executes writes but loses all their responses, until the change is in
+// force. It returns the seconds from the end of the outage until then.
+func (f *fleet) measureOutage(ctx context.Context) (float64, error) {
 	if err := harness.SetFaults(ctx, f.d.PlatformAddr, platform.Faults{Down: true}); err != nil {
 		return 0, err
 	}
@@ -63,18 +66,18 @@
 	if err != nil {
 		return 0, err
 	}
-	if err := f.watch(ctx, outage); err != nil {
+	if err := f.countReverts(ctx, outageTime); err != nil {
 		return 0, err
 	}
 	if err := harness.SetFaults(ctx, f.d.PlatformAddr, platform.Faults{LoseWriteAnswers: 1}); err != nil {
 		return 0, err
 	}
-	back := time.Now()
+	outageEnd := time.Now()
 	f.revision++
-	if err := f.await(ctx, f.revision); err != nil {
+	if err := f.waitForRevision(ctx, f.revision); err != nil {
 		return 0, err
 	}
-	took := time.Since(back).Seconds()
+	took := time.Since(outageEnd).Seconds()
 	select {
 	case <-apply.Done():
 	case <-ctx.Done():
@@ -86,10 +89,10 @@
 	return took, harness.SetFaults(ctx, f.d.PlatformAddr, platform.Faults{})
 }
 
-// watch looks for reverts while the platform is down.
-func (f *fleet) watch(ctx context.Context, d time.Duration) error {
+// countReverts reads the revisions of all processes for a time and counts reverts.
+func (f *fleet) countReverts(ctx context.Context, d time.Duration) error {
 	for end := time.Now().Add(d); time.Now().Before(end); {
-		if _, err := f.readings(ctx); err != nil {
+		if _, err := f.readAll(ctx); err != nil {
 			return err
 		}
 		if err := pause(ctx, min(time.Second, time.Until(end))); err != nil {
@@ -99,36 +102,37 @@
 	return nil
 }
 
-// await returns once every process has reported the revision at /status.
-func (f *fleet) await(ctx context.Context, rev uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, inForceLimit)
+// waitForRevision waits until every process has reported the revision at /status.
+func (f *fleet) waitForRevision(ctx context.Context, rev uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
-	behind := f.d.Nodes()
+	lagging := f.d.Nodes()
 	for {
 		var err error
-		if behind, err = f.behind(ctx, behind, rev); err != nil || len(behind) == 0 {
+		if lagging, err = f.lagging(ctx, lagging, rev); err != nil || len(lagging) == 0 {
 			return err
 		}
-		if err := pause(ctx, pollEvery); err != nil {
-			return errors.Wrapf(err, "%d processes such as %s have no revision %d", len(behind), behind[0].Name, rev)
+		if err := pause(ctx, pollInterval); err != nil {
+			return errors.Wrapf(err, "%d processes, such as %s, have not reported revision %d", len(lagging), lagging[0].Name, rev)
 		}
 	}
 }
 
-func (f *fleet) behind(ctx context.Context, nodes []*harness.Node, rev uint64) ([]*harness.Node, error) {
+// lagging returns those of the nodes that report an older revision.
+func (f *fleet) lagging(ctx context.Context, nodes []*harness.Node, rev uint64) ([]*harness.Node, error) {
 	var mu sync.Mutex
 	var out []*harness.Node
-	p := pool.New().WithErrors().WithMaxGoroutines(asks)
+	p := pool.New().WithErrors().WithMaxGoroutines(maxStatusCalls)
 	for _, n := range nodes {
 		p.Go(func() error {
-			var st harness.AgentStatus
-			err := harness.Status(ctx, n.Admin, &st)
+			var status harness.AgentStatus
+			err := harness.Status(ctx, n.Admin, &status)
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
-				f.note(n.Name, st.Revision)
+				f.recordRevision(n.Name, status.Revision)
 			}
-			if st.Revision < rev {
+			if status.Revision < rev {
 				out = append(out, n)
 			}
 			return err
--- a/test/bench/control/main.go
+++ b/test/bench/control/main.go
@@ -1,12 +1,11 @@
-// Command control measures what it costs to keep every process informed: the
-// time until a change is in force everywhere, the calls of the platform, and
-// processor time, memory and bytes of each role at several sizes. It prints one
-// line "name value unit bound ok|MISSED" for each figure and exits with 1 if a
-// bound is missed.
+// Command control measures the control traffic of a fleet: the time until a change
+// is in force in every process, the calls to the platform, and the CPU time,
+// memory and bytes of each role at several sizes. It prints one line "name value
+// unit bound ok|MISSED" for each figure and exits with 1 if a bound is missed.
 //
 // All agents run a plain service and share one service stand-in, which leaves
-// room for more agents. No caller sends requests and no weights move, so all
-// bytes of the connections are control.
+// room for more agents. No caller sends requests and no weights are transferred,
+// so all bytes on the connections are control traffic.
 package main
 
 import (
@@ -22,32 +21,34 @@
 )
 
 const (
-	// benchTimeout bounds the whole run.
+	// benchTimeout limits the whole run.
 	benchTimeout = 235 * time.Second
-	// settleTime lets the member tables of a fleet that started at once agree.
+	// settleTime is the time in which the member tables converge after all
+	// processes start at once.
 	settleTime = 12 * time.Second
-	// steadyTime is the window without a change.
+	// steadyTime is the length of the window without a change.
 	steadyTime = 12 * time.Second
-	// changesTime is the window with costChanges changes.
-	changesTime = 9 * time.Second
-	costChanges = 3
-	// changeEvery is the mean time between two changes at 2,300 a day.
-	changeEvery = 86400.0 / 2300
+	// changesTime is the length of the window with windowChanges changes.
+	changesTime   = 9 * time.Second
+	windowChanges = 3
+	// changeInterval is the mean time in seconds between two changes at 2,300 a day.
+	changeInterval = 86400.0 / 2300
 )
 
-// size is a fleet over three failure domains.
+// size is the number of processes of a fleet over three failure domains.
 type size struct{ entries, agents int }
 
 func (s size) processes() int { return s.entries + s.agents }
 
-// Each agent has about as many status streams as at the design size, where
-// 390 entries watch 32 of 2,400 agents each. An entry watches 32 agents.
+// In each of the sizes, an entry watches 32 agents, and an agent has about as many
+// status streams as at the design size, where 390 entries watch 32 of 2,400 agents
+// each.
 var (
-	sizes  = []size{{9, 54}, {15, 93}, {30, 180}}
-	design = size{390, 2400}
-	// skewed has another ratio of entries to agents, which tells the slope of
-	// the platform's calls in entries from that in agents.
-	skewed = size{24, 36}
+	sizes      = []size{{9, 54}, {15, 93}, {30, 180}}
+	designSize = size{390, 2400}
+	// skewedSize has another ratio of entries to agents. It separates the platform
+	// calls per entry from those per agent.
+	skewedSize = size{24, 36}
 )
 
 func main() {
@@ -72,7 +73,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, benchTimeout)
 	defer cancel()
-	var all []sample
+	var samples []sample
 	for i, s := range sizes {
 		if only > 0 && s.agents != only {
 			continue
@@ -82,29 +83,29 @@
 			if !largest {
 				return nil
 			}
-			return inForce(ctx, f, r)
+			return measureInForce(ctx, f, r)
 		})
 		if err != nil {
 			return err
 		}
-		r.sample(got)
-		all = append(all, got)
+		r.printSample(got)
+		samples = append(samples, got)
 	}
 	if only > 0 {
 		return nil
 	}
-	got, err := measurePlatform(ctx, skewed)
+	got, err := measurePlatform(ctx, skewedSize)
 	if err != nil {
 		return err
 	}
-	r.platform(all, got)
-	r.extrapolate(all)
+	r.printPlatform(samples, got)
+	r.printExtrapolation(samples)
 	return nil
 }
 
-// measure starts a fleet, measures it and calls more while it runs.
-func measure(ctx context.Context, s size, more func(*fleet) error) (sample, error) {
-	f, err := start(ctx, s)
+// measure starts a fleet, measures it and calls then while the fleet still runs.
+func measure(ctx context.Context, s size, then func(*fleet) error) (sample, error) {
+	f, err := startFleet(ctx, s)
 	if err != nil {
 		return sample{}, err
 	}
@@ -112,21 +113,21 @@
 	if err := pause(ctx, settleTime); err != nil {
 		return sample{}, err
 	}
-	steady, err := f.window(ctx, func() error { return pause(ctx, steadyTime) })
+	steady, err := f.measureWindow(ctx, func() error { return pause(ctx, steadyTime) })
 	if err != nil {
 		return sample{}, err
 	}
-	changing, err := f.window(ctx, func() error { return f.changes(ctx, costChanges, changesTime) })
+	withChanges, err := f.measureWindow(ctx, func() error { return f.applyChanges(ctx, windowChanges, changesTime) })
 	if err != nil {
 		return sample{}, err
 	}
-	out := f.sample(steady, changing)
-	return out, more(f)
+	out := f.summarize(steady, withChanges)
+	return out, then(f)
 }
 
-// measurePlatform counts only the platform's calls.
+// measurePlatform measures only the calls to the platform.
 func measurePlatform(ctx context.Context, s size) (sample, error) {
-	f, err := start(ctx, s)
+	f, err := startFleet(ctx, s)
 	if err != nil {
 		return sample{}, err
 	}
@@ -134,7 +135,7 @@
 	if err := pause(ctx, settleTime); err != nil {
 		return sample{}, err
 	}
-	w, err := f.window(ctx, func() error { return pause(ctx, steadyTime) })
+	w, err := f.measureWindow(ctx, func() error { return pause(ctx, steadyTime) })
 	return sample{size: s, calls: w.calls}, err
 }
 
--- a/test/bench/control/report.go
+++ b/test/bench/control/report.go
@@ -5,14 +5,14 @@
 	"math"
 )
 
-// The design's bounds of one process.
+// The bounds of one process, from the design.
 const (
 	cpuBound   = 2.8  // percent of a core
 	rssBound   = 32   // MiB
-	bytesBound = 3000 // per second, both ways together
+	bytesBound = 3000 // per second, sent and received
 )
 
-// Roles. A reader is an entry that watches the platform.
+// Roles of processes. A reader is an entry that watches the platform.
 const (
 	roleEntry  = "entry"
 	roleReader = "entry_reader"
@@ -21,28 +21,29 @@
 
 var roles = []string{roleEntry, roleReader, roleAgent}
 
-// sample holds the means of each role at one size.
+// sample holds the figures of a fleet of one size.
 type sample struct {
 	size
-	calls float64 // of the platform per second
+	calls float64 // to the platform, per second
 	roles map[string]figures
 }
 
-// figures are the means of one role at 2,300 changes a day, with what they
-// consist of.
+// figures are the means over the processes of one role at 2,300 changes a day, and
+// the parts that they are computed from. Bytes are per second unless the name says
+// per change.
 type figures struct {
-	cpu, rss, rssMax, bytes   float64
-	exchange, status, steady  float64
-	platformBytes, perChangeB float64
-	perChangeCPU              float64 // in hundredths of a second
-	n                         float64
+	cpu, rss, rssMax, bytes       float64
+	exchange, status, steady      float64
+	platformBytes, bytesPerChange float64
+	cpuPerChange                  float64 // in hundredths of a second
+	processes                     float64
 }
 
-// sample combines a window without changes and one with costChanges changes.
-func (f *fleet) sample(steady, changing window) sample {
+// summarize combines a window without changes and one with windowChanges changes.
+func (f *fleet) summarize(steady, withChanges window) sample {
 	out := sample{size: f.size, calls: steady.calls, roles: map[string]figures{}}
 	for _, n := range f.d.Nodes() {
-		s, c := steady.uses[n.Name], changing.uses[n.Name]
+		s, c := steady.usages[n.Name], withChanges.usages[n.Name]
 		role := roleAgent
 		switch {
 		case n.IsEntry && s.bytes[kindPlatform] > 0:
@@ -50,12 +51,12 @@
 		case n.IsEntry:
 			role = roleEntry
 		}
-		total := func(u use) float64 { return u.bytes[kindAll] + u.bytes[kindPlatform] }
+		total := func(u usage) float64 { return u.bytes[kindAll] + u.bytes[kindPlatform] }
 		g := out.roles[role]
-		g.n++
+		g.processes++
 		g.steady += total(s)
-		g.perChangeB += (total(c) - total(s)) * changing.seconds / costChanges
-		g.perChangeCPU += (c.cpuPercent - s.cpuPercent) * changing.seconds / costChanges
+		g.bytesPerChange += (total(c) - total(s)) * withChanges.seconds / windowChanges
+		g.cpuPerChange += (c.cpuPercent - s.cpuPercent) * withChanges.seconds / windowChanges
 		g.cpu += s.cpuPercent
 		g.rss += c.rssMiB
 		g.rssMax = max(g.rssMax, c.rssMiB)
@@ -70,21 +71,23 @@
 	return out
 }
 
+// means divides the sums by the number of processes and adds the share of changes.
 func (g figures) means() figures {
 	for _, p := range []*float64{
-		&g.cpu, &g.rss, &g.exchange, &g.status, &g.steady, &g.platformBytes, &g.perChangeB, &g.perChangeCPU,
+		&g.cpu, &g.rss, &g.exchange, &g.status, &g.steady, &g.platformBytes, &g.bytesPerChange, &g.cpuPerChange,
 	} {
-		*p /= g.n
+		*p /= g.processes
 	}
-	g.bytes = g.steady + g.perChangeB/changeEvery
-	g.cpu += g.perChangeCPU / changeEvery
+	g.bytes = g.steady + g.bytesPerChange/changeInterval
+	g.cpu += g.cpuPerChange / changeInterval
 	return g
 }
 
-// report prints lines.
+// report prints figures and records whether one missed its bound.
 type report struct{ missed bool }
 
-func (r *report) line(name string, v float64, unit string, bound float64) {
+// bounded prints a figure whose bound is the highest allowed value.
+func (r *report) bounded(name string, v float64, unit string, bound float64) {
 	state := "ok"
 	if v > bound || math.IsNaN(v) {
 		state, r.missed = "MISSED", true
@@ -92,57 +95,57 @@
 	fmt.Printf("%s %.2f %s %g %s\n", name, v, unit, bound, state)
 }
 
-// info prints a figure without a bound.
-func (r *report) info(name string, v float64, unit string) {
+// unbounded prints a figure without a bound.
+func (r *report) unbounded(name string, v float64, unit string) {
 	fmt.Printf("%s %.4g %s - ok\n", name, v, unit)
 }
 
-func (r *report) sample(s sample) {
-	fmt.Printf("# %d entries, %d agents, %d failure domains\n", s.entries, s.agents, len(domains))
+func (r *report) printSample(s sample) {
+	fmt.Printf("# %d entries, %d agents, %d failure domains\n", s.entries, s.agents, len(domainNames))
 	for _, role := range roles {
 		g, at := s.roles[role], fmt.Sprintf(".%s.%d", role, s.processes())
-		r.line("control.cpu_percent"+at, g.cpu, "%", cpuBound)
-		r.line("control.rss_mib"+at, g.rss, "MiB", rssBound)
-		r.line("control.bytes_per_second"+at, g.bytes, "B/s", bytesBound)
-		r.info("control.rss_max_mib"+at, g.rssMax, "MiB")
-		r.info("control.exchange_bytes_per_second"+at, g.exchange, "B/s")
-		r.info("control.status_bytes_per_second"+at, g.status, "B/s")
-		r.info("control.platform_bytes_per_second"+at, g.platformBytes, "B/s")
-		r.info("control.bytes_per_change"+at, g.perChangeB, "B")
-		r.info("control.cpu_ms_per_change"+at, g.perChangeCPU*10, "ms")
+		r.bounded("control.cpu_percent"+at, g.cpu, "%", cpuBound)
+		r.bounded("control.rss_mib"+at, g.rss, "MiB", rssBound)
+		r.bounded("control.bytes_per_second"+at, g.bytes, "B/s", bytesBound)
+		r.unbounded("control.rss_max_mib"+at, g.rssMax, "MiB")
+		r.unbounded("control.exchange_bytes_per_second"+at, g.exchange, "B/s")
+		r.unbounded("control.status_bytes_per_second"+at, g.status, "B/s")
+		r.unbounded("control.platform_bytes_per_second"+at, g.platformBytes, "B/s")
+		r.unbounded("control.bytes_per_change"+at, g.bytesPerChange, "B")
+		r.unbounded("control.cpu_ms_per_change"+at, g.cpuPerChange*10, "ms")
 	}
-	r.info(fmt.Sprintf("control.platform_calls_per_second.%d_%d", s.entries, s.agents), s.calls, "1/s")
+	r.unbounded(fmt.Sprintf("control.platform_calls_per_second.%d_%d", s.entries, s.agents), s.calls, "1/s")
 }
 
-// callsSlopeBound allows for the noise of a window: one call in it per hundred
-// processes.
+// callsSlopeBound, in calls per second and process, allows for the noise of a
+// window: one call per hundred processes.
 const callsSlopeBound = 0.01
 
-// platform prints the slopes of the platform's calls, which must not grow with
-// the processes in a failure domain.
-func (r *report) platform(all []sample, skewed sample) {
-	r.info(fmt.Sprintf("control.platform_calls_per_second.%d_%d", skewed.entries, skewed.agents), skewed.calls, "1/s")
-	perEntry, perAgent := plane(append(append([]sample(nil), all...), skewed))
-	r.line("control.platform_calls_per_second_per_entry", perEntry, "1/s", callsSlopeBound)
-	r.line("control.platform_calls_per_second_per_agent", perAgent, "1/s", callsSlopeBound)
+// printPlatform prints the slopes of the calls to the platform, whose number must
+// not grow with the processes in a failure domain.
+func (r *report) printPlatform(samples []sample, skewed sample) {
+	r.unbounded(fmt.Sprintf("control.platform_calls_per_second.%d_%d", skewed.entries, skewed.agents), skewed.calls, "1/s")
+	perEntry, perAgent := fitPlane(append(append([]sample(nil), samples...), skewed))
+	r.bounded("control.platform_calls_per_second_per_entry", perEntry, "1/s", callsSlopeBound)
+	r.bounded("control.platform_calls_per_second_per_agent", perAgent, "1/s", callsSlopeBound)
 }
 
-// extrapolate prints slopes in the number of processes and the value at the
-// design size.
-func (r *report) extrapolate(all []sample) {
+// printExtrapolation prints the slopes of the figures per process of the fleet, and
+// the values at the design size.
+func (r *report) printExtrapolation(samples []sample) {
 	for _, role := range roles {
-		r.fit(all, role, "control.cpu_percent", "%", cpuBound, func(g figures) float64 { return g.cpu })
-		r.fit(all, role, "control.rss_mib", "MiB", rssBound, func(g figures) float64 { return g.rss })
-		r.fit(all, role, "control.bytes_per_second", "B/s", bytesBound, func(g figures) float64 { return g.bytes })
+		r.printFit(samples, role, "control.cpu_percent", "%", cpuBound, func(g figures) float64 { return g.cpu })
+		r.printFit(samples, role, "control.rss_mib", "MiB", rssBound, func(g figures) float64 { return g.rss })
+		r.printFit(samples, role, "control.bytes_per_second", "B/s", bytesBound, func(g figures) float64 { return g.bytes })
 	}
 }
 
-func (r *report) fit(all []sample, role, name, unit string, bound float64, get func(figures) float64) {
+func (r *report) printFit(samples []sample, role, name, unit string, bound float64, get func(figures) float64) {
 	var xs, ys []float64
-	for _, s := range all {
+	for _, s := range samples {
 		xs, ys = append(xs, float64(s.processes())), append(ys, get(s.roles[role]))
 	}
-	slope, at0 := straight(xs, ys)
-	r.info(name+"_slope."+role, slope*1000, unit+"/1000_processes")
-	r.line(name+"_design."+role, at0+slope*float64(design.processes()), unit, bound)
+	slope, intercept := fitLine(xs, ys)
+	r.unbounded(name+"_slope."+role, slope*1000, unit+"/1000_processes")
+	r.bounded(name+"_design."+role, intercept+slope*float64(designSize.processes()), unit, bound)
 }
--- a/test/bench/control/window.go
+++ b/test/bench/control/window.go
@@ -14,10 +14,10 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-// asks bounds the processes that are asked at the same time.
-const asks = 16
+// maxStatusCalls limits the concurrent status calls.
+const maxStatusCalls = 16
 
-// Kinds of traffic.
+// Kinds of traffic, as at /status.
 const (
 	kindAll      = "connections"
 	kindExchange = "exchange"
@@ -26,50 +26,51 @@
 	kindPlatform = "platform"
 )
 
-// reading is what one process used so far.
+// reading holds the counters of one process.
 type reading struct {
 	revision uint64
-	ticks    int64 // of processor time, in hundredths of a second
+	cpuTicks int64 // in hundredths of a second
 	rssKiB   int64
-	bytes    map[string]int64 // both ways, by kind
+	bytes    map[string]int64 // sent and received, by kind
 }
 
-// use is what one process used per second.
-type use struct {
+// usage holds what one process used per second, and its memory.
+type usage struct {
 	cpuPercent, rssMiB float64
 	bytes              map[string]float64
 }
 
-// window holds the use of each process and the platform's calls per second.
+// window holds the usage of each process and the calls to the platform during an
+// interval.
 type window struct {
 	seconds float64
-	uses    map[string]use
-	calls   float64
+	usages  map[string]usage // by name
+	calls   float64          // per second
 }
 
-// window measures from before to after body.
-func (f *fleet) window(ctx context.Context, body func() error) (window, error) {
-	before, err := f.readings(ctx)
+// measureWindow measures an interval in which body runs.
+func (f *fleet) measureWindow(ctx context.Context, body func() error) (window, error) {
+	before, err := f.readAll(ctx)
 	if err != nil {
 		return window{}, err
 	}
-	calls, began := f.platformCalls(ctx), time.Now()
+	calls, start := f.platformCalls(ctx), time.Now()
 	if err := body(); err != nil {
 		return window{}, err
 	}
-	w := window{seconds: time.Since(began).Seconds(), uses: map[string]use{}}
+	w := window{seconds: time.Since(start).Seconds(), usages: map[string]usage{}}
 	w.calls = float64(f.platformCalls(ctx)-calls) / w.seconds
-	after, err := f.readings(ctx)
+	after, err := f.readAll(ctx)
 	for name, a := range after {
 		b := before[name]
-		u := use{
-			cpuPercent: float64(a.ticks-b.ticks) / w.seconds, rssMiB: float64(a.rssKiB) / 1024,
+		u := usage{
+			cpuPercent: float64(a.cpuTicks-b.cpuTicks) / w.seconds, rssMiB: float64(a.rssKiB) / 1024,
 			bytes: map[string]float64{},
 		}
 		for k, n := range a.bytes {
 			u.bytes[k] = float64(n-b.bytes[k]) / w.seconds
 		}
-		w.uses[name] = u
+		w.usages[name] = u
 	}
 	return w, err
 }
@@ -83,14 +84,14 @@
 	return sum
 }
 
-// readings reads all processes.
-func (f *fleet) readings(ctx context.Context) (map[string]reading, error) {
+// readAll reads the counters of all processes, by name.
+func (f *fleet) readAll(ctx context.Context) (map[string]reading, error) {
 	var mu sync.Mutex
 	out := map[string]reading{}
-	p := pool.New().WithErrors().WithMaxGoroutines(asks)
+	p := pool.New().WithErrors().WithMaxGoroutines(maxStatusCalls)
 	for _, n := range f.d.Nodes() {
 		p.Go(func() error {
-			r, err := read(ctx, n)
+			r, err := readProcess(ctx, n)
 			if err != nil {
 				return errors.Wrap(err, n.Name)
 			}
@@ -102,22 +103,22 @@
 	}
 	err := p.Wait()
 	for name, r := range out {
-		f.note(name, r.revision)
+		f.recordRevision(name, r.revision)
 	}
 	return out, err
 }
 
-// note counts a revision that fell.
-func (f *fleet) note(name string, rev uint64) {
-	if rev < f.held[name] {
+// recordRevision counts a revert if a process reports a lower revision than before.
+func (f *fleet) recordRevision(name string, rev uint64) {
+	if rev < f.highestSeen[name] {
 		f.reverts++
 	}
-	f.held[name] = max(f.held[name], rev)
+	f.highestSeen[name] = max(f.highestSeen[name], rev)
 }
 
-func read(ctx context.Context, n *harness.Node) (reading, error) {
+func readProcess(ctx context.Context, n *harness.Node) (reading, error) {
 	out := reading{bytes: map[string]int64{}}
-	var st struct {
+	var status struct {
 		Revision uint64
 		Traffic  []struct {
 			Kind string `json:"kind"`
@@ -125,24 +126,25 @@
 			Out  int64  `json:"out_bytes"`
 		}
 	}
-	if err := harness.Status(ctx, n.Admin, &st); err != nil {
+	if err := harness.Status(ctx, n.Admin, &status); err != nil {
 		return out, err
 	}
-	out.revision = st.Revision
-	for _, t := range st.Traffic {
+	out.revision = status.Revision
+	for _, t := range status.Traffic {
 		out.bytes[t.Kind] = t.In + t.Out
 	}
 	dir := "/proc/" + strconv.Itoa(n.Proc.PID)
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
-		return out, errors.Wrap(err, "reading processor time")
+		return out, errors.Wrap(err, "reading CPU time")
 	}
-	// The second field, the name in parentheses, may hold spaces.
+	// The second field, the name in parentheses, may contain spaces, so the fields
+	// are counted from the one after it.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	const utime, stime, rssPages = 11, 12, 21
 	user, _ := strconv.ParseInt(fields[utime], 10, 64)
-	sys, _ := strconv.ParseInt(fields[stime], 10, 64)
+	system, _ := strconv.ParseInt(fields[stime], 10, 64)
 	pages, _ := strconv.ParseInt(fields[rssPages], 10, 64)
-	out.ticks, out.rssKiB = user+sys, pages*int64(os.Getpagesize())/1024
+	out.cpuTicks, out.rssKiB = user+system, pages*int64(os.Getpagesize())/1024
 	return out, nil
 }
