--- a/test/bench/serve/deploy.go
+++ b/test/bench/serve/deploy.go
@@ -14,21 +14,23 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-// settle is the time after which entries have a second status of each target
-// and permits that follow from it.
-const settle = 1500 * time.Millisecond
+// settleTime is the time in which entries receive a second status of each target
+// and adjust their permits accordingly.
+const settleTime = 1500 * time.Millisecond
 
 var smallOrigin = harness.OriginSpec{Model: "summarizer", Size: "1MiB", Chunk: "256KiB", Seed: 1}
 
-// limits are the lines of a group or service whose target bears n requests.
-func limits(n, cold int) []string {
+// limitLines returns the lines of a group or service whose targets run at most n
+// requests at once, or cold requests after a start.
+func limitLines(n, cold int) []string {
 	return []string{
 		fmt.Sprintf("max_requests = %d", n), "max_bytes = 16MiB",
 		fmt.Sprintf("cold_requests = %d", cold), "ramp_step = 200ms",
 	}
 }
 
-// deploy starts a system and lets its targets become warm.
+// deploy starts a deployment and waits until its targets serve the weights and the
+// entries know their permits.
 func deploy(ctx context.Context, h *harness.Harness, s harness.Spec) (*harness.Deployment, error) {
 	s.Origin = smallOrigin
 	d, err := harness.Deploy(ctx, h, s)
@@ -42,11 +44,12 @@
 	if err := d.WaitVersion(ctx, 20*time.Second, v); err != nil {
 		return nil, err
 	}
-	return d, pause(ctx, settle)
+	return d, pause(ctx, settleTime)
 }
 
-// customers declares further customers.
-func customers(ctx context.Context, d *harness.Deployment, names []string) error {
+// declareCustomers applies a declaration with further customers and waits until
+// all entries have it.
+func declareCustomers(ctx context.Context, d *harness.Deployment, names []string) error {
 	v, err := d.Publish(ctx, d.Spec.Origin.Seed)
 	if err != nil {
 		return err
@@ -72,19 +75,19 @@
 	})
 }
 
-// warm sends load until every target has left its ramp.
-func warm(ctx context.Context, d *harness.Deployment, b *bench, rate float64, tokens int, t time.Duration) {
-	newLoad(d, rate, b.rand(1), genLoad("summary", tokens, 0)).run(ctx, t)
+// warmUp sends load for a time in which every target completes its ramp.
+func warmUp(ctx context.Context, d *harness.Deployment, b *bench, rate float64, tokens int, duration time.Duration) {
+	newLoad(d, rate, b.rand(1), generateRequests("summary", tokens, 0)).run(ctx, duration)
 }
 
-// capacity warms the targets up and returns the answers per second that the
-// engines can give: their places over the median time of an answer.
-func capacity(ctx context.Context, d *harness.Deployment, b *bench, slots, tokens int) float64 {
+// measureCapacity warms the targets up and returns the responses per second that the
+// engines can serve: the number of their slots divided by the median latency.
+func measureCapacity(ctx context.Context, d *harness.Deployment, b *bench, slots, tokens int) float64 {
 	const warmRate, ramp = 300, 3 * time.Second
-	rs := newLoad(d, warmRate, b.rand(1), genLoad("summary", tokens, 0)).run(ctx, ramp)
-	c := float64(slots) / quantile(between(rs, ramp/2, ramp), 0.5).Seconds()
-	note("capacity %.0f answers/s", c)
-	return c
+	results := newLoad(d, warmRate, b.rand(1), generateRequests("summary", tokens, 0)).run(ctx, ramp)
+	capacity := float64(slots) / latencyQuantile(startedBetween(results, ramp/2, ramp), 0.5).Seconds()
+	comment("capacity %.0f responses/s", capacity)
+	return capacity
 }
 
 func pause(ctx context.Context, t time.Duration) error {
@@ -96,8 +99,8 @@
 	}
 }
 
-// sum adds up a count of all stand-ins beside the agents.
-func sum(ctx context.Context, nodes []*harness.Node, kind string) (int64, error) {
+// sumCounts adds up one count of the targets of all the nodes.
+func sumCounts(ctx context.Context, nodes []*harness.Node, kind string) (int64, error) {
 	total := int64(0)
 	for _, n := range nodes {
 		c, err := harness.Counts(ctx, n.TargetAddr)
@@ -109,8 +112,8 @@
 	return total, nil
 }
 
-// rss returns the resident memory of a process in bytes.
-func rss(pid int) (int64, error) {
+// residentBytes returns the resident memory of a process in bytes.
+func residentBytes(pid int) (int64, error) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0, errors.Wrap(err, "reading the memory of a process")
@@ -121,25 +124,24 @@
 			return n << 10, errors.Wrap(err, "reading VmRSS")
 		}
 	}
-	return 0, errors.New("no VmRSS")
+	return 0, errors.New("no VmRSS in /proc/PID/status")
 }
 
-// cpu returns the processor time of a process. The kernel counts it in ticks
-// of 10 ms.
-func cpu(pid int) (time.Duration, error) {
+// cpuTime returns the CPU time of a process. The kernel counts it in ticks of 10 ms.
+func cpuTime(pid int) (time.Duration, error) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return 0, errors.Wrap(err, "reading the processor time of a process")
+		return 0, errors.Wrap(err, "reading the CPU time of a process")
 	}
-	f := bytes.Fields(b[bytes.LastIndexByte(b, ')')+1:])
+	fields := bytes.Fields(b[bytes.LastIndexByte(b, ')')+1:])
 	const user, system, tick = 11, 12, 10 * time.Millisecond
-	if len(f) <= system {
-		return 0, errors.New("short stat line")
+	if len(fields) <= system {
+		return 0, errors.New("too few fields in /proc/PID/stat")
 	}
-	u, err1 := strconv.Atoi(string(f[user]))
-	s, err2 := strconv.Atoi(string(f[system]))
+	u, err1 := strconv.Atoi(string(fields[user]))
+	s, err2 := strconv.Atoi(string(fields[system]))
 	if err1 != nil || err2 != nil {
-		return 0, errors.New("bad stat line")
+		return 0, errors.New("invalid CPU time in /proc/PID/stat")
 	}
 	return time.Duration(u+s) * tick, nil
 }
--- a/test/bench/serve/kill.go
+++ b/test/bench/serve/kill.go
@@ -11,97 +11,102 @@
 )
 
 const (
-	// killLoad is half of the capacity of ten engines with 8 requests of 80 ms.
-	killLoad   = 500
-	killRounds = 4
-	killEvery  = 3 * time.Second
-	killDown   = time.Second
-	coldRounds = 4
-	// coldEvery leaves time for the agent to load the version and for the ramp.
-	coldEvery = 2500 * time.Millisecond
+	// killRate, in requests per second, is half of the capacity of ten engines that
+	// run 8 requests of 80 ms at once.
+	killRate      = 500
+	killRounds    = 4
+	killInterval  = 3 * time.Second
+	killDowntime  = time.Second
+	restartRounds = 4
+	// restartInterval leaves time for the agent to load the version and for the
+	// ramp.
+	restartInterval = 2500 * time.Millisecond
 )
 
-// runKill kills one agent in ten with its engine, again and again, and then
-// restarts engines at full load to see whether one gets too much.
+// runKill repeatedly kills one agent in ten with its engine. It then restarts
+// engines at full load and counts requests beyond the limits of their ramp.
 func runKill(ctx context.Context, b *bench, h *harness.Harness) error {
 	d, err := deploy(ctx, h, harness.Spec{
-		Domains: domains(2, 1, 5),
+		Domains: domainSpecs(2, 1, 5),
 		Engine:  harness.EngineSpec{MaxRequests: 8, ColdRequests: 2, TokenDelay: "10ms"},
-		Limits:  limits(8, 2),
+		Limits:  limitLines(8, 2),
 	})
 	if err != nil {
 		return err
 	}
-	warm(ctx, d, b, killLoad, domainTokens, 3*time.Second)
-	over := &overloadCount{seen: map[string]int64{}}
+	warmUp(ctx, d, b, killRate, responseTokens, 3*time.Second)
+	overloads := &overloadCounter{last: map[string]int64{}}
 	var wg conc.WaitGroup
 	var killErr error
-	wg.Go(func() { killErr = killAgents(ctx, b, d, over) })
-	rs := newLoad(d, killLoad, b.rand(3), genLoad("summary", domainTokens, 10*time.Second)).
-		run(ctx, (killRounds+1)*killEvery)
+	wg.Go(func() { killErr = killAgents(ctx, b, d, overloads) })
+	rs := newLoad(d, killRate, b.rand(3), generateRequests("summary", responseTokens, 10*time.Second)).
+		run(ctx, (killRounds+1)*killInterval)
 	wg.Wait()
 	if killErr != nil {
 		return killErr
 	}
-	describe("kill", rs)
+	printFailures("kill", rs)
 	b.atMost("kill_errors_repeatable", float64(count(rs, failed)), "requests", 0)
-	wg.Go(func() { killErr = restartEngines(ctx, b, d, over) })
-	rs = newLoad(d, 2*killLoad, b.rand(4), genLoad("summary", domainTokens, time.Second)).run(ctx, (coldRounds+1)*coldEvery)
+	wg.Go(func() { killErr = restartEngines(ctx, b, d, overloads) })
+	rs = newLoad(d, 2*killRate, b.rand(4), generateRequests("summary", responseTokens, time.Second)).run(ctx, (restartRounds+1)*restartInterval)
 	wg.Wait()
 	if killErr != nil {
 		return killErr
 	}
-	describe("restarted engines at full load", rs)
-	if err := over.add(ctx, d.Engines()); err != nil {
+	printFailures("restarted engines at full load", rs)
+	if err := overloads.add(ctx, d.Engines()); err != nil {
 		return err
 	}
-	b.atMost("cold_overload", float64(over.total), "requests", 0)
+	b.atMost("cold_overload", float64(overloads.total), "requests", 0)
 	return nil
 }
 
-// overloadCount sums overloads over the lives of engine processes, whose
-// counts end with them.
-type overloadCount struct {
+// overloadCounter sums the overload counts of engines over restarts, at which the
+// count of a process is lost.
+type overloadCounter struct {
 	total int64
-	seen  map[string]int64
+	last  map[string]int64 // last count of the running process, by node
 }
 
-// add takes the counts of engines that run or are about to be killed.
-func (o *overloadCount) add(ctx context.Context, nodes []*harness.Node) error {
+// add adds what the counts have grown by. It must be called before an engine is
+// killed.
+func (o *overloadCounter) add(ctx context.Context, nodes []*harness.Node) error {
 	for _, n := range nodes {
 		c, err := harness.Counts(ctx, n.TargetAddr)
 		if err != nil {
 			return err
 		}
-		if c["overload"] > o.seen[n.Name] {
-			note("overload at %s: %v", n.Name, c)
+		if c["overload"] > o.last[n.Name] {
+			comment("overload at %s: %v", n.Name, c)
 		}
-		o.total += c["overload"] - o.seen[n.Name]
-		o.seen[n.Name] = c["overload"]
+		o.total += c["overload"] - o.last[n.Name]
+		o.last[n.Name] = c["overload"]
 	}
 	return nil
 }
 
-func killAgents(ctx context.Context, b *bench, d *harness.Deployment, over *overloadCount) error {
+// killAgents repeatedly kills a random agent with its engine and starts both again
+// after killDowntime.
+func killAgents(ctx context.Context, b *bench, d *harness.Deployment, overloads *overloadCounter) error {
 	rng := b.rand(5)
 	nodes := d.Engines()
 	for range killRounds {
-		if err := pause(ctx, killEvery-killDown); err != nil {
+		if err := pause(ctx, killInterval-killDowntime); err != nil {
 			return err
 		}
 		n := nodes[rng.IntN(len(nodes))]
-		if err := over.add(ctx, []*harness.Node{n}); err != nil {
+		if err := overloads.add(ctx, []*harness.Node{n}); err != nil {
 			return err
 		}
-		note("killing %s", n.Name)
+		comment("killing %s", n.Name)
 		p := pool.New().WithErrors()
 		p.Go(n.Proc.Kill)
 		p.Go(n.Target.Kill)
 		if err := p.Wait(); err != nil {
 			return err
 		}
-		delete(over.seen, n.Name)
-		if err := pause(ctx, killDown); err != nil {
+		delete(overloads.last, n.Name)
+		if err := pause(ctx, killDowntime); err != nil {
 			return err
 		}
 		if err := d.StartTarget(ctx, n); err != nil {
@@ -114,13 +119,13 @@
 	return nil
 }
 
-// restartEngines restarts engines under their agents: each second one by the
-// end of its process, the others by a restart inside of it.
-func restartEngines(ctx context.Context, b *bench, d *harness.Deployment, over *overloadCount) error {
+// restartEngines restarts engines while their agents run: every second one by
+// killing its process, the others by a simulated restart within the process.
+func restartEngines(ctx context.Context, b *bench, d *harness.Deployment, overloads *overloadCounter) error {
 	rng := b.rand(6)
 	nodes := d.Engines()
-	for i := range coldRounds {
-		if err := pause(ctx, coldEvery); err != nil {
+	for i := range restartRounds {
+		if err := pause(ctx, restartInterval); err != nil {
 			return err
 		}
 		n := nodes[rng.IntN(len(nodes))]
@@ -130,13 +135,13 @@
 			}
 			continue
 		}
-		if err := over.add(ctx, []*harness.Node{n}); err != nil {
+		if err := overloads.add(ctx, []*harness.Node{n}); err != nil {
 			return err
 		}
 		if err := n.Target.Kill(); err != nil {
 			return err
 		}
-		delete(over.seen, n.Name)
+		delete(overloads.last, n.Name)
 		if err := d.StartTarget(ctx, n); err != nil {
 			return err
 		}
--- a/test/bench/serve/load.go
+++ b/test/bench/serve/load.go
@@ -14,37 +14,43 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-// maxInFlight bounds the requests of one load. What arrives beyond it counts
-// as failed.
+// maxInFlight limits the concurrent requests of one load. Requests beyond the limit
+// are not sent and count as failed.
 const maxInFlight = 6000
 
 // result is the outcome of one request.
 type result struct {
 	req   harness.Request
 	entry int
-	at    time.Duration // start, since the start of the load
+	start time.Duration // since the start of the load
 	total time.Duration
-	code  string // "ok", the code of the error, or a word of the bench
-	// verdict is as the caller saw it; empty if the connection ended before.
+	// code is "ok", the code of the error response, or a code of the bench:
+	// "connection", "not_whole" or "bench_in_flight".
+	code string
+	// verdict is the one that the caller received; empty if the connection ended
+	// before.
 	verdict string
 	err     string
 	lines   int
 }
 
-// ok reports whether the whole answer arrived within the deadline.
-func (r *result) ok() bool { return r.code == "ok" && (r.req.Timeout == 0 || r.total <= r.req.Timeout) }
+// inTime reports whether the complete response arrived within the deadline.
+func (r *result) inTime() bool {
+	return r.code == "ok" && (r.req.Timeout == 0 || r.total <= r.req.Timeout)
+}
 
-// load sends requests at random times, independent of the answers.
+// load sends requests at random times that do not depend on the responses (an open
+// loop).
 type load struct {
 	callers []*harness.Caller
 	rate    float64 // requests per second
 	next    func(rng *rand.Rand, i int) harness.Request
 	rng     *rand.Rand
 
-	start   time.Time
-	mu      sync.Mutex
-	results []result
-	flying  int
+	startedAt time.Time
+	mu        sync.Mutex
+	results   []result
+	inFlight  int
 }
 
 func newLoad(d *harness.Deployment, rate float64, rng *rand.Rand, next func(*rand.Rand, int) harness.Request) *load {
@@ -55,41 +61,42 @@
 	return l
 }
 
-// run sends for a time and waits for all answers.
-func (l *load) run(ctx context.Context, d time.Duration) []result {
+// run sends requests for a duration and waits for all responses.
+func (l *load) run(ctx context.Context, duration time.Duration) []result {
 	var wg conc.WaitGroup
-	l.start = time.Now()
-	for i, at := 0, time.Duration(0); ; i++ {
-		at += time.Duration(l.rng.ExpFloat64() / l.rate * float64(time.Second))
-		if at >= d || ctx.Err() != nil {
+	l.startedAt = time.Now()
+	for i, start := 0, time.Duration(0); ; i++ {
+		start += time.Duration(l.rng.ExpFloat64() / l.rate * float64(time.Second))
+		if start >= duration || ctx.Err() != nil {
 			break
 		}
-		time.Sleep(time.Until(l.start.Add(at)))
+		time.Sleep(time.Until(l.startedAt.Add(start)))
 		req, entry := l.next(l.rng, i), l.rng.IntN(len(l.callers))
-		if !l.enter() {
-			l.add(result{req: req, entry: entry, at: at, code: "bench_in_flight"})
+		if !l.tryStart() {
+			l.add(result{req: req, entry: entry, start: start, code: "bench_in_flight"})
 			continue
 		}
-		wg.Go(func() { l.add(l.send(ctx, req, entry)); l.leave() })
+		wg.Go(func() { l.add(l.send(ctx, req, entry)); l.done() })
 	}
 	wg.Wait()
 	return l.results
 }
 
-func (l *load) enter() bool {
+// tryStart counts a request as in flight, unless maxInFlight are.
+func (l *load) tryStart() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.flying >= maxInFlight {
+	if l.inFlight >= maxInFlight {
 		return false
 	}
-	l.flying++
+	l.inFlight++
 	return true
 }
 
-func (l *load) leave() {
+func (l *load) done() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.flying--
+	l.inFlight--
 }
 
 func (l *load) add(r result) {
@@ -99,26 +106,26 @@
 }
 
 func (l *load) send(ctx context.Context, req harness.Request, entry int) result {
-	r := result{req: req, entry: entry, at: time.Since(l.start)}
+	r := result{req: req, entry: entry, start: time.Since(l.startedAt)}
 	send(ctx, l.callers[entry], &r)
 	return r
 }
 
-// send sends the request of r and fills in the outcome.
+// send sends the request of r and stores the outcome in r.
 func send(ctx context.Context, c *harness.Caller, r *result) {
 	start := time.Now()
-	a, err := c.Send(ctx, r.req)
-	r.total, r.verdict, r.lines = time.Since(start), a.Verdict, len(a.Lines)
-	check := a.CheckWhole
+	resp, err := c.Send(ctx, r.req)
+	r.total, r.verdict, r.lines = time.Since(start), resp.Verdict, len(resp.Lines)
+	check := resp.CheckWhole
 	if strings.HasPrefix(r.req.Path, "/v1/services/") {
-		check = a.CheckCall
+		check = resp.CheckCall
 	}
 	switch {
 	case err != nil:
 		r.code, r.err = "connection", err.Error()
-	case a.Error != nil:
-		r.code, r.err = a.Error.Code, a.Error.Message
-		r.verdict = a.Error.Verdict
+	case resp.Error != nil:
+		r.code, r.err = resp.Error.Code, resp.Error.Message
+		r.verdict = resp.Error.Verdict
 	default:
 		r.code = "ok"
 		if err := check(); err != nil {
@@ -127,73 +134,78 @@
 	}
 }
 
-// count returns the number of results for which f holds.
-func count(rs []result, f func(*result) bool) int {
+// count returns the number of results that fulfil the condition.
+func count(rs []result, cond func(*result) bool) int {
 	n := 0
 	for i := range rs {
-		if f(&rs[i]) {
+		if cond(&rs[i]) {
 			n++
 		}
 	}
 	return n
 }
 
-func ok(r *result) bool     { return r.ok() }
+func inTime(r *result) bool { return r.inTime() }
 func failed(r *result) bool { return r.code != "ok" }
 
-// between keeps the results of requests that started in a part of the load.
-func between(rs []result, from, to time.Duration) []result {
+// startedBetween returns the results of requests that started in a part of the
+// load.
+func startedBetween(rs []result, from, to time.Duration) []result {
 	var out []result
 	for _, r := range rs {
-		if r.at >= from && r.at < to {
+		if r.start >= from && r.start < to {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// quantile returns a quantile of the total times of whole answers.
-func quantile(rs []result, q float64) time.Duration {
-	var ds []time.Duration
+// latencyQuantile returns a quantile of the total times of complete responses, or 0
+// if there are none.
+func latencyQuantile(rs []result, q float64) time.Duration {
+	var times []time.Duration
 	for _, r := range rs {
 		if r.code == "ok" {
-			ds = append(ds, r.total)
+			times = append(times, r.total)
 		}
 	}
-	if len(ds) == 0 {
+	if len(times) == 0 {
 		return 0
 	}
-	slices.Sort(ds)
-	return ds[min(len(ds)-1, int(q*float64(len(ds))))]
+	slices.Sort(times)
+	return times[min(len(times)-1, int(q*float64(len(times))))]
 }
 
-// describe prints the codes of the requests that failed, with one example each.
-func describe(what string, rs []result) {
-	n := map[string]int{}
+// printFailures prints the number of requests and the codes of those that failed,
+// with an example of each.
+func printFailures(what string, rs []result) {
+	counts := map[string]int{}
 	example := map[string]string{}
 	for _, r := range rs {
 		if r.code == "ok" {
 			continue
 		}
-		k := fmt.Sprintf("%s/%s/%s", r.code, r.verdict, startedOrNot(&r))
-		n[k]++
-		example[k] = fmt.Sprintf("%s at %.2f s after %.3f s: %s", r.req.Class, r.at.Seconds(), r.total.Seconds(), r.err)
+		k := fmt.Sprintf("%s/%s/%s", r.code, r.verdict, firstLinePhase(&r))
+		counts[k]++
+		example[k] = fmt.Sprintf("%s at %.2f s after %.3f s: %s", r.req.Class, r.start.Seconds(), r.total.Seconds(), r.err)
 	}
-	note("%s: %d requests, %d whole", what, len(rs), len(rs)-count(rs, failed))
-	for k, c := range n {
-		note("  %d %s, such as %.300s", c, k, example[k])
+	comment("%s: %d requests, %d complete", what, len(rs), len(rs)-count(rs, failed))
+	for k, c := range counts {
+		comment("  %d %s, for example %.300s", c, k, example[k])
 	}
 }
 
-func startedOrNot(r *result) string {
+// firstLinePhase tells whether the request failed before or after the first line of
+// the response.
+func firstLinePhase(r *result) string {
 	if r.lines > 0 {
 		return "after-first-line"
 	}
 	return "before-first-line"
 }
 
-// generate is a request for an answer of some tokens.
-func generate(class string, tokens int, timeout time.Duration) harness.Request {
+// generateRequest returns a request for a response of some tokens.
+func generateRequest(class string, tokens int, timeout time.Duration) harness.Request {
 	return harness.Request{
 		Path: harness.GeneratePath(harness.Group), Customer: harness.Customer, Class: class, Timeout: timeout,
 		Body: fmt.Sprintf(`{"max_tokens":%d}`, tokens),
--- a/test/bench/serve/main.go
+++ b/test/bench/serve/main.go
@@ -1,5 +1,5 @@
-// Command serve measures serving under load and faults with real processes on
-// loopback. It prints one line "name value unit bound ok|MISSED" for each
+// Command serve measures how real processes on loopback serve requests under load
+// and faults. It prints one line "name value unit bound ok|MISSED" for each
 // figure and exits with 1 if a bound is missed.
 package main
 
@@ -18,17 +18,17 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-// runTimeout bounds the whole bench.
+// runTimeout limits the whole bench.
 const runTimeout = 170 * time.Second
 
-// bench prints figures and remembers whether one missed its bound.
+// bench prints figures and records whether one missed its bound.
 type bench struct {
-	seed   uint64
-	dump   bool
-	missed bool
+	seed   uint64 // of arrivals and faults
+	dump   bool   // print the output of the processes
+	missed bool   // a figure missed its bound or a section failed
 }
 
-// section measures some figures with a deployment of its own.
+// section measures some figures with its own deployment.
 type section struct {
 	name string
 	run  func(ctx context.Context, b *bench, h *harness.Harness) error
@@ -65,7 +65,7 @@
 			continue
 		}
 		start := time.Now()
-		if err := b.section(ctx, s); err != nil {
+		if err := b.runSection(ctx, s); err != nil {
 			b.missed = true
 			fmt.Printf("serve.%s failed: %v MISSED\n", s.name, err)
 		}
@@ -77,8 +77,8 @@
 	return 0
 }
 
-// section runs one section. Its processes end with it, also after a panic.
-func (b *bench) section(ctx context.Context, s section) (err error) {
+// runSection runs a section and stops its processes afterwards, also after a panic.
+func (b *bench) runSection(ctx context.Context, s section) (err error) {
 	h, err := harness.New(func(f string, args ...any) { fmt.Printf("# "+f+"\n", args...) })
 	if err != nil {
 		return err
@@ -93,20 +93,21 @@
 	return err
 }
 
+// rand returns a generator that is independent of those of other streams.
 func (b *bench) rand(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(b.seed, stream)) }
 
 // atMost prints a figure whose bound is the highest allowed value.
 func (b *bench) atMost(name string, v float64, unit string, bound float64) {
-	b.line(name, v, unit, bound, v <= bound)
+	b.report(name, v, unit, bound, v <= bound)
 }
 
 // atLeast prints a figure whose bound is the lowest allowed value.
 func (b *bench) atLeast(name string, v float64, unit string, bound float64) {
-	b.line(name, v, unit, bound, v >= bound)
+	b.report(name, v, unit, bound, v >= bound)
 }
 
-// line counts a value that is not a number as missed, since ok is false then.
-func (b *bench) line(name string, v float64, unit string, bound float64, ok bool) {
+// report prints a figure. NaN counts as missed, because ok is false for NaN.
+func (b *bench) report(name string, v float64, unit string, bound float64, ok bool) {
 	state := "ok"
 	if !ok {
 		state, b.missed = "MISSED", true
@@ -114,5 +115,5 @@
 	fmt.Printf("serve.%s %.3f %s %g %s\n", name, v, unit, bound, state)
 }
 
-// note prints a line that is no figure.
-func note(format string, args ...any) { fmt.Printf("# "+format+"\n", args...) }
+// comment prints a line that is not a figure.
+func comment(format string, args ...any) { fmt.Printf("# "+format+"\n", args...) }
--- a/test/bench/serve/once.go
+++ b/test/bench/serve/once.go
@@ -15,26 +15,27 @@
 
 const (
 	onceCalls = 10_000
-	onceRate  = 500
-	// repeatOf is the share of calls that are repeated through another entry.
-	repeatOf = 4
-	// repeatWithin is the longest pause before a repeat. Short ones overlap the
-	// first attempt.
-	repeatWithin = 2 * time.Second
-	onceEvery    = 1500 * time.Millisecond
-	onceTimeout  = 5 * time.Second
+	onceRate  = 500 // calls per second
+	// onceRetryEvery is the number of calls of which one is retried through another
+	// entry.
+	onceRetryEvery = 4
+	// maxRetryDelay is the longest delay before a retry. After a short delay, the
+	// first attempt is still in progress.
+	maxRetryDelay    = 2 * time.Second
+	onceKillInterval = 1500 * time.Millisecond
+	onceTimeout      = 5 * time.Second
 )
 
-// runOnce sends keyed calls and repeats of them while agents and entries are
-// killed and restarted. The service stand-ins live on, so they keep the count
-// of effects.
+// runOnce sends calls with idempotency keys and retries of them while agents and
+// entries are killed and restarted. The service stand-ins are not restarted, so
+// they keep the count of effects.
 func runOnce(ctx context.Context, b *bench, h *harness.Harness) error {
 	d, err := deploy(ctx, h, harness.Spec{
 		Domains: []harness.DomainSpec{
 			{Name: "a", Region: "ra", Entries: 2, Services: map[string]int{harness.Service: 2}},
 			{Name: "b", Region: "rb", Entries: 1, Services: map[string]int{harness.Service: 2}},
 		},
-		Limits: limits(256, 64),
+		Limits: limitLines(256, 64),
 	})
 	if err != nil {
 		return err
@@ -43,12 +44,12 @@
 	for _, e := range d.Entries {
 		o.callers = append(o.callers, harness.NewCaller(e.HTTP))
 	}
-	stop, cancel := context.WithCancel(ctx)
+	killCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg conc.WaitGroup
 	var killErr error
-	wg.Go(func() { killErr = o.kills(stop, b.rand(7)) })
-	o.calls(ctx, b.rand(8))
+	wg.Go(func() { killErr = o.killNodes(killCtx, b.rand(7)) })
+	o.sendCalls(ctx, b.rand(8))
 	cancel()
 	wg.Wait()
 	if killErr != nil {
@@ -57,6 +58,7 @@
 	return o.report(ctx, b)
 }
 
+// onceRun holds the results of all attempts by idempotency key.
 type onceRun struct {
 	d       *harness.Deployment
 	callers []*harness.Caller
@@ -64,29 +66,31 @@
 	byKey   map[string][]result
 }
 
-func (o *onceRun) calls(ctx context.Context, rng *rand.Rand) {
+// sendCalls sends the calls at a constant rate and one in onceRetryEvery again with
+// the same key.
+func (o *onceRun) sendCalls(ctx context.Context, rng *rand.Rand) {
 	var wg conc.WaitGroup
 	start := time.Now()
 	for i := range onceCalls {
 		time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / onceRate)))
 		key := harness.NewKey()
 		first := rng.IntN(len(o.callers))
-		wg.Go(func() { o.call(ctx, key, first) })
-		if i%repeatOf != 0 {
+		wg.Go(func() { o.sendCall(ctx, key, first) })
+		if i%onceRetryEvery != 0 {
 			continue
 		}
 		other := (first + 1 + rng.IntN(len(o.callers)-1)) % len(o.callers)
-		after := time.Duration(rng.Int64N(int64(repeatWithin)))
+		delay := time.Duration(rng.Int64N(int64(maxRetryDelay)))
 		wg.Go(func() {
-			if pause(ctx, after) == nil {
-				o.call(ctx, key, other)
+			if pause(ctx, delay) == nil {
+				o.sendCall(ctx, key, other)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-func (o *onceRun) call(ctx context.Context, key string, entry int) {
+func (o *onceRun) sendCall(ctx context.Context, key string, entry int) {
 	r := result{entry: entry, req: harness.Request{
 		Path: harness.CallPath(harness.Service, "log"), Customer: harness.Customer, Class: "order",
 		Key: key, Timeout: onceTimeout, Body: `{"station":7}`,
@@ -97,19 +101,20 @@
 	o.byKey[key] = append(o.byKey[key], r)
 }
 
-// kills ends and restarts an agent or an entry at a time.
-func (o *onceRun) kills(ctx context.Context, rng *rand.Rand) error {
+// killNodes repeatedly kills and restarts a random agent or entry until ctx is
+// done.
+func (o *onceRun) killNodes(ctx context.Context, rng *rand.Rand) error {
 	nodes := o.d.Nodes()
-	for n := 0; ; n++ {
-		if pause(ctx, onceEvery) != nil {
-			note("%d daemons were killed", n)
+	for killed := 0; ; killed++ {
+		if pause(ctx, onceKillInterval) != nil {
+			comment("%d daemons were killed", killed)
 			return nil
 		}
-		v := nodes[rng.IntN(len(nodes))]
-		if err := v.Proc.Kill(); err != nil {
+		n := nodes[rng.IntN(len(nodes))]
+		if err := n.Proc.Kill(); err != nil {
 			return err
 		}
-		if err := o.d.StartNode(context.WithoutCancel(ctx), v); err != nil {
+		if err := o.d.StartNode(context.WithoutCancel(ctx), n); err != nil {
 			return err
 		}
 	}
@@ -141,11 +146,11 @@
 			falseRan++
 		}
 	}
-	describe(fmt.Sprintf("keyed calls, %d keys with %d effects", len(o.byKey), len(effects)), all)
+	printFailures(fmt.Sprintf("keyed calls, %d keys with %d effects", len(o.byKey), len(effects)), all)
 	b.atMost("duplicate_effects", float64(duplicates), "effects", 0)
 	b.atMost("false_not_run", float64(falseNotRun), "keys", 0)
 	b.atMost("false_ran", float64(falseRan), "keys", 0)
-	// A run in which hardly any call had an effect shows nothing.
+	// If hardly any call has an effect, the figures above prove nothing.
 	b.atLeast("keyed_effect_ratio", float64(len(effects))/float64(len(o.byKey)), "ratio", 0.5)
 	return nil
 }
--- a/test/bench/serve/overload.go
+++ b/test/bench/serve/overload.go
@@ -10,93 +10,96 @@
 )
 
 const (
-	overTokens   = 10
-	overEngines  = 8
-	overRequests = 8
-	overDeadline = time.Second
-	overPart     = 6 * time.Second
-	smallCount   = 10
-	// firstShare is the share of first-class requests at twice the capacity.
-	firstShare = 0.1
+	overloadTokens   = 10
+	overloadEngines  = 8
+	overloadSlots    = 8 // per engine
+	overloadDeadline = time.Second
+	overloadDuration = 6 * time.Second
+	smallCustomers   = 10
+	// firstClassFraction is the fraction of requests that are first-class (status).
+	firstClassFraction = 0.1
 )
 
-// runOverload offers the capacity, twice the capacity, and a flood by one of
-// eleven customers.
+// runOverload sends load at the capacity, at twice the capacity, and in a flood by
+// one of eleven customers.
 func runOverload(ctx context.Context, b *bench, h *harness.Harness) error {
 	d, err := deploy(ctx, h, harness.Spec{
-		Domains: domains(2, 2, overEngines/2),
-		Engine:  harness.EngineSpec{MaxRequests: overRequests, ColdRequests: 2, TokenDelay: "10ms"},
-		Limits:  limits(overRequests, 2),
+		Domains: domainSpecs(2, 2, overloadEngines/2),
+		Engine:  harness.EngineSpec{MaxRequests: overloadSlots, ColdRequests: 2, TokenDelay: "10ms"},
+		Limits:  limitLines(overloadSlots, 2),
 	})
 	if err != nil {
 		return err
 	}
 	names := []string{"large"}
-	for i := range smallCount {
+	for i := range smallCustomers {
 		names = append(names, fmt.Sprintf("small-%d", i))
 	}
-	if err := customers(ctx, d, names); err != nil {
+	if err := declareCustomers(ctx, d, names); err != nil {
 		return err
 	}
-	c := capacity(ctx, d, b, overEngines*overRequests, overTokens)
-	goodput(ctx, b, d, c)
-	fairShare(ctx, b, d, c)
-	return overloads(ctx, b, d, "overload")
+	capacity := measureCapacity(ctx, d, b, overloadEngines*overloadSlots, overloadTokens)
+	measureGoodput(ctx, b, d, capacity)
+	measureFairShare(ctx, b, d, capacity)
+	return reportOverloads(ctx, b, d, "overload")
 }
 
-func mixed(rng *rand.Rand, _ int) harness.Request {
-	if rng.Float64() < firstShare {
-		return generate("status", overTokens, overDeadline)
+// mixedClasses returns a request of the first class or of another at random.
+func mixedClasses(rng *rand.Rand, _ int) harness.Request {
+	if rng.Float64() < firstClassFraction {
+		return generateRequest("status", overloadTokens, overloadDeadline)
 	}
-	return generate("summary", overTokens, overDeadline)
+	return generateRequest("summary", overloadTokens, overloadDeadline)
 }
 
-func first(r *result) bool { return r.req.Class == "status" }
+func isFirstClass(r *result) bool { return r.req.Class == "status" }
 
-func goodput(ctx context.Context, b *bench, d *harness.Deployment, c float64) {
-	at1 := newLoad(d, c, b.rand(9), mixed).run(ctx, overPart)
-	describe("at capacity", at1)
-	at2 := newLoad(d, 2*c, b.rand(10), mixed).run(ctx, overPart)
-	describe("at twice the capacity", at2)
-	n1, n2 := count(at1, ok), count(at2, ok)
-	all := count(at2, first)
-	good := count(at2, func(r *result) bool { return first(r) && r.ok() })
-	var firsts []result
+// measureGoodput compares the responses in time at capacity and at twice the
+// capacity.
+func measureGoodput(ctx context.Context, b *bench, d *harness.Deployment, capacity float64) {
+	at1 := newLoad(d, capacity, b.rand(9), mixedClasses).run(ctx, overloadDuration)
+	printFailures("at capacity", at1)
+	at2 := newLoad(d, 2*capacity, b.rand(10), mixedClasses).run(ctx, overloadDuration)
+	printFailures("at twice the capacity", at2)
+	n1, n2 := count(at1, inTime), count(at2, inTime)
+	total := count(at2, isFirstClass)
+	firstInTime := count(at2, func(r *result) bool { return isFirstClass(r) && r.inTime() })
+	var firstClass []result
 	for _, r := range at2 {
-		if first(&r) {
-			firsts = append(firsts, r)
+		if isFirstClass(&r) {
+			firstClass = append(firstClass, r)
 		}
 	}
-	describe("first class at twice the capacity", firsts)
+	printFailures("first class at twice the capacity", firstClass)
 	b.atLeast("goodput_ratio_at_2x", float64(n2)/float64(n1), "ratio", 0.95)
-	b.atLeast("first_class_goodput_at_2x", float64(good)/float64(all), "ratio", 0.99)
+	b.atLeast("first_class_goodput_at_2x", float64(firstInTime)/float64(total), "ratio", 0.99)
 }
 
-// fairShare lets one customer ask for three times the capacity while ten others
-// ask for 1.2 times an equal share each.
-func fairShare(ctx context.Context, b *bench, d *harness.Deployment, c float64) {
+// measureFairShare sends load of three times the capacity for one customer while ten
+// others send 1.2 times an equal share each.
+func measureFairShare(ctx context.Context, b *bench, d *harness.Deployment, capacity float64) {
 	const flood, demand = 3, 1.2
-	fair := c / (smallCount + 1)
-	small := demand * fair * smallCount
-	rs := newLoad(d, flood*c+small, b.rand(11), func(rng *rand.Rand, _ int) harness.Request {
-		r := generate("summary", overTokens, overDeadline)
+	fair := capacity / (smallCustomers + 1)
+	small := demand * fair * smallCustomers
+	rs := newLoad(d, flood*capacity+small, b.rand(11), func(rng *rand.Rand, _ int) harness.Request {
+		r := generateRequest("summary", overloadTokens, overloadDeadline)
 		r.Customer = "large"
-		if rng.Float64() < small/(flood*c+small) {
-			r.Customer = fmt.Sprintf("small-%d", rng.IntN(smallCount))
+		if rng.Float64() < small/(flood*capacity+small) {
+			r.Customer = fmt.Sprintf("small-%d", rng.IntN(smallCustomers))
 		}
 		return r
-	}).run(ctx, overPart)
-	describe("flood of one customer", rs)
-	got := map[string]int{}
+	}).run(ctx, overloadDuration)
+	printFailures("flood of one customer", rs)
+	served := map[string]int{}
 	for i := range rs {
-		if rs[i].ok() {
-			got[rs[i].req.Customer]++
+		if rs[i].inTime() {
+			served[rs[i].req.Customer]++
 		}
 	}
 	worst := 1e9
-	for i := range smallCount {
-		worst = min(worst, float64(got[fmt.Sprintf("small-%d", i)])/(fair*overPart.Seconds()))
+	for i := range smallCustomers {
+		worst = min(worst, float64(served[fmt.Sprintf("small-%d", i)])/(fair*overloadDuration.Seconds()))
 	}
-	note("fair share %.0f answers, got %v", fair*overPart.Seconds(), got)
+	comment("fair share %.0f responses, served %v", fair*overloadDuration.Seconds(), served)
 	b.atLeast("fair_share_min_ratio", worst, "ratio", 0.9)
 }
