--- a/test/bench/control/inforce.go
+++ b/test/bench/control/inforce.go
@@ -122,7 +122,7 @@
 	for _, n := range nodes {
 		p.Go(func() error {
 			var st harness.AgentStatus
-			err := harness.Status(ctx, n.Admin, &st)
+			err := harness.GetStatus(ctx, n.Admin, &st)
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
--- a/test/bench/control/window.go
+++ b/test/bench/control/window.go
@@ -75,7 +75,7 @@
 }
 
 func (f *fleet) platformCalls(ctx context.Context) int64 {
-	counts, _ := harness.Counts(ctx, f.d.PlatformAddr)
+	counts, _ := harness.GetCounts(ctx, f.d.PlatformAddr)
 	sum := int64(0)
 	for _, n := range counts {
 		sum += n
@@ -125,7 +125,7 @@
 			Out  int64  `json:"out_bytes"`
 		}
 	}
-	if err := harness.Status(ctx, n.Admin, &st); err != nil {
+	if err := harness.GetStatus(ctx, n.Admin, &st); err != nil {
 		return out, err
 	}
 	out.revision = st.Revision
--- a/test/bench/serve/deploy.go
+++ b/test/bench/serve/deploy.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	text := d.Spec.Declare(map[string]string{"v1": v}, "v1")
+	text := d.Spec.RenderDeclaration(map[string]string{"v1": v}, "v1")
 	for _, n := range names {
 		text += fmt.Sprintf("\n[customer %s]\nshare = 1\nmax_queued = 1000\nmax_bytes = 64MiB\n", n)
 	}
@@ -61,7 +61,7 @@
 	return harness.WaitFor(ctx, 10*time.Second, "the customers", func() error {
 		for _, e := range d.Entries {
 			var s struct{ Revision uint64 }
-			if err := harness.Status(ctx, e.Admin, &s); err != nil {
+			if err := harness.GetStatus(ctx, e.Admin, &s); err != nil {
 				return err
 			}
 			if s.Revision < 2 {
@@ -100,7 +100,7 @@
 func sum(ctx context.Context, nodes []*harness.Node, kind string) (int64, error) {
 	total := int64(0)
 	for _, n := range nodes {
-		c, err := harness.Counts(ctx, n.TargetAddr)
+		c, err := harness.GetCounts(ctx, n.TargetAddr)
 		if err != nil {
 			return 0, errors.Wrap(err, n.Name)
 		}
--- a/test/bench/serve/domain.go
+++ b/test/bench/serve/domain.go
@@ -34,9 +34,9 @@
 // runDomain takes a failure domain out of service and returns it under load.
 func runDomain(ctx context.Context, b *bench, h *harness.Harness) error {
 	d, err := deploy(ctx, h, harness.Spec{
-		Domains: domains(3, 1, 3),
-		Engine:  harness.EngineSpec{MaxRequests: 8, ColdRequests: 2, TokenDelay: "10ms"},
-		Limits:  limits(8, 2),
+		Domains:    domains(3, 1, 3),
+		Engine:     harness.EngineSpec{MaxRequests: 8, ColdRequests: 2, TokenDelay: "10ms"},
+		LimitLines: limits(8, 2),
 	})
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 		return 0, err
 	}
 	var nodes []*harness.Node
-	for _, n := range d.Engines() {
+	for _, n := range d.EngineAgents() {
 		if n.Domain == domain {
 			nodes = append(nodes, n)
 		}
@@ -96,7 +96,7 @@
 
 // overloads prints how often engines got more than they bear.
 func overloads(ctx context.Context, b *bench, d *harness.Deployment, section string) error {
-	n, err := sum(ctx, d.Engines(), "overload")
+	n, err := sum(ctx, d.EngineAgents(), "overload")
 	if err == nil {
 		b.atMost("engine_overloads_"+section, float64(n), "requests", 0)
 	}
--- a/test/bench/serve/kill.go
+++ b/test/bench/serve/kill.go
@@ -25,9 +25,9 @@
 // restarts engines at full load to see whether one gets too much.
 func runKill(ctx context.Context, b *bench, h *harness.Harness) error {
 	d, err := deploy(ctx, h, harness.Spec{
-		Domains: domains(2, 1, 5),
-		Engine:  harness.EngineSpec{MaxRequests: 8, ColdRequests: 2, TokenDelay: "10ms"},
-		Limits:  limits(8, 2),
+		Domains:    domains(2, 1, 5),
+		Engine:     harness.EngineSpec{MaxRequests: 8, ColdRequests: 2, TokenDelay: "10ms"},
+		LimitLines: limits(8, 2),
 	})
 	if err != nil {
 		return err
@@ -52,7 +52,7 @@
 		return killErr
 	}
 	describe("restarted engines at full load", rs)
-	if err := over.add(ctx, d.Engines()); err != nil {
+	if err := over.add(ctx, d.EngineAgents()); err != nil {
 		return err
 	}
 	b.atMost("cold_overload", float64(over.total), "requests", 0)
@@ -69,7 +69,7 @@
 // add takes the counts of engines that run or are about to be killed.
 func (o *overloadCount) add(ctx context.Context, nodes []*harness.Node) error {
 	for _, n := range nodes {
-		c, err := harness.Counts(ctx, n.TargetAddr)
+		c, err := harness.GetCounts(ctx, n.TargetAddr)
 		if err != nil {
 			return err
 		}
@@ -84,7 +84,7 @@
 
 func killAgents(ctx context.Context, b *bench, d *harness.Deployment, over *overloadCount) error {
 	rng := b.rand(5)
-	nodes := d.Engines()
+	nodes := d.EngineAgents()
 	for range killRounds {
 		if err := pause(ctx, killEvery-killDown); err != nil {
 			return err
@@ -118,7 +118,7 @@
 // end of its process, the others by a restart inside of it.
 func restartEngines(ctx context.Context, b *bench, d *harness.Deployment, over *overloadCount) error {
 	rng := b.rand(6)
-	nodes := d.Engines()
+	nodes := d.EngineAgents()
 	for i := range coldRounds {
 		if err := pause(ctx, coldEvery); err != nil {
 			return err
--- a/test/bench/serve/latency.go
+++ b/test/bench/serve/latency.go
@@ -25,9 +25,9 @@
 // the system followed by one to an engine, so that they see the same machine.
 func runLatency(ctx context.Context, b *bench, h *harness.Harness) error {
 	d, err := deploy(ctx, h, harness.Spec{
-		Domains: domains(1, 1, 2),
-		Engine:  harness.EngineSpec{MaxRequests: 64, ColdRequests: 64},
-		Limits:  limits(64, 64),
+		Domains:    domains(1, 1, 2),
+		Engine:     harness.EngineSpec{MaxRequests: 64, ColdRequests: 64},
+		LimitLines: limits(64, 64),
 	})
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 			break
 		}
 		time.Sleep(time.Until(start.Add(at)))
-		engines := s.d.Engines()
+		engines := s.d.EngineAgents()
 		n := engines[rng.IntN(len(engines))]
 		wg.Go(func() {
 			r := s.call(ctx, n)
--- a/test/bench/serve/load.go
+++ b/test/bench/serve/load.go
@@ -109,9 +109,9 @@
 	start := time.Now()
 	a, err := c.Send(ctx, r.req)
 	r.total, r.verdict, r.lines = time.Since(start), a.Verdict, len(a.Lines)
-	check := a.CheckWhole
+	check := a.CheckComplete
 	if strings.HasPrefix(r.req.Path, "/v1/services/") {
-		check = a.CheckCall
+		check = a.CheckServiceCall
 	}
 	switch {
 	case err != nil:
--- a/test/bench/serve/once.go
+++ b/test/bench/serve/once.go
@@ -34,7 +34,7 @@
 			{Name: "a", Region: "ra", Entries: 2, Services: map[string]int{harness.Service: 2}},
 			{Name: "b", Region: "rb", Entries: 1, Services: map[string]int{harness.Service: 2}},
 		},
-		Limits: limits(256, 64),
+		LimitLines: limits(256, 64),
 	})
 	if err != nil {
 		return err
--- a/test/bench/serve/overload.go
+++ b/test/bench/serve/overload.go
@@ -24,9 +24,9 @@
 // eleven customers.
 func runOverload(ctx context.Context, b *bench, h *harness.Harness) error {
 	d, err := deploy(ctx, h, harness.Spec{
-		Domains: domains(2, 2, overEngines/2),
-		Engine:  harness.EngineSpec{MaxRequests: overRequests, ColdRequests: 2, TokenDelay: "10ms"},
-		Limits:  limits(overRequests, 2),
+		Domains:    domains(2, 2, overEngines/2),
+		Engine:     harness.EngineSpec{MaxRequests: overRequests, ColdRequests: 2, TokenDelay: "10ms"},
+		LimitLines: limits(overRequests, 2),
 	})
 	if err != nil {
 		return err
--- a/test/bench/serve/slow.go
+++ b/test/bench/serve/slow.go
@@ -24,9 +24,9 @@
 // long answers and read nothing.
 func runSlow(ctx context.Context, b *bench, h *harness.Harness) error {
 	d, err := deploy(ctx, h, harness.Spec{
-		Domains: domains(1, 1, 4),
-		Engine:  harness.EngineSpec{MaxRequests: 512, ColdRequests: 512},
-		Limits:  limits(512, 512),
+		Domains:    domains(1, 1, 4),
+		Engine:     harness.EngineSpec{MaxRequests: 512, ColdRequests: 512},
+		LimitLines: limits(512, 512),
 	})
 	if err != nil {
 		return err
@@ -63,7 +63,7 @@
 	var s struct {
 		BytesHeld int64 `json:"bytes_held"`
 	}
-	if err := harness.Status(ctx, e.Admin, &s); err != nil {
+	if err := harness.GetStatus(ctx, e.Admin, &s); err != nil {
 		return err
 	}
 	note("resident memory: idle %d, peak %d; the entry counts %d bytes; %d of %d callers were ended",
--- a/test/bench/spread/procs/fleet.go
+++ b/test/bench/spread/procs/fleet.go
@@ -70,7 +70,7 @@
 		// counts a request out only after its agent read the end of the answer.
 		Engine:   harness.EngineSpec{MaxRequests: 2 * slots, ColdRequests: 2, TokenDelay: tokenDelay.String(), OneProcess: true},
 		LinkRate: strconv.FormatInt(c.Rate, 10),
-		Limits: []string{
+		LimitLines: []string{
 			"max_requests = " + strconv.Itoa(slots), "max_bytes = 4MiB", "cold_requests = 1", "ramp_step = 200ms",
 		},
 	}
@@ -96,7 +96,7 @@
 	out := ""
 	for _, n := range f.Agents {
 		var s status
-		if err := harness.Status(ctx, n.Admin, &s); err != nil || s.Version == "" {
+		if err := harness.GetStatus(ctx, n.Admin, &s); err != nil || s.Version == "" {
 			out += fmt.Sprintf("%s: %+v %v; ", n.Name, s, err)
 		}
 	}
@@ -123,7 +123,7 @@
 	if err := harness.SetFaults(ctx, f.OriginAddr, origin.Faults{Corrupt: f.cfg.Corrupt}); err != nil {
 		return time.Time{}, err
 	}
-	text := f.Spec.Declare(map[string]string{"old": id(f.old), "new": id(f.new)}, "new")
+	text := f.Spec.RenderDeclaration(map[string]string{"old": id(f.old), "new": id(f.new)}, "new")
 	err := f.Apply(ctx, text)
 	return time.Now(), err
 }
@@ -142,7 +142,7 @@
 	got := make([]status, len(agents))
 	p := pool.New().WithErrors().WithMaxGoroutines(pollers)
 	for i, n := range agents {
-		p.Go(func() error { return errors.Wrap(harness.Status(ctx, n.Admin, &got[i]), n.Name) })
+		p.Go(func() error { return errors.Wrap(harness.GetStatus(ctx, n.Admin, &got[i]), n.Name) })
 	}
 	if err := p.Wait(); err != nil {
 		return look{}, err
--- a/test/bench/spread/procs/live.go
+++ b/test/bench/spread/procs/live.go
@@ -117,8 +117,8 @@
 
 // check returns an error unless the answer is whole and all of it comes from
 // the weights of the one version that it names.
-func (l *Live) check(a *harness.Answer) error {
-	if err := a.CheckWhole(); err != nil {
+func (l *Live) check(a *harness.Response) error {
+	if err := a.CheckComplete(); err != nil {
 		return err
 	}
 	want, ok := l.expect[a.Version]
--- a/test/demo/load.go
+++ b/test/demo/load.go
@@ -72,7 +72,7 @@
 		Timeout: requestTimeout, Body: `{"prompt":"summarize the survey of plot 7","max_tokens":16}`,
 	})
 	if err == nil {
-		err = a.CheckWhole()
+		err = a.CheckComplete()
 	}
 	if l.count(a, err) {
 		l.byVersion.Update(a.Version, func(n int64, _ bool) (int64, bool) { return n + 1, true })
@@ -90,7 +90,7 @@
 	}
 	a, err := c.Send(ctx, r)
 	if err == nil {
-		err = a.CheckCall()
+		err = a.CheckServiceCall()
 	}
 	if !l.count(a, err) {
 		return
@@ -107,7 +107,7 @@
 
 // count counts an answer and reports whether it is good. A request that was
 // refused and did not run is no error.
-func (l *load) count(a harness.Answer, err error) bool {
+func (l *load) count(a harness.Response, err error) bool {
 	switch {
 	case err == nil:
 		l.answered.Add(1)
--- a/test/demo/main.go
+++ b/test/demo/main.go
@@ -25,7 +25,7 @@
 	settle = 2 * time.Second
 )
 
-func main() { harness.SmallCommand("demo", demoTimeout, demo) }
+func main() { harness.SmallMain("demo", demoTimeout, demo) }
 
 func demo(ctx context.Context, d *harness.Deployment, v1 string) error {
 	r := report{replicas1: time.Since(d.Started)}
@@ -63,7 +63,7 @@
 		return err
 	}
 	at := time.Now()
-	if err := d.Apply(ctx, d.Spec.Declare(map[string]string{"v1": v1, "v2": v2}, "v2")); err != nil {
+	if err := d.Apply(ctx, d.Spec.RenderDeclaration(map[string]string{"v1": v1, "v2": v2}, "v2")); err != nil {
 		return err
 	}
 	if err := d.WaitVersion(ctx, harness.SmallSpreadTimeout, v2); err != nil {
@@ -79,7 +79,7 @@
 // cordon takes failure domain b out of service and back.
 func cordon(ctx context.Context, d *harness.Deployment, r *report) error {
 	var agents []*harness.Node
-	for _, n := range d.InDomain("b") {
+	for _, n := range d.NodesInDomain("b") {
 		if !n.IsEntry {
 			agents = append(agents, n)
 		}
--- a/test/docs/deploy_test.go
+++ b/test/docs/deploy_test.go
@@ -27,7 +27,7 @@
 func TestDeployTemplates(t *testing.T) {
 	h := harness.ForTest(t)
 	for template, binary := range map[string]string{"gateway.ini": "masticwing-gateway", "loader.ini": "masticwing-loader"} {
-		b, err := os.ReadFile(filepath.Join(harness.Root(), "deploy", template))
+		b, err := os.ReadFile(filepath.Join(harness.RepoRoot(), "deploy", template))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -18,7 +18,7 @@
 // masticwingctl.
 func commands(t *testing.T, page string) []string {
 	t.Helper()
-	b, err := os.ReadFile(filepath.Join(harness.Root(), "docs", page))
+	b, err := os.ReadFile(filepath.Join(harness.RepoRoot(), "docs", page))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 	for name, version := range map[string]string{"config/": "v1", "next/": "v2"} {
 		dirs[name] = t.TempDir()
 		file := filepath.Join(dirs[name], "main.ini")
-		if err := os.WriteFile(file, []byte(d.Spec.Declare(versions, version)), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(d.Spec.RenderDeclaration(versions, version)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -94,7 +94,7 @@
 // TestExamples guards against example files that the binaries refuse.
 func TestExamples(t *testing.T) {
 	h := harness.ForTest(t)
-	example := func(name string) string { return filepath.Join(harness.Root(), "examples", name) }
+	example := func(name string) string { return filepath.Join(harness.RepoRoot(), "examples", name) }
 	for _, c := range [][]string{
 		{"masticwing-entry", "check-config", "--config", example("masticwing-entry.ini")},
 		{"masticwing-agent", "check-config", "--config", example("masticwing-agent.ini")},
--- a/test/docs/http_test.go
+++ b/test/docs/http_test.go
@@ -27,7 +27,7 @@
 // header are as given.
 func table(t *testing.T, page, header string) [][]string {
 	t.Helper()
-	b, err := os.ReadFile(filepath.Join(harness.Root(), "docs", page))
+	b, err := os.ReadFile(filepath.Join(harness.RepoRoot(), "docs", page))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 // declaredCodes returns the codes that internal/core/verdict declares.
 func declaredCodes(t *testing.T) map[verdict.Code]bool {
 	t.Helper()
-	file := filepath.Join(harness.Root(), "internal", "core", "verdict", "verdict.go")
+	file := filepath.Join(harness.RepoRoot(), "internal", "core", "verdict", "verdict.go")
 	f, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/test/docs/log_test.go
+++ b/test/docs/log_test.go
@@ -26,13 +26,13 @@
 // TestOperationsPageNamesLogsAndMetrics guards against a message, a field or a
 // metric that an engineer on call meets and the page does not explain.
 func TestOperationsPageNamesLogsAndMetrics(t *testing.T) {
-	page, err := os.ReadFile(filepath.Join(harness.Root(), "docs", "OPERATIONS.md"))
+	page, err := os.ReadFile(filepath.Join(harness.RepoRoot(), "docs", "OPERATIONS.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	found := 0
 	for _, dir := range loggedIn {
-		files, err := filepath.Glob(filepath.Join(harness.Root(), dir, "*.go"))
+		files, err := filepath.Glob(filepath.Join(harness.RepoRoot(), dir, "*.go"))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/test/harness/admin.go
+++ b/test/harness/admin.go
@@ -11,12 +11,12 @@
 	"github.com/pkg/errors"
 )
 
-// adminTimeout bounds a call of an admin endpoint.
+// adminTimeout bounds one request to an admin endpoint.
 const adminTimeout = 5 * time.Second
 
 var adminClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
 
-func call(ctx context.Context, method, url string, body []byte) ([]byte, int, error) {
+func doRequest(ctx context.Context, method, url string, body []byte) ([]byte, int, error) {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -26,15 +26,15 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := adminClient.Do(req)
 	if err != nil {
-		return nil, 0, errors.Wrap(err, "calling an admin endpoint")
+		return nil, 0, errors.Wrap(err, "sending an admin request")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
-	return b, resp.StatusCode, errors.Wrap(err, "reading an admin answer")
+	return b, resp.StatusCode, errors.Wrap(err, "reading an admin response")
 }
 
-// CallJSON calls an admin endpoint with in as JSON and decodes the answer into
-// out. Either may be nil. A status other than 2xx is an error.
+// CallJSON sends in as JSON to an admin endpoint and decodes the JSON response
+// into out. Either may be nil. A status other than 2xx is an error.
 func CallJSON(ctx context.Context, method, url string, in, out any) error {
 	var body []byte
 	if in != nil {
@@ -43,7 +43,7 @@
 			return errors.Wrap(err, "encoding an admin request")
 		}
 	}
-	b, status, err := call(ctx, method, url, body)
+	b, status, err := doRequest(ctx, method, url, body)
 	if err != nil {
 		return err
 	}
@@ -53,18 +53,18 @@
 	if out == nil {
 		return nil
 	}
-	return errors.Wrapf(json.Unmarshal(b, out), "decoding the answer of %s", url)
+	return errors.Wrapf(json.Unmarshal(b, out), "decoding the response of %s", url)
 }
 
-// SetFaults replaces the faults of the stand-in at addr. Pass the zero value
-// of its Faults type to clear them.
+// SetFaults replaces the injected faults of the stand-in at addr. The zero value
+// of its Faults type clears them.
 func SetFaults(ctx context.Context, addr string, faults any) error {
 	return CallJSON(ctx, http.MethodPost, "http://"+addr+"/faults", faults, nil)
 }
 
-// Counts returns the calls that the stand-in at addr counted, by kind. Counts
-// that are not plain numbers are left out.
-func Counts(ctx context.Context, addr string) (map[string]int64, error) {
+// GetCounts returns the number of calls that the stand-in at addr has received,
+// by kind. Values that are not plain numbers are left out.
+func GetCounts(ctx context.Context, addr string) (map[string]int64, error) {
 	var all map[string]any
 	if err := CallJSON(ctx, http.MethodGet, "http://"+addr+"/counts", nil, &all); err != nil {
 		return nil, err
@@ -78,13 +78,13 @@
 	return m, nil
 }
 
-// Readyz returns the status and the text of a daemon's /readyz.
-func Readyz(ctx context.Context, admin string) (int, string, error) {
-	b, status, err := call(ctx, http.MethodGet, "http://"+admin+"/readyz", nil)
+// GetReadyz returns the status code and the body of a daemon's /readyz.
+func GetReadyz(ctx context.Context, admin string) (int, string, error) {
+	b, status, err := doRequest(ctx, http.MethodGet, "http://"+admin+"/readyz", nil)
 	return status, string(b), err
 }
 
-// Status decodes the /status of a daemon into out.
-func Status(ctx context.Context, admin string, out any) error {
+// GetStatus decodes the JSON of a daemon's /status into out.
+func GetStatus(ctx context.Context, admin string, out any) error {
 	return CallJSON(ctx, http.MethodGet, "http://"+admin+"/status", nil, out)
 }
--- a/test/harness/caller.go
+++ b/test/harness/caller.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 )
 
-// Headers and trailers of the entry's HTTP interface.
+// Header and trailer names of the entry's HTTP API.
 const (
 	HeaderCustomer = "X-Masticwing-Customer"
 	HeaderClass    = "X-Masticwing-Class"
@@ -25,15 +25,15 @@
 	HeaderVerdict  = "X-Masticwing-Verdict"
 )
 
-// maxLine bounds one line of a stream.
+// maxLine bounds one line of a streamed response, in bytes.
 const maxLine = 1 << 20
 
-// NewKey returns a fresh idempotency key, a UUID of version 7.
+// NewKey returns a new idempotency key, a UUID of version 7.
 func NewKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// Request is a caller's request.
+// Request is a request from a caller to an entry.
 type Request struct {
-	// Path is the path at the entry; GeneratePath and CallPath build it.
+	// Path is the URL path, as returned by GeneratePath or CallPath.
 	Path     string
 	Customer string
 	Class    string
@@ -42,13 +42,13 @@
 	Body     string
 }
 
-// GeneratePath is the path of a group's generate call.
+// GeneratePath returns the URL path of a group's generate endpoint.
 func GeneratePath(group string) string { return "/v1/groups/" + group + "/generate" }
 
-// CallPath is the path of a call of a plain service.
+// CallPath returns the URL path for a call of a plain service.
 func CallPath(service, call string) string { return "/v1/services/" + service + "/call/" + call }
 
-// ErrorBody is the error in an answer.
+// ErrorBody is the error object in a JSON response or at the end of a stream.
 type ErrorBody struct {
 	Code         string `json:"code"`
 	Message      string `json:"message"`
@@ -57,7 +57,7 @@
 	RequestID    string `json:"request_id"`
 }
 
-// EndLine is the last line of a whole streamed answer.
+// EndLine is the last line of a complete streamed response.
 type EndLine struct {
 	Verdict   string `json:"verdict"`
 	Version   string `json:"version"`
@@ -65,22 +65,23 @@
 	RequestID string `json:"request_id"`
 }
 
-// Answer is what a caller received.
-type Answer struct {
+// Response is an entry's response as the caller received it.
+type Response struct {
 	Status    int
 	Header    http.Header
 	Trailer   http.Header
 	RequestID string
 	Version   string
-	// Verdict is the trailer's, or else the header's.
+	// Verdict is taken from the trailer or, if that has none, from the header.
 	Verdict string
-	// Lines are the lines of a stream without its last one.
+	// Lines are the lines of a stream before the line with the end or the error.
 	Lines [][]byte
-	// Body is the body of a service's answer.
+	// Body is the response body if the response is not a stream.
 	Body  []byte
 	End   *EndLine
 	Error *ErrorBody
-	// FirstByte and Total are the times to the first byte and to the end.
+	// FirstByte is the time until the header arrived, Total until the end of
+	// the response.
 	FirstByte, Total time.Duration
 }
 
@@ -90,41 +91,42 @@
 	http *http.Client
 }
 
-// NewCaller returns a caller of the entry at addr.
+// NewCaller returns a Caller for the entry at addr.
 func NewCaller(addr string) *Caller {
-	const idle = 64
-	return &Caller{base: "http://" + addr, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idle}}}
+	const maxIdleConns = 64
+	return &Caller{base: "http://" + addr, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns}}}
 }
 
-// Send sends a request and reads its whole answer. An error means that the
-// connection failed; refusals and broken streams are in the answer.
-func (c *Caller) Send(ctx context.Context, r Request) (Answer, error) {
+// Send sends a request and reads the response to its end. An error means that
+// the connection failed or that the response could not be read. Refusals and
+// errors within a stream are part of the response.
+func (c *Caller) Send(ctx context.Context, r Request) (Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+r.Path, bytes.NewReader([]byte(r.Body)))
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "building a request")
+		return Response{}, errors.Wrap(err, "building a request")
 	}
-	// Without GetBody net/http does not repeat a request with an
-	// Idempotency-Key by itself after a lost connection. The error of the
-	// repeat would hide that the first one may have run.
+	// Without GetBody, net/http does not automatically retry a request with an
+	// Idempotency-Key after a lost connection. The error of a retry would hide
+	// that the first attempt may have run.
 	req.GetBody = nil
 	setHeaders(req.Header, r)
 	start := time.Now()
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "calling the entry")
+		return Response{}, errors.Wrap(err, "sending a request to the entry")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	a := Answer{
+	result := Response{
 		Status: resp.StatusCode, Header: resp.Header, FirstByte: time.Since(start),
 		RequestID: resp.Header.Get(HeaderRequest), Version: resp.Header.Get(HeaderVersion),
 	}
-	err = a.read(resp)
-	a.Total, a.Trailer = time.Since(start), resp.Trailer
-	a.Verdict = resp.Trailer.Get(HeaderVerdict)
-	if a.Verdict == "" {
-		a.Verdict = resp.Header.Get(HeaderVerdict)
+	err = result.read(resp)
+	result.Total, result.Trailer = time.Since(start), resp.Trailer
+	result.Verdict = resp.Trailer.Get(HeaderVerdict)
+	if result.Verdict == "" {
+		result.Verdict = resp.Header.Get(HeaderVerdict)
 	}
-	return a, err
+	return result, err
 }
 
 func setHeaders(h http.Header, r Request) {
@@ -141,23 +143,23 @@
 	}
 }
 
-func (a *Answer) read(resp *http.Response) error {
+func (r *Response) read(resp *http.Response) error {
 	if resp.Header.Get("Content-Type") == "application/x-ndjson" {
-		return a.readStream(resp.Body)
+		return r.readStream(resp.Body)
 	}
 	b, err := io.ReadAll(resp.Body)
-	a.Body = b
+	r.Body = b
 	if resp.StatusCode/100 != 2 {
 		var e struct{ Error *ErrorBody }
 		if json.Unmarshal(b, &e) == nil {
-			a.Error = e.Error
+			r.Error = e.Error
 		}
 	}
-	return errors.Wrap(err, "reading an answer")
+	return errors.Wrap(err, "reading a response")
 }
 
-func (a *Answer) readStream(r io.Reader) error {
-	sc := bufio.NewScanner(r)
+func (r *Response) readStream(body io.Reader) error {
+	sc := bufio.NewScanner(body)
 	sc.Buffer(nil, maxLine)
 	for sc.Scan() {
 		line := append([]byte(nil), sc.Bytes()...)
@@ -166,69 +168,69 @@
 			Error *ErrorBody
 		}
 		if json.Unmarshal(line, &last) == nil && (last.End != nil || last.Error != nil) {
-			a.End, a.Error = last.End, last.Error
+			r.End, r.Error = last.End, last.Error
 			continue
 		}
-		if a.End != nil || a.Error != nil {
+		if r.End != nil || r.Error != nil {
 			return errors.New("a line follows the last line of the stream")
 		}
-		a.Lines = append(a.Lines, line)
+		r.Lines = append(r.Lines, line)
 	}
 	return errors.Wrap(sc.Err(), "reading a stream")
 }
 
-// CheckWhole returns an error unless a is the whole answer to one generate
-// request from one version.
-func (a *Answer) CheckWhole() error {
+// CheckComplete returns an error unless the response is the complete result of
+// one generate request, produced by one version.
+func (r *Response) CheckComplete() error {
 	switch {
-	case a.Error != nil:
-		return errors.Errorf("%s (%s): %s", a.Error.Code, a.Error.Verdict, a.Error.Message)
-	case a.Status != http.StatusOK:
-		return errors.Errorf("status %d", a.Status)
-	case a.End == nil:
-		return errors.Errorf("the stream ended after %d lines without its last line", len(a.Lines))
-	case a.End.Verdict != "ran" || a.Verdict != "ran":
-		return errors.Errorf("verdict %q in the last line, %q in the trailer", a.End.Verdict, a.Verdict)
-	case a.End.RequestID != a.RequestID:
-		return errors.Errorf("request id %q in the last line, %q in the header", a.End.RequestID, a.RequestID)
-	case a.End.Version != a.Version || a.Version == "":
-		return errors.Errorf("version %q in the last line, %q in the header", a.End.Version, a.Version)
-	case a.End.Frames != len(a.Lines):
-		return errors.Errorf("%d lines, the last line counts %d", len(a.Lines), a.End.Frames)
+	case r.Error != nil:
+		return errors.Errorf("%s (%s): %s", r.Error.Code, r.Error.Verdict, r.Error.Message)
+	case r.Status != http.StatusOK:
+		return errors.Errorf("status %d", r.Status)
+	case r.End == nil:
+		return errors.Errorf("the stream ended after %d lines without an end line", len(r.Lines))
+	case r.End.Verdict != "ran" || r.Verdict != "ran":
+		return errors.Errorf("verdict %q in the last line, %q in the trailer", r.End.Verdict, r.Verdict)
+	case r.End.RequestID != r.RequestID:
+		return errors.Errorf("request id %q in the last line, %q in the header", r.End.RequestID, r.RequestID)
+	case r.End.Version != r.Version || r.Version == "":
+		return errors.Errorf("version %q in the last line, %q in the header", r.End.Version, r.Version)
+	case r.End.Frames != len(r.Lines):
+		return errors.Errorf("%d lines, the last line counts %d", len(r.Lines), r.End.Frames)
 	}
-	return a.checkLines()
+	return r.checkLines()
 }
 
-// CheckCall returns an error unless a is the whole answer to a call of a plain
-// service.
-func (a *Answer) CheckCall() error {
+// CheckServiceCall returns an error unless the response is the complete result
+// of a call of a plain service.
+func (r *Response) CheckServiceCall() error {
 	switch {
-	case a.Error != nil:
-		return errors.Errorf("%s (%s): %s", a.Error.Code, a.Error.Verdict, a.Error.Message)
-	case a.Status/100 != 2:
-		return errors.Errorf("status %d: %s", a.Status, a.Body)
-	case a.Verdict != "ran":
-		return errors.Errorf("verdict %q of an answer", a.Verdict)
+	case r.Error != nil:
+		return errors.Errorf("%s (%s): %s", r.Error.Code, r.Error.Verdict, r.Error.Message)
+	case r.Status/100 != 2:
+		return errors.Errorf("status %d: %s", r.Status, r.Body)
+	case r.Verdict != "ran":
+		return errors.Errorf("verdict %q of a successful response", r.Verdict)
 	}
 	return nil
 }
 
-// checkLines compares the version and request id of the engine's own lines, as
-// far as they carry them.
-func (a *Answer) checkLines() error {
-	for i, b := range a.Lines {
+// checkLines compares the version and the request id in the engine's lines, where
+// present, with those of the response.
+func (r *Response) checkLines() error {
+	for i, line := range r.Lines {
 		var l struct {
 			Version   string `json:"version"`
 			RequestID string `json:"request_id"`
 		}
-		if err := json.Unmarshal(b, &l); err != nil {
-			return errors.Wrapf(err, "line %d is not JSON: %q", i, b)
+		if err := json.Unmarshal(line, &l); err != nil {
+			return errors.Wrapf(err, "line %d is not JSON: %q", i, line)
 		}
-		if l.Version != "" && l.Version != a.Version {
-			return errors.Errorf("line %d comes from version %q, the answer from %q", i, l.Version, a.Version)
+		if l.Version != "" && l.Version != r.Version {
+			return errors.Errorf("line %d has version %q, the response %q", i, l.Version, r.Version)
 		}
-		if l.RequestID != "" && l.RequestID != a.RequestID {
-			return errors.Errorf("line %d answers request %q, the answer %q", i, l.RequestID, a.RequestID)
+		if l.RequestID != "" && l.RequestID != r.RequestID {
+			return errors.Errorf("line %d has request id %q, the response %q", i, l.RequestID, r.RequestID)
 		}
 	}
 	return nil
--- a/test/harness/small_test.go
+++ b/test/harness/caller_test.go
@@ -9,9 +9,10 @@
 	"testing"
 )
 
-// TestSendIsOneAttempt guards against a caller that repeats a keyed request by
-// itself after a lost connection, so that a history misses an attempt.
-func TestSendIsOneAttempt(t *testing.T) {
+// TestSendDoesNotRetry guards against an HTTP client that silently retries a
+// request with an idempotency key after a lost connection. The history of a test
+// would then miss an attempt.
+func TestSendDoesNotRetry(t *testing.T) {
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -26,6 +27,6 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Send(context.Background(), r); err == nil || calls.Load() != 2 {
-		t.Fatalf("error %v after %d requests, want one lost attempt", err, calls.Load())
+		t.Fatalf("error %v after %d requests, want an error after 2", err, calls.Load())
 	}
 }
--- a/test/harness/command.go
+++ b/test/harness/command.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// SmallSpreadTimeout bounds the time to all replicas of the small deployment.
+	// SmallSpreadTimeout bounds the time until all agents of SmallSpec serve a
+	// new version.
 	SmallSpreadTimeout = 20 * time.Second
-	// SmallStopTimeout bounds the graceful shutdown of its daemons.
+	// SmallStopTimeout bounds the graceful shutdown of the daemons of SmallSpec.
 	SmallStopTimeout = 10 * time.Second
 )
 
-// SmallCommand is the main function of a command that uses the small
-// deployment: it waits until all agents serve version 1, calls use with the id
-// of that version, stops the daemons and exits the process. The context ends
-// with Ctrl-C, SIGTERM, or the timeout if it is positive; the build of the
-// binaries is not part of the timeout.
-func SmallCommand(name string, timeout time.Duration, use func(ctx context.Context, d *Deployment, v1 string) error) {
+// SmallMain is the main function of a command that runs the deployment of
+// SmallSpec. It waits until all agents serve version 1, calls use with the
+// digest of that version, stops the daemons and exits the process. The context
+// is canceled by Ctrl-C, by SIGTERM, and after the timeout if it is positive.
+// The timeout does not include the build of the binaries.
+func SmallMain(name string, timeout time.Duration, use func(ctx context.Context, d *Deployment, v1 string) error) {
 	code := 0
 	if err := runSmall(timeout, use); err != nil {
 		fmt.Fprintln(os.Stderr, name+":", err)
--- a/test/harness/deployment.go
+++ b/test/harness/deployment.go
@@ -14,32 +14,33 @@
 	"github.com/masticwing/masticwing/internal/standin/relay"
 )
 
-// startTimeout bounds the start of one process. It covers a machine on which
-// the tests of several packages run at once.
+// startTimeout bounds the start of one process. It allows for a machine that
+// runs the tests of several packages in parallel.
 const startTimeout = 20 * time.Second
 
-// Deployment is a running system.
+// Deployment is a running system: entries, agents, and the stand-ins for
+// everything around them.
 type Deployment struct {
 	*Harness
 	Spec    Spec
 	Entries []*Node
 	Agents  []*Node
-	// Platform, Origin and Relay are stand-ins; Relay is nil without relayed
-	// links.
-	Platform, Origin, Relay           *Process
-	PlatformAddr, OriginAddr, RelayAt string
-	// Started is when the daemons were started first.
+	// Platform, Origin and Relay are stand-in processes. Relay is nil if no
+	// link is relayed.
+	Platform, Origin, Relay             *Process
+	PlatformAddr, OriginAddr, RelayAddr string
+	// Started is the time of the first start of the daemons.
 	Started time.Time
 
-	relayed map[string]string // address at the relay by route name
-	shared  map[string]string // address of a shared stand-in by service
+	relayAddrs  map[string]string // listening address at the relay, by route name
+	sharedAddrs map[string]string // address of a shared stand-in, by service
 }
 
-// Deploy starts the stand-ins, applies the declaration, starts the daemons and
-// waits until all of them are ready.
+// Deploy starts the stand-ins, applies the declaration, starts the daemons, and
+// waits until all daemons are ready.
 func Deploy(ctx context.Context, h *Harness, s Spec) (*Deployment, error) {
-	d := &Deployment{Harness: h, Spec: s, relayed: map[string]string{}, shared: map[string]string{}}
-	d.layOut()
+	d := &Deployment{Harness: h, Spec: s, relayAddrs: map[string]string{}, sharedAddrs: map[string]string{}}
+	d.assignAddresses()
 	if err := d.startStandins(ctx); err != nil {
 		return d, err
 	}
@@ -49,7 +50,7 @@
 		if err != nil {
 			return d, err
 		}
-		text = s.Declare(map[string]string{"v1": v}, "v1")
+		text = s.RenderDeclaration(map[string]string{"v1": v}, "v1")
 	}
 	if err := d.Apply(ctx, text); err != nil {
 		return d, err
@@ -57,24 +58,24 @@
 	return d, d.startNodes(ctx)
 }
 
-// layOut gives names and addresses to all nodes.
-func (d *Deployment) layOut() {
-	d.PlatformAddr, d.OriginAddr, d.RelayAt = d.Addr(), d.Addr(), d.Addr()
+// assignAddresses creates all nodes with their names and addresses.
+func (d *Deployment) assignAddresses() {
+	d.PlatformAddr, d.OriginAddr, d.RelayAddr = d.FreeAddr(), d.FreeAddr(), d.FreeAddr()
 	for _, dom := range d.Spec.Domains {
 		for i := range dom.Entries {
-			n := d.node(dom, fmt.Sprintf("%s-e%d", dom.Name, i+1))
-			n.IsEntry, n.listen = true, d.Addr()
-			n.HTTP = d.through(n, LinkCaller, n.listen)
+			n := d.newNode(dom, fmt.Sprintf("%s-e%d", dom.Name, i+1))
+			n.IsEntry, n.listen = true, d.FreeAddr()
+			n.HTTP = d.linkAddr(n, LinkCaller, n.listen)
 			d.Entries = append(d.Entries, n)
 		}
 		for i := range dom.Engines {
-			n := d.node(dom, fmt.Sprintf("%s-w%d", dom.Name, i+1))
-			n.TargetAddr = d.Addr()
+			n := d.newNode(dom, fmt.Sprintf("%s-w%d", dom.Name, i+1))
+			n.TargetAddr = d.FreeAddr()
 			d.Agents = append(d.Agents, n)
 		}
 		for _, name := range d.Spec.serviceNames() {
 			for i := range dom.Services[name] {
-				n := d.node(dom, fmt.Sprintf("%s-%s%d", dom.Name, name, i+1))
+				n := d.newNode(dom, fmt.Sprintf("%s-%s%d", dom.Name, name, i+1))
 				n.Service, n.TargetAddr = name, d.serviceAddr(name)
 				d.Agents = append(d.Agents, n)
 			}
@@ -82,32 +83,34 @@
 	}
 }
 
-// serviceAddr returns the address of the next stand-in of a service.
+// serviceAddr returns the address for the next stand-in of a service: a new one
+// or, with ShareTargets, the same one each time.
 func (d *Deployment) serviceAddr(name string) string {
 	if !d.Spec.ShareTargets {
-		return d.Addr()
+		return d.FreeAddr()
 	}
-	if d.shared[name] == "" {
-		d.shared[name] = d.Addr()
+	if d.sharedAddrs[name] == "" {
+		d.sharedAddrs[name] = d.FreeAddr()
 	}
-	return d.shared[name]
+	return d.sharedAddrs[name]
 }
 
-func (d *Deployment) node(dom DomainSpec, name string) *Node {
+func (d *Deployment) newNode(dom DomainSpec, name string) *Node {
 	return &Node{
-		Name: name, Domain: dom.Name, Region: dom.Region, Source: d.sourceIP(dom.Name), Admin: d.Addr(), RPC: d.Addr(),
+		Name: name, Domain: dom.Name, Region: dom.Region, Source: d.sourceIP(dom.Name), Admin: d.FreeAddr(), RPC: d.FreeAddr(),
 	}
 }
 
-// sourceIP returns the loopback address that the connections of a failure
-// domain's nodes leave from.
+// sourceIP returns the source IP of outgoing connections from the nodes of a
+// failure domain.
 func (d *Deployment) sourceIP(domain string) string {
-	i := slices.IndexFunc(d.Spec.Domains, func(s DomainSpec) bool { return s.Name == domain })
-	return strings.TrimSuffix(d.host, "1") + strconv.Itoa(i+2)
+	index := slices.IndexFunc(d.Spec.Domains, func(s DomainSpec) bool { return s.Name == domain })
+	return strings.TrimSuffix(d.host, "1") + strconv.Itoa(index+2)
 }
 
-// CutDomain cuts a failure domain off from the platform, the origin and the
-// processes of the others, as far as these links are relayed, or heals it.
+// CutDomain partitions a failure domain from the platform, the origin and the
+// processes of other domains, or ends the partition if cut is false. Links that
+// are not relayed are unaffected.
 func (d *Deployment) CutDomain(ctx context.Context, domain string, cut bool) error {
 	for _, n := range d.Nodes() {
 		inside := n.Domain == domain
@@ -119,15 +122,16 @@
 				return err
 			}
 		}
-		if err := d.SetLinkFaults(ctx, LinkRPC, relay.Faults{CutFrom: d.across(inside, domain, cut)}, n); err != nil {
+		if err := d.SetLinkFaults(ctx, LinkRPC, relay.Faults{CutFrom: d.otherSideIPs(inside, domain, cut)}, n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// across returns the addresses on the other side of a cut.
-func (d *Deployment) across(inside bool, domain string, cut bool) (ips []string) {
+// otherSideIPs returns the source IPs on the other side of the partition of a
+// domain, or none if cut is false.
+func (d *Deployment) otherSideIPs(inside bool, domain string, cut bool) (ips []string) {
 	for _, dom := range d.Spec.Domains {
 		if cut && inside != (dom.Name == domain) {
 			ips = append(ips, d.sourceIP(dom.Name))
@@ -148,8 +152,8 @@
 	if d.Origin, err = d.StartStandin(ctx, "origin", "standin-origin", d.OriginAddr, args...); err != nil {
 		return err
 	}
-	if len(d.Spec.Relays) > 0 {
-		if d.Relay, err = d.StartStandin(ctx, "relay", "standin-relay", d.RelayAt); err != nil {
+	if len(d.Spec.RelayedLinks) > 0 {
+		if d.Relay, err = d.StartStandin(ctx, "relay", "standin-relay", d.RelayAddr); err != nil {
 			return err
 		}
 	}
@@ -170,17 +174,18 @@
 	return p.Wait()
 }
 
-// StartStandin starts a stand-in and waits until it answers.
+// StartStandin starts a stand-in that listens on addr and waits until it
+// responds.
 func (h *Harness) StartStandin(ctx context.Context, name, binary, addr string, args ...string) (*Process, error) {
 	p, err := h.Start(name, binary, append([]string{"--listen", addr}, args...)...)
 	if err != nil {
 		return nil, err
 	}
-	return p, WaitCounts(ctx, startTimeout, p, addr)
+	return p, WaitStandin(ctx, startTimeout, p, addr)
 }
 
-// StartTarget starts the engine or service stand-in of an agent, also after it
-// has ended.
+// StartTarget starts, or restarts after its exit, the engine or service
+// stand-in of an agent.
 func (d *Deployment) StartTarget(ctx context.Context, n *Node) (err error) {
 	if n.Service != "" {
 		n.Target, err = d.StartStandin(ctx, n.Name+" service", "standin-service", n.TargetAddr)
@@ -190,9 +195,9 @@
 	return err
 }
 
-// startEngines starts all engines in one process.
+// startEngines starts one process that hosts the engines of all agents.
 func (d *Deployment) startEngines(ctx context.Context) error {
-	engines := d.Engines()
+	engines := d.EngineAgents()
 	if len(engines) == 0 {
 		return nil
 	}
@@ -237,7 +242,7 @@
 func (d *Deployment) startNodes(ctx context.Context) error {
 	nodes := d.Nodes()
 	for _, n := range nodes {
-		if err := d.prepare(ctx, n); err != nil {
+		if err := d.configureNode(ctx, n); err != nil {
 			return err
 		}
 	}
@@ -249,12 +254,13 @@
 	return p.Wait()
 }
 
-// Nodes returns the entries and the agents.
+// Nodes returns all entries followed by all agents.
 func (d *Deployment) Nodes() []*Node { return append(append([]*Node(nil), d.Entries...), d.Agents...) }
 
-// prepare writes the settings of a node and opens its routes at the relay.
-func (d *Deployment) prepare(ctx context.Context, n *Node) (err error) {
-	if n.settings, err = d.WriteFile(n.Name+".ini", d.settingsOf(n)); err != nil {
+// configureNode writes the settings file of a node and adds its routes to the
+// relay.
+func (d *Deployment) configureNode(ctx context.Context, n *Node) (err error) {
+	if n.settings, err = d.WriteFile(n.Name+".ini", d.settingsText(n)); err != nil {
 		return err
 	}
 	targets := map[Link]string{LinkPlatform: d.PlatformAddr, LinkRPC: n.RPC}
@@ -267,38 +273,38 @@
 		if !d.Spec.relayed(l) {
 			continue
 		}
-		in := map[string]string{"listen": d.through(n, l, target), "target": target}
-		url := "http://" + d.RelayAt + "/routes/" + Route(n, l)
-		if err := CallJSON(ctx, "PUT", url, in, nil); err != nil {
+		body := map[string]string{"listen": d.linkAddr(n, l, target), "target": target}
+		url := "http://" + d.RelayAddr + "/routes/" + RouteName(n, l)
+		if err := CallJSON(ctx, "PUT", url, body, nil); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// StartNode starts the daemon of a node, also after it has ended, and waits
+// StartNode starts, or restarts after its exit, the daemon of a node and waits
 // until it is ready.
 func (d *Deployment) StartNode(ctx context.Context, n *Node) error {
-	if err := d.RunNode(n); err != nil {
+	if err := d.SpawnNode(n); err != nil {
 		return err
 	}
 	return WaitReady(ctx, startTimeout, n.Proc, n.Admin)
 }
 
-// Succeed starts a second agent for the VM of n, with addresses of its own and
-// the same target, while the first one may still exist.
-func (d *Deployment) Succeed(ctx context.Context, n *Node) (*Node, error) {
+// StartSuccessor starts a second agent for the VM of n, with its own addresses
+// and the same target. The first agent may still be running.
+func (d *Deployment) StartSuccessor(ctx context.Context, n *Node) (*Node, error) {
 	next := *n
 	next.Name, next.VM = n.Name+"-next", n.Name
-	next.Admin, next.RPC = d.Addr(), d.Addr()
-	if err := d.prepare(ctx, &next); err != nil {
+	next.Admin, next.RPC = d.FreeAddr(), d.FreeAddr()
+	if err := d.configureNode(ctx, &next); err != nil {
 		return nil, err
 	}
 	return &next, d.StartNode(ctx, &next)
 }
 
-// RunNode starts the daemon of a node and does not wait.
-func (d *Deployment) RunNode(n *Node) (err error) {
+// SpawnNode starts the daemon of a node without waiting until it is ready.
+func (d *Deployment) SpawnNode(n *Node) (err error) {
 	binary := "masticwing-agent"
 	if n.IsEntry {
 		binary = "masticwing-entry"
@@ -307,37 +313,37 @@
 	return err
 }
 
-// Route is the name of a link's route at the relay.
-func Route(n *Node, l Link) string { return n.Name + "." + string(l) }
+// RouteName returns the relay's name for the route of a node's link.
+func RouteName(n *Node, l Link) string { return n.Name + "." + string(l) }
 
-// through returns the address at which a link is reached: the relay's if the
-// link is relayed, otherwise the target's own.
-func (d *Deployment) through(n *Node, l Link, target string) string {
+// linkAddr returns the address to connect to for a link: an address of the
+// relay if the link is relayed, otherwise target itself.
+func (d *Deployment) linkAddr(n *Node, l Link, target string) string {
 	if !d.Spec.relayed(l) {
 		return target
 	}
-	name := Route(n, l)
-	if d.relayed[name] == "" {
-		d.relayed[name] = d.Addr()
+	name := RouteName(n, l)
+	if d.relayAddrs[name] == "" {
+		d.relayAddrs[name] = d.FreeAddr()
 	}
-	return d.relayed[name]
+	return d.relayAddrs[name]
 }
 
-// SetLinkFaults replaces the faults of one link of each node given.
+// SetLinkFaults replaces the faults of one link for each of the nodes.
 func (d *Deployment) SetLinkFaults(ctx context.Context, l Link, f relay.Faults, nodes ...*Node) error {
 	if !d.Spec.relayed(l) {
-		return errors.Errorf("link %s does not lead through the relay", l)
+		return errors.Errorf("link %s is not relayed", l)
 	}
 	for _, n := range nodes {
-		if err := CallJSON(ctx, "POST", "http://"+d.RelayAt+"/faults/"+Route(n, l), f, nil); err != nil {
+		if err := CallJSON(ctx, "POST", "http://"+d.RelayAddr+"/faults/"+RouteName(n, l), f, nil); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// InDomain returns the nodes of a failure domain.
-func (d *Deployment) InDomain(name string) []*Node {
+// NodesInDomain returns the entries and agents of a failure domain.
+func (d *Deployment) NodesInDomain(name string) []*Node {
 	var out []*Node
 	for _, n := range d.Nodes() {
 		if n.Domain == name {
--- a/test/harness/harness.go
+++ b/test/harness/harness.go
@@ -1,9 +1,9 @@
-// Package harness starts the processes of a deployment for tests, benches and
-// the demo. Product processes never start other processes; this package does.
+// Package harness starts the processes of a deployment for tests, benchmarks
+// and the demo. Product binaries never start other processes.
 //
-// Everything that a Harness starts ends with it: Close kills by process id,
-// and the kernel kills the children if the test process itself dies, since
-// they are started with a parent-death signal.
+// No process outlives its Harness: Close kills each one by process id, and the
+// children have a parent-death signal, so the kernel kills them if the test
+// process itself dies.
 package harness
 
 import (
@@ -20,7 +20,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Harness owns the processes, addresses and files of one test.
+// Harness owns the processes, loopback addresses and temporary files of one
+// test.
 type Harness struct {
 	dir  string
 	host string
@@ -35,11 +36,12 @@
 	closed   bool
 }
 
-// firstPort is below the kernel's range for outgoing connections, so that a
-// port given out here is not taken by one of those before its process starts.
+// firstPort is below the kernel's ephemeral port range, so that an outgoing
+// connection cannot take a port between its allocation and the start of the
+// process that listens on it.
 const firstPort = 20000
 
-// New returns a harness whose messages go to logf.
+// New returns a harness that writes its messages to logf.
 func New(logf func(format string, args ...any)) (*Harness, error) {
 	dir, err := os.MkdirTemp("", "masticwing-harness-")
 	if err != nil {
@@ -47,8 +49,8 @@
 	}
 	h := &Harness{
 		dir: dir,
-		// Each harness has a loopback address of its own, so that tests of
-		// several packages that run at once do not race for ports.
+		// Each harness uses its own loopback address, so that test packages
+		// that run in parallel do not compete for ports.
 		host:     fmt.Sprintf("127.%d.%d.1", 1+rand.IntN(254), rand.IntN(256)),
 		logf:     logf,
 		spawn:    make(chan func()),
@@ -58,8 +60,8 @@
 	return h, nil
 }
 
-// ForTest returns a harness that ends with the test. If the test fails, the
-// last output of each process is logged.
+// ForTest returns a harness that is closed at the end of the test. If the test
+// fails, the last output of each process is logged.
 func ForTest(t testing.TB) *Harness {
 	t.Helper()
 	h, err := New(t.Logf)
@@ -75,18 +77,18 @@
 	return h
 }
 
-// spawnLoop starts all processes from one thread. The parent-death signal of a
-// child is sent when the thread that started it ends, so that thread has to
-// live as long as the harness.
+// spawnLoop starts all processes from one OS thread. The kernel sends the
+// parent-death signal when the thread that started the child exits, so this
+// thread must live as long as the harness.
 func (h *Harness) spawnLoop() {
 	runtime.LockOSThread()
-	for f := range h.spawn {
-		f()
+	for start := range h.spawn {
+		start()
 	}
 }
 
-// Addr returns a loopback address that nothing listens on.
-func (h *Harness) Addr() string {
+// FreeAddr returns a loopback address and port on which nothing listens.
+func (h *Harness) FreeAddr() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for {
@@ -101,10 +103,10 @@
 	}
 }
 
-// WriteFile writes a file into the harness directory and returns its path.
+// WriteFile writes a file to the harness directory and returns its path.
 func (h *Harness) WriteFile(name, text string) (string, error) {
-	p := filepath.Join(h.dir, name)
-	return p, errors.Wrap(os.WriteFile(p, []byte(text), 0o600), "writing a file of the harness")
+	path := filepath.Join(h.dir, name)
+	return path, errors.Wrap(os.WriteFile(path, []byte(text), 0o600), "writing a file to the harness directory")
 }
 
 // DumpOutput logs the last output of each process.
@@ -126,13 +128,13 @@
 	return append([]*Process(nil), h.procs...)
 }
 
-// Close kills every process that is still running and removes the files.
+// Close kills all running processes and removes the temporary files.
 func (h *Harness) Close() {
 	h.mu.Lock()
-	was := h.closed
+	wasClosed := h.closed
 	h.closed = true
 	h.mu.Unlock()
-	if was {
+	if wasClosed {
 		return
 	}
 	for _, p := range h.Processes() {
--- a/test/harness/harness_test.go
+++ b/test/harness/harness_test.go
@@ -26,7 +26,7 @@
 
 func startPlatform(t *testing.T, h *Harness) (*Process, string) {
 	t.Helper()
-	addr := h.Addr()
+	addr := h.FreeAddr()
 	p, err := h.StartStandin(t.Context(), "platform", "standin-platform", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -34,8 +34,8 @@
 	return p, addr
 }
 
-// TestSignals guards against a pause that does not stop a process, a stop that
-// does not wait, and a kill that leaves the process behind.
+// TestSignals guards against a Pause that leaves the process running, a Stop that
+// does not wait for the exit, and a Kill that leaves a paused process behind.
 func TestSignals(t *testing.T) {
 	h := ForTest(t)
 	p, addr := startPlatform(t, h)
@@ -44,13 +44,13 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	if _, err := Counts(ctx, addr); err == nil {
-		t.Error("a paused process answers")
+	if _, err := GetCounts(ctx, addr); err == nil {
+		t.Error("a paused process responds")
 	}
 	if err := p.Resume(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Counts(t.Context(), addr); err != nil {
+	if _, err := GetCounts(t.Context(), addr); err != nil {
 		t.Errorf("a resumed process: %v", err)
 	}
 	if code, err := p.Stop(5 * time.Second); code != 0 || err != nil {
@@ -65,37 +65,37 @@
 	}
 }
 
-// TestWaitNamesEarlyExit guards against a wait that runs into its deadline
-// when the process has already ended, and against lost output.
-func TestWaitNamesEarlyExit(t *testing.T) {
+// TestWaitReportsEarlyExit guards against a wait that runs until its timeout
+// although the process has already exited, and against lost process output.
+func TestWaitReportsEarlyExit(t *testing.T) {
 	h := ForTest(t)
 	start := time.Now()
 	_, err := h.StartStandin(t.Context(), "platform", "standin-platform", "127.0.0.1:none")
-	if err == nil || !strings.Contains(err.Error(), "ended with code 1") || time.Since(start) > startTimeout/2 {
+	if err == nil || !strings.Contains(err.Error(), "exited with code 1") || time.Since(start) > startTimeout/2 {
 		t.Errorf("after %v: %v", time.Since(start), err)
 	}
 }
 
 const panicEnv = "HARNESS_TEST_PANIC"
 
-// panicAfterStart starts a process and panics. TestPanicKills runs it in a
-// child process.
+// panicAfterStart starts a process and panics. TestPanicKillsProcesses runs it
+// in a child process.
 func panicAfterStart() {
 	h, err := New(log.Printf)
 	if err != nil {
 		log.Fatal(err)
 	}
-	addr := h.Addr()
+	addr := h.FreeAddr()
 	if _, err := h.StartStandin(context.Background(), "platform", "standin-platform", addr); err != nil {
 		log.Fatal(err)
 	}
 	fmt.Println("ADDR " + addr)
-	panic("as the test wants")
+	panic("expected by the test")
 }
 
-// TestPanicKills guards against processes that outlive a test that panics
-// before it could close its harness.
-func TestPanicKills(t *testing.T) {
+// TestPanicKillsProcesses guards against processes that outlive a test that
+// panics before it closes its harness.
+func TestPanicKillsProcesses(t *testing.T) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), panicEnv+"=1", "TMPDIR="+t.TempDir())
 	out, err := cmd.CombinedOutput()
@@ -104,8 +104,8 @@
 		t.Fatalf("the child did not panic: %v\n%s", err, out)
 	}
 	addr, _, _ := strings.Cut(rest, "\n")
-	err = WaitFor(t.Context(), 5*time.Second, "the platform to end", func() error {
-		if _, err := Counts(t.Context(), addr); err == nil {
+	err = WaitFor(t.Context(), 5*time.Second, "the platform to exit", func() error {
+		if _, err := GetCounts(t.Context(), addr); err == nil {
 			return http.ErrServerClosed
 		}
 		return nil
@@ -115,43 +115,43 @@
 	}
 }
 
-// TestRelayRoutes guards against settings that bypass a relayed link and
-// against faults that hit another route.
+// TestRelayRoutes guards against node settings that bypass a relayed link and
+// against faults that affect another route.
 func TestRelayRoutes(t *testing.T) {
 	h, ctx := ForTest(t), t.Context()
-	d := &Deployment{Harness: h, relayed: map[string]string{}, Spec: Spec{
-		Domains: []DomainSpec{{Name: "a", Region: "r1", Entries: 1, Engines: 1}}, Relays: []Link{LinkPlatform},
+	d := &Deployment{Harness: h, relayAddrs: map[string]string{}, Spec: Spec{
+		Domains: []DomainSpec{{Name: "a", Region: "r1", Entries: 1, Engines: 1}}, RelayedLinks: []Link{LinkPlatform},
 	}}
-	d.layOut()
+	d.assignAddresses()
 	_, d.PlatformAddr = startPlatform(t, h)
 	var err error
-	if d.Relay, err = h.StartStandin(ctx, "relay", "standin-relay", d.RelayAt); err != nil {
+	if d.Relay, err = h.StartStandin(ctx, "relay", "standin-relay", d.RelayAddr); err != nil {
 		t.Fatal(err)
 	}
 	addrs := map[string]string{}
 	for _, n := range d.Nodes() {
-		if err := d.prepare(ctx, n); err != nil {
+		if err := d.configureNode(ctx, n); err != nil {
 			t.Fatal(err)
 		}
-		addrs[n.Name] = d.through(n, LinkPlatform, d.PlatformAddr)
-		if s := d.settingsOf(n); strings.Contains(s, d.PlatformAddr) || !strings.Contains(s, addrs[n.Name]) {
+		addrs[n.Name] = d.linkAddr(n, LinkPlatform, d.PlatformAddr)
+		if s := d.settingsText(n); strings.Contains(s, d.PlatformAddr) || !strings.Contains(s, addrs[n.Name]) {
 			t.Errorf("settings of %s bypass the relay:\n%s", n.Name, s)
 		}
 	}
 	if err := d.SetLinkFaults(ctx, LinkPlatform, relay.Faults{Cut: true}, d.Entries...); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Counts(ctx, addrs["a-e1"]); err == nil {
-		t.Error("the cut route answers")
+	if _, err := GetCounts(ctx, addrs["a-e1"]); err == nil {
+		t.Error("the cut route responds")
 	}
-	if _, err := Counts(ctx, addrs["a-w1"]); err != nil {
+	if _, err := GetCounts(ctx, addrs["a-w1"]); err != nil {
 		t.Errorf("the other route: %v", err)
 	}
 }
 
-// TestCheckWhole guards against a check that takes a broken or crossed answer
-// for a whole one.
-func TestCheckWhole(t *testing.T) {
+// TestCheckComplete guards against a check that accepts an incomplete response or
+// one that mixes requests or versions.
+func TestCheckComplete(t *testing.T) {
 	const line, end = `{"request_id":"q","version":"v"}`, `{"end":{"verdict":"ran","version":"v","frames":1,"request_id":"q"}}`
 	for body, ok := range map[string]bool{
 		line + "\n" + end + "\n": true,
@@ -177,7 +177,7 @@
 		}))
 		a, err := NewCaller(srv.Listener.Addr().String()).Send(t.Context(), Request{Path: GeneratePath("g")})
 		if err == nil {
-			err = a.CheckWhole()
+			err = a.CheckComplete()
 		}
 		if (err == nil) != ok {
 			t.Errorf("%q: %v", body, err)
--- a/test/harness/node.go
+++ b/test/harness/node.go
@@ -8,31 +8,34 @@
 	"strings"
 )
 
-// Node is one entry or agent of a deployment with the stand-in beside it.
+// Node is an entry, or an agent together with the stand-in for its target.
 type Node struct {
 	Name, Domain, Region string
-	// VM is the id in the settings if it is not the name.
+	// VM is the node id in the settings if it differs from Name.
 	VM string
-	// Service is the name of the plain service beside an agent, or empty.
+	// Service is the name of the plain service that an agent runs beside. It is
+	// empty for entries and for agents with a model engine.
 	Service string
-	// IsEntry tells entries from agents.
+	// IsEntry is true for an entry and false for an agent.
 	IsEntry bool
-	// Admin, RPC and HTTP are the addresses in the settings. HTTP is set for
-	// entries and leads through the relay if LinkCaller does.
+	// Admin and RPC are the addresses in the settings. HTTP is the address for
+	// callers of an entry; it is an address of the relay if LinkCaller is
+	// relayed.
 	Admin, RPC, HTTP string
-	// Source is the IP that the daemon's connections to others leave from. It is
-	// the same for the nodes of a failure domain.
+	// Source is the source IP of the daemon's outgoing connections. All nodes
+	// of a failure domain have the same one.
 	Source string
 	// TargetAddr is the address of the engine or service stand-in.
 	TargetAddr string
-	// Proc and Target are the newest processes of the daemon and its stand-in.
+	// Proc and Target are the processes of the daemon and its stand-in that
+	// were started last.
 	Proc, Target *Process
 
-	settings string
-	listen   string
+	settings string // path of the settings file
+	listen   string // HTTP listening address of an entry
 }
 
-// sections is an INI file by section and key.
+// sections holds the values of an INI file by section and key.
 type sections map[string]map[string]string
 
 func (s sections) set(section, key, value string) {
@@ -45,10 +48,10 @@
 	s[section][key] = value
 }
 
-func (s sections) merge(more map[string]map[string]string) {
-	for sec, kv := range more {
-		for k, v := range kv {
-			s.set(sec, k, v)
+func (s sections) merge(other map[string]map[string]string) {
+	for section, values := range other {
+		for key, value := range values {
+			s.set(section, key, value)
 		}
 	}
 }
@@ -56,18 +59,19 @@
 // String returns the INI text.
 func (s sections) String() string {
 	var b strings.Builder
-	for _, sec := range slices.Sorted(maps.Keys(s)) {
-		fmt.Fprintf(&b, "[%s]\n", sec)
-		for _, k := range slices.Sorted(maps.Keys(s[sec])) {
-			fmt.Fprintf(&b, "%s = %s\n", k, s[sec][k])
+	for _, section := range slices.Sorted(maps.Keys(s)) {
+		fmt.Fprintf(&b, "[%s]\n", section)
+		for _, key := range slices.Sorted(maps.Keys(s[section])) {
+			fmt.Fprintf(&b, "%s = %s\n", key, s[section][key])
 		}
 		b.WriteString("\n")
 	}
 	return b.String()
 }
 
-// settingsOf returns the settings file of a node. The seeds are the entries.
-func (d *Deployment) settingsOf(n *Node) string {
+// settingsText returns the text of a node's settings file. All other entries
+// are its seeds.
+func (d *Deployment) settingsText(n *Node) string {
 	s := sections{}
 	s.set("node", "id", cmp.Or(n.VM, n.Name))
 	s.set("node", "admin", n.Admin)
@@ -76,19 +80,19 @@
 	s.set("node", "rpc", n.RPC)
 	if d.Spec.relayed(LinkRPC) {
 		s.set("node", "source", n.Source)
-		s.set("node", "advertise", d.through(n, LinkRPC, n.RPC))
+		s.set("node", "advertise", d.linkAddr(n, LinkRPC, n.RPC))
 	}
-	s.set("platform", "address", d.through(n, LinkPlatform, d.PlatformAddr))
+	s.set("platform", "address", d.linkAddr(n, LinkPlatform, d.PlatformAddr))
 	var seeds []string
 	for _, e := range d.Entries {
 		if e != n {
-			seeds = append(seeds, d.through(e, LinkRPC, e.RPC))
+			seeds = append(seeds, d.linkAddr(e, LinkRPC, e.RPC))
 		}
 	}
 	s.set("peers", "seeds", strings.Join(seeds, ", "))
 	if n.IsEntry {
 		s.set("http", "listen", n.listen)
-		s.merge(d.Spec.Entry)
+		s.merge(d.Spec.EntrySettings)
 		return s.String()
 	}
 	d.agentSettings(s, n)
@@ -101,9 +105,9 @@
 		pool, section = n.Service, "service"
 	}
 	s.set("node", "labels", "pool="+pool)
-	s.set(section, "address", d.through(n, LinkTarget, n.TargetAddr))
-	s.set("origin", "address", d.through(n, LinkOrigin, d.OriginAddr))
+	s.set(section, "address", d.linkAddr(n, LinkTarget, n.TargetAddr))
+	s.set("origin", "address", d.linkAddr(n, LinkOrigin, d.OriginAddr))
 	s.set("link", "in_rate", d.Spec.LinkRate)
 	s.set("link", "out_rate", d.Spec.LinkRate)
-	s.merge(d.Spec.Agent)
+	s.merge(d.Spec.AgentSettings)
 }
--- a/test/harness/operate.go
+++ b/test/harness/operate.go
@@ -11,7 +11,7 @@
 // ctlTimeout bounds one run of masticwingctl.
 const ctlTimeout = 15 * time.Second
 
-// Ctl runs masticwingctl and returns its output and exit code.
+// Ctl runs masticwingctl with args and returns its output and exit code.
 func (h *Harness) Ctl(ctx context.Context, args ...string) (string, int, error) {
 	p, err := h.Start("masticwingctl "+args[0], "masticwingctl", args...)
 	if err != nil {
@@ -24,13 +24,13 @@
 		return p.Output(), p.ExitCode(), nil
 	case <-ctx.Done():
 		_ = p.Kill()
-		return p.Output(), -1, errors.Errorf("%s did not end within %v", p.Name, ctlTimeout)
+		return p.Output(), -1, errors.Errorf("%s did not exit within %v", p.Name, ctlTimeout)
 	}
 }
 
-// ctl runs masticwingctl against the platform and returns an error unless the
-// exit code is 0.
-func (d *Deployment) ctl(ctx context.Context, command string, args ...string) error {
+// ctlOnPlatform runs a masticwingctl command with the platform's address and
+// returns an error unless the exit code is 0.
+func (d *Deployment) ctlOnPlatform(ctx context.Context, command string, args ...string) error {
 	out, code, err := d.Ctl(ctx, append([]string{command, "--platform", d.PlatformAddr}, args...)...)
 	if err != nil {
 		return err
@@ -41,47 +41,48 @@
 	return nil
 }
 
-// Apply declares text.
+// Apply applies text as the declaration in force.
 func (d *Deployment) Apply(ctx context.Context, text string) error {
 	file, err := d.WriteFile("declaration.ini", text)
 	if err != nil {
 		return err
 	}
-	return d.ctl(ctx, "apply", file)
+	return d.ctlOnPlatform(ctx, "apply", file)
 }
 
 // Cordon takes a failure domain out of service.
 func (d *Deployment) Cordon(ctx context.Context, domain string) error {
-	return d.ctl(ctx, "cordon", "domain", domain)
+	return d.ctlOnPlatform(ctx, "cordon", "domain", domain)
 }
 
 // Uncordon returns a failure domain to service.
 func (d *Deployment) Uncordon(ctx context.Context, domain string) error {
-	return d.ctl(ctx, "uncordon", "domain", domain)
+	return d.ctlOnPlatform(ctx, "uncordon", "domain", domain)
 }
 
-// Publish makes the origin offer the version of the spec's model that the seed
-// generates, and returns its digest. The origin may offer it already.
+// Publish makes the origin offer the version of the spec's model that is
+// generated from the seed, and returns its digest. Publishing a version again
+// has no effect.
 func (d *Deployment) Publish(ctx context.Context, seed int) (string, error) {
 	o := d.Spec.Origin
-	in := map[string]any{"model": o.Model, "size": o.Size, "chunk": o.Chunk, "seed": seed}
-	var out struct{ Version string }
-	if err := CallJSON(ctx, http.MethodPost, "http://"+d.OriginAddr+"/versions", in, &out); err != nil {
+	body := map[string]any{"model": o.Model, "size": o.Size, "chunk": o.Chunk, "seed": seed}
+	var resp struct{ Version string }
+	if err := CallJSON(ctx, http.MethodPost, "http://"+d.OriginAddr+"/versions", body, &resp); err != nil {
 		return "", err
 	}
-	if out.Version == "" {
-		return "", errors.New("the origin named no version")
+	if resp.Version == "" {
+		return "", errors.New("the origin's response has no version")
 	}
-	return out.Version, nil
+	return resp.Version, nil
 }
 
-// OriginBytes returns the bytes that the origin has sent.
+// OriginBytes returns the number of bytes that the origin has sent.
 func (d *Deployment) OriginBytes(ctx context.Context) (int64, error) {
-	var c struct{ Bytes map[string]int64 }
-	if err := CallJSON(ctx, http.MethodGet, "http://"+d.OriginAddr+"/counts", nil, &c); err != nil {
+	var counts struct{ Bytes map[string]int64 }
+	if err := CallJSON(ctx, http.MethodGet, "http://"+d.OriginAddr+"/counts", nil, &counts); err != nil {
 		return 0, err
 	}
-	return c.Bytes["chunk"] + c.Bytes["manifest"], nil
+	return counts.Bytes["chunk"] + counts.Bytes["manifest"], nil
 }
 
 // AgentStatus is the part of an agent's /status that the harness reads.
@@ -93,14 +94,15 @@
 	Cordoned bool
 }
 
-// WaitAgents waits until ok returns true for the status of each agent given.
+// WaitAgents waits until ok returns true for the status of each of the agents.
+// what describes the condition in the error.
 func (d *Deployment) WaitAgents(
 	ctx context.Context, timeout time.Duration, what string, agents []*Node, ok func(AgentStatus) bool,
 ) error {
 	return WaitFor(ctx, timeout, what, func() error {
 		for _, n := range agents {
 			var s AgentStatus
-			if err := Status(ctx, n.Admin, &s); err != nil {
+			if err := GetStatus(ctx, n.Admin, &s); err != nil {
 				return errors.Wrap(err, n.Name)
 			}
 			if !ok(s) {
@@ -111,15 +113,15 @@
 	})
 }
 
-// WaitVersion waits until every agent with an engine serves the version.
+// WaitVersion waits until all agents with an engine serve the version.
 func (d *Deployment) WaitVersion(ctx context.Context, timeout time.Duration, version string) error {
-	return d.WaitAgents(ctx, timeout, "version "+version, d.Engines(), func(s AgentStatus) bool {
+	return d.WaitAgents(ctx, timeout, "version "+version, d.EngineAgents(), func(s AgentStatus) bool {
 		return s.Version == version
 	})
 }
 
-// Engines returns the agents with an engine.
-func (d *Deployment) Engines() []*Node {
+// EngineAgents returns the agents with an engine.
+func (d *Deployment) EngineAgents() []*Node {
 	var out []*Node
 	for _, n := range d.Agents {
 		if n.Service == "" {
--- a/test/harness/process.go
+++ b/test/harness/process.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Process is a process that the harness started.
+// Process is a child process started by a Harness.
 type Process struct {
 	Name string
 	PID  int
@@ -23,7 +23,7 @@
 	code int // set before done is closed
 }
 
-// Start runs a binary of ./cmd. The name is used in messages.
+// Start starts a binary of ./cmd. The name identifies the process in messages.
 func (h *Harness) Start(name, binary string, args ...string) (*Process, error) {
 	path, err := Binary(binary)
 	if err != nil {
@@ -32,18 +32,19 @@
 	out := &outputBuffer{}
 	cmd := exec.Command(path, args...)
 	cmd.Stdout, cmd.Stderr = out, out
-	// A process group of its own keeps a Ctrl-C at the terminal from reaching
-	// the children directly.
+	// A separate process group keeps a Ctrl-C at the terminal from reaching the
+	// children directly.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	p := &Process{Name: name, cmd: cmd, out: out, done: make(chan struct{})}
-	if err := h.run(p); err != nil {
+	if err := h.startAndReap(p); err != nil {
 		return nil, errors.Wrapf(err, "starting %s", name)
 	}
 	return p, nil
 }
 
-// run starts p on the spawning thread and watches for its end.
-func (h *Harness) run(p *Process) error {
+// startAndReap starts p on the thread of spawnLoop and waits for its exit in the
+// background.
+func (h *Harness) startAndReap(p *Process) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.closed {
@@ -64,47 +65,47 @@
 	return nil
 }
 
-// Output returns the newest part of what the process wrote to its standard
-// output and standard error.
+// Output returns the most recent standard output and standard error of the
+// process, at most maxOutput bytes.
 func (p *Process) Output() string { return p.out.String() }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
 // ExitCode returns the exit code, or -1 if a signal ended the process. Call it
 // after Done is closed.
 func (p *Process) ExitCode() int { return p.code }
 
-// Pause stops the process with SIGSTOP and returns once all its threads have
-// stopped, which the kernel does some time after the signal was sent. The
-// process keeps its memory and connections.
+// Pause sends SIGSTOP and waits until all threads have stopped, which happens
+// some time after the signal is sent. The process keeps its memory and
+// connections.
 func (p *Process) Pause() error {
 	if err := p.signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	// WNOWAIT leaves the status to cmd.Wait.
+	// WNOWAIT leaves the wait status for cmd.Wait.
 	err := unix.Waitid(unix.P_PID, p.PID, nil, unix.WSTOPPED|unix.WNOWAIT, nil)
-	if err != nil && !errors.Is(err, syscall.ECHILD) { // ECHILD: it has ended
-		return errors.Wrapf(err, "waiting until %s has stopped", p.Name)
+	if err != nil && !errors.Is(err, syscall.ECHILD) { // ECHILD: the process has exited
+		return errors.Wrapf(err, "waiting for %s to pause", p.Name)
 	}
 	return nil
 }
 
-// Resume continues a paused process.
+// Resume continues a paused process with SIGCONT.
 func (p *Process) Resume() error { return p.signal(syscall.SIGCONT) }
 
-// Terminate sends SIGTERM and does not wait.
+// Terminate sends SIGTERM without waiting for the exit.
 func (p *Process) Terminate() error { return p.signal(syscall.SIGTERM) }
 
-// Kill sends SIGKILL and waits for the end.
+// Kill sends SIGKILL and waits for the exit.
 func (p *Process) Kill() error {
 	err := p.signal(syscall.SIGKILL)
 	<-p.done
 	return err
 }
 
-// Stop sends SIGTERM and returns the exit code. A process that is still there
-// after the timeout is killed, which is an error.
+// Stop sends SIGTERM, waits for the exit and returns the exit code. After the
+// timeout it kills the process and returns an error.
 func (p *Process) Stop(timeout time.Duration) (int, error) {
 	if err := p.Terminate(); err != nil {
 		return -1, err
@@ -116,12 +117,12 @@
 		return p.code, nil
 	case <-ctx.Done():
 		_ = p.Kill()
-		return -1, errors.Errorf("%s did not end within %v of SIGTERM", p.Name, timeout)
+		return -1, errors.Errorf("%s did not exit within %v of SIGTERM", p.Name, timeout)
 	}
 }
 
-// signal does nothing after the end of the process, so that its id, which the
-// kernel may give to another process, is not used again.
+// signal does nothing after the process has exited, because the kernel may
+// have reused its process id.
 func (p *Process) signal(s syscall.Signal) error {
 	select {
 	case <-p.done:
@@ -134,10 +135,10 @@
 	return nil
 }
 
-// maxOutput bounds the output kept of one process.
+// maxOutput bounds the output kept per process, in bytes.
 const maxOutput = 1 << 20
 
-// outputBuffer keeps the newest output.
+// outputBuffer keeps the most recent output of a process.
 type outputBuffer struct {
 	mu sync.Mutex
 	b  []byte
@@ -154,7 +155,7 @@
 	return len(p), nil
 }
 
-// String returns the output kept.
+// String returns the buffered output.
 func (o *outputBuffer) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/test/harness/small.go
+++ b/test/harness/small.go
@@ -7,10 +7,10 @@
 	"github.com/sourcegraph/conc/pool"
 )
 
-// Service is the plain service of SmallSpec.
+// Service is the name of the plain service in SmallSpec.
 const Service = "nursery"
 
-// SmallSpec is the deployment of the demo: two failure domains with an entry
+// SmallSpec returns the spec of the demo: two failure domains with one entry
 // each, three agents with engines, and one agent with a plain service.
 func SmallSpec() Spec {
 	return Spec{
@@ -32,7 +32,7 @@
 			p.Go(func() error {
 				code, err := n.Proc.Stop(timeout)
 				if err == nil && code != 0 {
-					err = errors.Errorf("%s ended with code %d", n.Name, code)
+					err = errors.Errorf("%s exited with code %d", n.Name, code)
 				}
 				return err
 			})
--- a/test/harness/wait.go
+++ b/test/harness/wait.go
@@ -8,11 +8,11 @@
 	"github.com/pkg/errors"
 )
 
-// pollInterval is the pause between two checks of a condition.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 20 * time.Millisecond
 
-// WaitFor checks cond until it returns nil. After the timeout it returns the
-// last error.
+// WaitFor polls cond until it returns nil. After the timeout it returns the last
+// error of cond. what describes the condition in that error.
 func WaitFor(ctx context.Context, timeout time.Duration, what string, cond func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -31,14 +31,16 @@
 	}
 }
 
-// WaitReady waits until the daemon's /readyz answers 200 or the process ends.
+// WaitReady waits until the daemon's /readyz returns 200. It returns an error if
+// the process exits first.
 func WaitReady(ctx context.Context, timeout time.Duration, p *Process, admin string) error {
 	return waitStatus(ctx, timeout, p, "http://"+admin+"/readyz", "to become ready")
 }
 
-// WaitCounts waits until a stand-in answers on its address.
-func WaitCounts(ctx context.Context, timeout time.Duration, p *Process, addr string) error {
-	return waitStatus(ctx, timeout, p, "http://"+addr+"/counts", "to answer")
+// WaitStandin waits until a stand-in responds to GET /counts. It returns an error
+// if the process exits first.
+func WaitStandin(ctx context.Context, timeout time.Duration, p *Process, addr string) error {
+	return waitStatus(ctx, timeout, p, "http://"+addr+"/counts", "to respond")
 }
 
 func waitStatus(ctx context.Context, timeout time.Duration, p *Process, url, what string) error {
@@ -47,12 +49,12 @@
 	return WaitFor(ctx, timeout, p.Name+" "+what, func() error {
 		select {
 		case <-p.Done():
-			err := errors.Errorf("%s ended with code %d: %s", p.Name, p.ExitCode(), p.Output())
+			err := errors.Errorf("%s exited with code %d: %s", p.Name, p.ExitCode(), p.Output())
 			cancel(err)
 			return err
 		default:
 		}
-		b, status, err := call(ctx, http.MethodGet, url, nil)
+		b, status, err := doRequest(ctx, http.MethodGet, url, nil)
 		if err != nil {
 			return err
 		}
--- a/test/proof/check_test.go
+++ b/test/proof/check_test.go
@@ -81,7 +81,7 @@
 	w.t.Helper()
 	time.Sleep(200 * time.Millisecond)
 	at := map[string]string{}
-	for _, n := range w.Engines() {
+	for _, n := range w.EngineAgents() {
 		var h []engine.Answered
 		if err := harness.CallJSON(w.t.Context(), http.MethodGet, "http://"+n.TargetAddr+"/history", nil, &h); err != nil {
 			w.t.Errorf("history of %s: %v", n.Name, err)
--- a/test/proof/cold_test.go
+++ b/test/proof/cold_test.go
@@ -20,7 +20,7 @@
 	w := deploy(t, nil)
 	w.startLoadOf(manyCallers)
 	w.sleep(time.Second)
-	for _, n := range w.Engines() {
+	for _, n := range w.EngineAgents() {
 		w.coldBoot(n)
 		w.sleep(2 * time.Second)
 	}
@@ -37,7 +37,7 @@
 	w := deploy(t, nil)
 	w.startLoadOf(manyCallers)
 	w.sleep(time.Second)
-	for _, n := range w.Engines() {
+	for _, n := range w.EngineAgents() {
 		w.note("engine of " + n.Name + " becomes cold")
 		w.must(harness.CallJSON(w.ctx, http.MethodPost, "http://"+n.TargetAddr+"/cold", nil, nil))
 		w.sleep(time.Second)
@@ -54,7 +54,7 @@
 	w.startLoadOf(manyCallers)
 	w.sleep(time.Second)
 	w.load.stop()
-	for _, n := range w.Engines() {
+	for _, n := range w.EngineAgents() {
 		w.must(harness.CallJSON(w.ctx, http.MethodPost, "http://"+n.TargetAddr+"/cold", nil, nil))
 	}
 	w.note("all engines are cold")
@@ -69,8 +69,8 @@
 // noOverload fails the test if an engine got more requests than it bears.
 func (w *world) noOverload() {
 	w.t.Helper()
-	for _, n := range w.Engines() {
-		c, err := harness.Counts(w.t.Context(), n.TargetAddr)
+	for _, n := range w.EngineAgents() {
+		c, err := harness.GetCounts(w.t.Context(), n.TargetAddr)
 		w.must(err)
 		w.t.Logf("%s: %v", n.Name, c)
 		if c["overload"] > 0 {
--- a/test/proof/cordon_test.go
+++ b/test/proof/cordon_test.go
@@ -18,7 +18,7 @@
 	w.t.Helper()
 	var n int64
 	for _, a := range append(w.agents(domain, true), w.agents(domain, false)...) {
-		c, err := harness.Counts(w.ctx, a.TargetAddr)
+		c, err := harness.GetCounts(w.ctx, a.TargetAddr)
 		w.must(err)
 		n += c["generate"] + c["log"]
 	}
@@ -81,7 +81,7 @@
 // cordoned failure domain because it cannot reach the platform: it has to learn
 // of the cordon from its peers.
 func TestCordonWhileEntryIsCutOff(t *testing.T) {
-	w := deploy(t, func(s *harness.Spec) { s.Relays = []harness.Link{harness.LinkPlatform} })
+	w := deploy(t, func(s *harness.Spec) { s.RelayedLinks = []harness.Link{harness.LinkPlatform} })
 	cut := w.Entries[1]
 	w.startLoad()
 	w.must(w.SetLinkFaults(w.ctx, harness.LinkPlatform, relay.Faults{Cut: true}, cut))
@@ -111,7 +111,7 @@
 // old revision after it is healed.
 func TestDomainCutOff(t *testing.T) {
 	w := deploy(t, func(s *harness.Spec) {
-		s.Relays = []harness.Link{harness.LinkPlatform, harness.LinkOrigin, harness.LinkRPC}
+		s.RelayedLinks = []harness.Link{harness.LinkPlatform, harness.LinkOrigin, harness.LinkRPC}
 	})
 	v1, inB := w.versions["v1"], func(r record) bool { return r.entry == "b-e1" && r.generate() }
 	v2 := w.publish("v2", 2)
@@ -122,14 +122,14 @@
 	w.must(w.CutDomain(w.ctx, "b", true))
 	w.note("b is cut off")
 	w.declare("v2")
-	w.waitRevision(configBound, old+1, w.InDomain("a")...)
+	w.waitRevision(configBound, old+1, w.NodesInDomain("a")...)
 	w.sleep(silentBound)
 	from := w.now()
 	w.sleep(cutOffFor)
 	to := w.now()
 	w.must(w.CutDomain(w.ctx, "b", false))
 	w.note("b is healed")
-	w.waitRevision(configBound, old+1, w.InDomain("b")...)
+	w.waitRevision(configBound, old+1, w.NodesInDomain("b")...)
 	w.note("the newest revision is in force in b")
 	w.must(w.WaitVersion(w.ctx, waitBound, v2))
 	w.finish()
--- a/test/proof/history_test.go
+++ b/test/proof/history_test.go
@@ -25,7 +25,7 @@
 	entry      string
 	req        harness.Request
 	began, end time.Duration
-	answer     harness.Answer
+	answer     harness.Response
 	err        error
 	outcome    string
 }
@@ -58,7 +58,7 @@
 
 // outcomeOf reads the verdict. A connection that ends without one means that
 // the request may have run, unless it could not be opened.
-func outcomeOf(a harness.Answer, err error) string {
+func outcomeOf(a harness.Response, err error) string {
 	var op *net.OpError
 	switch {
 	case err != nil && errors.As(err, &op) && op.Op == "dial":
@@ -78,9 +78,9 @@
 		return r.err
 	}
 	if r.generate() {
-		return r.answer.CheckWhole()
+		return r.answer.CheckComplete()
 	}
-	return r.answer.CheckCall()
+	return r.answer.CheckServiceCall()
 }
 
 func (r *record) generate() bool { return r.req.Path == harness.GeneratePath(harness.Group) }
@@ -157,7 +157,7 @@
 // revision returns the revision that a daemon reports.
 func (w *world) revision(n *harness.Node) (uint64, error) {
 	var s struct{ Revision uint64 }
-	err := harness.Status(w.ctx, n.Admin, &s)
+	err := harness.GetStatus(w.ctx, n.Admin, &s)
 	return s.Revision, err
 }
 
--- a/test/proof/memory_test.go
+++ b/test/proof/memory_test.go
@@ -26,8 +26,8 @@
 	w.t.Helper()
 	w.served(v1, v2)
 	w.allAnswered(func(r record) bool { return r.generate() })
-	for _, n := range w.Engines() {
-		c, err := harness.Counts(w.t.Context(), n.TargetAddr)
+	for _, n := range w.EngineAgents() {
+		c, err := harness.GetCounts(w.t.Context(), n.TargetAddr)
 		w.must(err)
 		w.t.Logf("%s: %v", n.Name, c)
 		if !refusals(c["out_of_memory"]) {
@@ -50,9 +50,9 @@
 	left, most := map[string]bool{}, 0
 	w.must(harness.WaitFor(w.ctx, waitBound, "v2 everywhere", func() error {
 		out, done := 0, 0
-		for _, n := range w.Engines() {
+		for _, n := range w.EngineAgents() {
 			var s harness.AgentStatus
-			if err := harness.Status(w.ctx, n.Admin, &s); err != nil {
+			if err := harness.GetStatus(w.ctx, n.Admin, &s); err != nil {
 				return err
 			}
 			if !s.Ready {
@@ -63,7 +63,7 @@
 				done++
 			}
 		}
-		if most = max(most, out); done < len(w.Engines()) {
+		if most = max(most, out); done < len(w.EngineAgents()) {
 			return errors.Errorf("%d machines are done, %d are out of rotation", done, out)
 		}
 		return nil
@@ -72,8 +72,8 @@
 	w.sleep(500 * time.Millisecond)
 	w.finish()
 	w.t.Logf("left rotation: %v, at most %d at a time", left, most)
-	if len(left) != len(w.Engines()) || most > len(w.Engines())/2 {
-		t.Errorf("%d of %d machines were seen out of rotation, %d at a time", len(left), len(w.Engines()), most)
+	if len(left) != len(w.EngineAgents()) || most > len(w.EngineAgents())/2 {
+		t.Errorf("%d of %d machines were seen out of rotation, %d at a time", len(left), len(w.EngineAgents()), most)
 	}
 	w.checkChange(v1, v2, func(n int64) bool { return n == 0 })
 }
@@ -88,7 +88,7 @@
 	v1, v2 := w.versions["v1"], w.publish("v2", 2)
 	w.declare("v2")
 	w.note("v2 is declared")
-	for _, n := range w.Engines() {
+	for _, n := range w.EngineAgents() {
 		w.must(harness.WaitFor(w.ctx, waitBound, "the reason at "+n.Name, func() error {
 			out, _, err := w.Ctl(w.ctx, "status", "--peer", w.Entries[0].RPC)
 			for line := range strings.Lines(out) {
--- a/test/proof/operator_test.go
+++ b/test/proof/operator_test.go
@@ -33,7 +33,7 @@
 // change of the same revision took effect, also when answers are lost.
 func TestOperatorsRace(t *testing.T) {
 	w := deploy(t, nil)
-	text := w.Spec.Declare(w.versions, "v1")
+	text := w.Spec.RenderDeclaration(w.versions, "v1")
 	for rev := uint64(1); rev <= 6; rev++ {
 		if rev > 3 {
 			w.faults(w.PlatformAddr, platform.Faults{LoseWriteAnswers: 0.5})
@@ -66,7 +66,7 @@
 func TestLostAnswerOfApply(t *testing.T) {
 	w := deploy(t, nil)
 	w.faults(w.PlatformAddr, platform.Faults{LoseWriteAnswers: 1})
-	text := w.Spec.Declare(w.versions, "v1")
+	text := w.Spec.RenderDeclaration(w.versions, "v1")
 	for rev := uint64(1); rev <= 3; rev++ {
 		out, code := w.applyAt(rev, "op", text)
 		if code != exitDone {
--- a/test/proof/order_test.go
+++ b/test/proof/order_test.go
@@ -25,7 +25,7 @@
 		for i := range s.Domains {
 			s.Domains[i].Engines = 1
 		}
-		s.Relays = []harness.Link{harness.LinkPlatform}
+		s.RelayedLinks = []harness.Link{harness.LinkPlatform}
 	})
 }
 
@@ -81,7 +81,7 @@
 			old := w.waitOrder(n, v2, 0, false)
 			w.must(n.Proc.Pause())
 			w.note(n.Name + " is stopped with an order half given")
-			next, err := w.Succeed(w.ctx, n)
+			next, err := w.StartSuccessor(w.ctx, n)
 			w.must(err)
 			w.note(next.Name + " is ready")
 			w.waitOrder(n, v2, old, true)
@@ -111,7 +111,7 @@
 	old := w.waitOrder(n, v2, 0, false)
 	w.must(w.SetLinkFaults(w.ctx, harness.LinkPlatform, relay.Faults{Cut: true}, n))
 	w.note(n.Name + " is cut off from the platform in the middle of an order")
-	next, err := w.Succeed(w.ctx, n)
+	next, err := w.StartSuccessor(w.ctx, n)
 	w.must(err)
 	w.note(next.Name + " is ready")
 	w.waitOrder(n, v2, old, true)
--- a/test/proof/proof_test.go
+++ b/test/proof/proof_test.go
@@ -115,13 +115,13 @@
 // declare puts a version in force.
 func (w *world) declare(name string) {
 	w.t.Helper()
-	w.must(w.Apply(w.ctx, w.Spec.Declare(w.versions, name)))
+	w.must(w.Apply(w.ctx, w.Spec.RenderDeclaration(w.versions, name)))
 }
 
 // agents returns the agents of a failure domain with or without an engine.
 func (w *world) agents(domain string, engine bool) []*harness.Node {
 	var out []*harness.Node
-	for _, n := range w.InDomain(domain) {
+	for _, n := range w.NodesInDomain(domain) {
 		if !n.IsEntry && (n.Service == "") == engine {
 			out = append(out, n)
 		}
@@ -143,7 +143,7 @@
 	w.t.Helper()
 	w.locks[n].Lock()
 	defer w.locks[n].Unlock()
-	w.must(w.RunNode(n))
+	w.must(w.SpawnNode(n))
 	w.revs.forget(n.Name)
 }
 
--- a/test/proof/restart_test.go
+++ b/test/proof/restart_test.go
@@ -110,7 +110,7 @@
 	// The start-up rule of the page waits 2 s for the platform.
 	w.sleep(2*time.Second + time.Second)
 	for _, n := range w.Nodes() {
-		status, text, err := harness.Readyz(w.ctx, n.Admin)
+		status, text, err := harness.GetReadyz(w.ctx, n.Admin)
 		w.must(err)
 		w.t.Logf("%s: %d %s", n.Name, status, strings.TrimSpace(text))
 		if status != http.StatusServiceUnavailable || !strings.Contains(text, "platform") {
--- a/test/proof/silent_test.go
+++ b/test/proof/silent_test.go
@@ -23,8 +23,8 @@
 func (w *world) connections(l harness.Link, n *harness.Node) int64 {
 	w.t.Helper()
 	var counts map[string]relay.Counts
-	w.must(harness.CallJSON(w.ctx, http.MethodGet, "http://"+w.RelayAt+"/counts", nil, &counts))
-	return counts[harness.Route(n, l)].Connections
+	w.must(harness.CallJSON(w.ctx, http.MethodGet, "http://"+w.RelayAddr+"/counts", nil, &counts))
+	return counts[harness.RouteName(n, l)].Connections
 }
 
 // keyedCall returns a new call that may run at most once.
@@ -41,7 +41,7 @@
 // The call is keyed, so that no other agent answers it in between.
 func TestSilentAgent(t *testing.T) {
 	w := deploy(t, func(s *harness.Spec) {
-		s.Relays = []harness.Link{harness.LinkRPC}
+		s.RelayedLinks = []harness.Link{harness.LinkRPC}
 		s.Domains[1].Services = nil
 	})
 	agent, entry := w.agents("a", false)[0], w.Entries[0]
@@ -106,7 +106,7 @@
 // whose connection to the platform went silent for good. All of them lose
 // theirs, so that none hears of the change from another one.
 func TestSilentPlatform(t *testing.T) {
-	w := deploy(t, func(s *harness.Spec) { s.Relays = []harness.Link{harness.LinkPlatform} })
+	w := deploy(t, func(s *harness.Spec) { s.RelayedLinks = []harness.Link{harness.LinkPlatform} })
 	w.startLoad()
 	w.sleep(vmListTime)
 	for _, at := range [][]*harness.Node{w.Entries[1:], w.Nodes()} {
@@ -116,7 +116,7 @@
 			w.note("the connections of " + n.Name + " to the platform go silent")
 		}
 		w.silence(harness.LinkPlatform, at...)
-		w.must(w.Apply(w.ctx, w.Spec.Declare(w.versions, "v1")+"\n[customer new-"+at[0].Name+"]\nshare = 1\nmax_queued = 10\nmax_bytes = 1MiB\n"))
+		w.must(w.Apply(w.ctx, w.Spec.RenderDeclaration(w.versions, "v1")+"\n[customer new-"+at[0].Name+"]\nshare = 1\nmax_queued = 10\nmax_bytes = 1MiB\n"))
 		began := time.Now()
 		w.waitRevision(configBound, rev+1, w.Nodes()...)
 		w.note("in force after " + time.Since(began).Round(time.Millisecond).String())
--- a/test/proof/stop_test.go
+++ b/test/proof/stop_test.go
@@ -73,7 +73,7 @@
 // TestSilentConnections guards against requests that hang on connections that
 // are open and carry nothing, while new connections work.
 func TestSilentConnections(t *testing.T) {
-	w := deploy(t, func(s *harness.Spec) { s.Relays = []harness.Link{harness.LinkRPC} })
+	w := deploy(t, func(s *harness.Spec) { s.RelayedLinks = []harness.Link{harness.LinkRPC} })
 	w.startLoad()
 	w.sleep(500 * time.Millisecond)
 	for range 2 {
--- a/test/soak/fleet_test.go
+++ b/test/soak/fleet_test.go
@@ -100,7 +100,7 @@
 func (f *fleet) addTargets() {
 	add := func(id, service, domain string, engine bool) *platformtest.Target {
 		x := platformtest.NewTarget(id, service, domain, engine, f.recorder, f.store)
-		if err := x.Start(f.h.Addr(), 1); err != nil {
+		if err := x.Start(f.h.FreeAddr(), 1); err != nil {
 			f.t.Fatal(err)
 		}
 		return x
@@ -124,7 +124,7 @@
 
 // storeRoute adds a route of the relay to the store and returns its listen address.
 func (f *fleet) storeRoute(name, storeAddress string) string {
-	listen := f.h.Addr()
+	listen := f.h.FreeAddr()
 	if err := f.relay.AddRoute(name, listen, storeAddress); err != nil {
 		f.t.Fatal(err)
 	}
@@ -132,12 +132,12 @@
 }
 
 func (f *fleet) addGateway(name, domain, storeAddress string) {
-	callerAddr := f.h.Addr()
+	callerAddr := f.h.FreeAddr()
 	f.callerAddr = append(f.callerAddr, callerAddr)
 	text := fmt.Sprintf("[node]\nid = %s\nadmin = %s\ndomain = %s\nregions = %s\n[listen]\ncallers = %s\nready = %s\ninternal = %s\n"+
 		"[platform]\naddress = %s\n[limits]\ngrace = 8s\nkey_bound = %v\nweights_bound = %v\nmemory = 256MiB\n"+
 		"[retries]\nratio = 0.2\nslack = 100\nwindow = 10s\n",
-		name, f.h.Addr(), domain, f.regions(), callerAddr, f.h.Addr(), f.h.Addr(),
+		name, f.h.FreeAddr(), domain, f.regions(), callerAddr, f.h.FreeAddr(), f.h.FreeAddr(),
 		f.storeRoute(name, storeAddress), keyBound, weightsBound)
 	f.gateways = append(f.gateways, f.addProcess(name, "masticwing-gateway", text))
 }
@@ -145,7 +145,7 @@
 func (f *fleet) addLoader(name string, e *platformtest.Target, storeAddress string) {
 	text := fmt.Sprintf("[node]\nid = %s\nadmin = %s\ndomain = %s\nregions = %s\n[listen]\ninternal = %s\n[platform]\naddress = %s\n"+
 		"[engine]\naddress = %s\nservice = llm\n[limits]\nweights_bound = %v\nlink_mbit = 100\nmemory = 128MiB\n",
-		name, f.h.Addr(), e.Zone, f.regions(), f.h.Addr(), f.storeRoute(name, storeAddress), e.Address(), weightsBound)
+		name, f.h.FreeAddr(), e.Zone, f.regions(), f.h.FreeAddr(), f.storeRoute(name, storeAddress), e.Address(), weightsBound)
 	f.loaders = append(f.loaders, f.addProcess(name, "masticwing-loader", text))
 }
 
--- a/test/spread/bed_test.go
+++ b/test/spread/bed_test.go
@@ -90,7 +90,7 @@
 // apply declares that a published version is served.
 func (b *bed) apply(seed uint64) {
 	b.t.Helper()
-	if err := b.Apply(b.t.Context(), b.Spec.Declare(b.ids, fmt.Sprintf("v%d", seed))); err != nil {
+	if err := b.Apply(b.t.Context(), b.Spec.RenderDeclaration(b.ids, fmt.Sprintf("v%d", seed))); err != nil {
 		b.t.Fatal(err)
 	}
 }
@@ -106,7 +106,7 @@
 
 func (b *bed) status(n *harness.Node) (status, error) {
 	var s status
-	err := harness.Status(b.t.Context(), n.Admin, &s)
+	err := harness.GetStatus(b.t.Context(), n.Admin, &s)
 	return s, err
 }
 
@@ -150,7 +150,7 @@
 // agents returns the agents of a failure domain.
 func (b *bed) agents(domain string) []*harness.Node {
 	var out []*harness.Node
-	for _, n := range b.InDomain(domain) {
+	for _, n := range b.NodesInDomain(domain) {
 		if !n.IsEntry {
 			out = append(out, n)
 		}
@@ -170,7 +170,7 @@
 			Path: harness.GeneratePath(harness.Group), Customer: harness.Customer, Class: "status", Body: body,
 		})
 		if err == nil {
-			err = a.CheckWhole()
+			err = a.CheckComplete()
 		}
 		if err != nil {
 			b.t.Fatal(err)
--- a/test/spread/faults_test.go
+++ b/test/spread/faults_test.go
@@ -149,7 +149,7 @@
 }
 
 func memory(s *harness.Spec) {
-	s.Agent = map[string]map[string]string{"weights": {"memory": "4MiB"}}
+	s.AgentSettings = map[string]map[string]string{"weights": {"memory": "4MiB"}}
 }
 
 // TestVersionChanges guards against a partial copy that keeps its memory when
@@ -174,7 +174,7 @@
 func TestMemoryForOneVersion(t *testing.T) {
 	b := start(t, func(s *harness.Spec) {
 		memory(s)
-		s.Limits = []string{"max_requests = 8", "max_bytes = 4MiB", "cold_requests = 2", "ramp_step = 200ms", "overlap = drain-first"}
+		s.LimitLines = []string{"max_requests = 8", "max_bytes = 4MiB", "cold_requests = 2", "ramp_step = 200ms", "overlap = drain-first"}
 	})
 	b.serves(b.declare(2), b.Agents...)
 	b.serves(b.declare(3), b.Agents...)
@@ -191,7 +191,7 @@
 	inside := b.agents("b")
 	b.partly(inside[0], v, 0.15)
 	outside := []*harness.Process{b.Platform, b.Origin}
-	for _, n := range b.InDomain("a") {
+	for _, n := range b.NodesInDomain("a") {
 		outside = append(outside, n.Proc)
 	}
 	for _, p := range outside {
--- a/test/spread/peer_test.go
+++ b/test/spread/peer_test.go
@@ -14,7 +14,7 @@
 // because nobody else has some chunks, is asked again and again, or makes the
 // origin give more than its budget.
 func TestPeerCorrupts(t *testing.T) {
-	b := start(t, func(s *harness.Spec) { s.Relays = []harness.Link{harness.LinkRPC} })
+	b := start(t, func(s *harness.Spec) { s.RelayedLinks = []harness.Link{harness.LinkRPC} })
 	bad := b.agents("b")[0]
 	if err := b.SetLinkFaults(t.Context(), harness.LinkRPC, relay.Faults{CorruptToCaller: true}, bad); err != nil {
 		t.Fatal(err)
--- a/test/up/main.go
+++ b/test/up/main.go
@@ -9,7 +9,7 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-func main() { harness.SmallCommand("up", 0, up) }
+func main() { harness.SmallMain("up", 0, up) }
 
 func up(ctx context.Context, d *harness.Deployment, _ string) error {
 	if err := explain(d); err != nil {
