--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -11,7 +11,7 @@
 
 	"github.com/sourcegraph/conc"
 
-	"github.com/masticwing/masticwing/internal/adapter/loadcast"
+	"github.com/masticwing/masticwing/internal/adapter/loadudp"
 	"github.com/masticwing/masticwing/internal/adapter/logging"
 	"github.com/masticwing/masticwing/internal/app/feed"
 	"github.com/masticwing/masticwing/internal/app/follow"
@@ -54,7 +54,7 @@
 	// applyOperatorKeys publishes changes of the operator keys, which are the store's keys
 	// that operators write, to other processes and applies them to the view.
 	applyOperatorKeys func(follow.Event)
-	noticeSender      atomic.Pointer[loadcast.Sender]
+	noticeSender      atomic.Pointer[loadudp.Sender]
 }
 
 var _ port.InboundHandler = (*Gateway)(nil)
@@ -149,7 +149,7 @@
 func (g *Gateway) Stop() {
 	start := g.deps.Clock.Now()
 	g.closing.Store(true)
-	g.deps.Log.State("stopping", logging.Millis("grace_ms", g.settings.Grace))
+	g.deps.Log.StateChange("stopping", logging.Millis("grace_ms", g.settings.Grace))
 	<-g.deps.Clock.After(shutdownDelay)
 	g.refusing.Store(true)
 	deadline := g.deps.Clock.After(max(0, g.settings.Grace-exitMargin-g.deps.Clock.Now().Sub(start)))
@@ -157,7 +157,7 @@
 		select {
 		case <-g.active.IdleSignal():
 		case <-deadline:
-			g.deps.Log.State("stopping with requests in progress")
+			g.deps.Log.StateChange("stopping with requests in progress")
 			return
 		}
 	}
