--- a/internal/app/agent/identity_test.go
+++ b/internal/app/agent/identity_test.go
@@ -96,7 +96,7 @@
 	t.Helper()
 	e := &hookedEngine{Engine: porttest.NewEngine()}
 	if checksIdentity {
-		e.CheckIdentity()
+		e.RefuseOtherIdentity()
 	}
 	order := port.LoadOrder{Version: "v1", Fence: 1, Weights: &io.LimitedReader{}, Check: func() error { return nil }}
 	if err := e.Load(t.Context(), order); err != nil {
@@ -162,7 +162,7 @@
 		change   func(e *porttest.Engine)
 		nextCode verdict.Code
 	}{
-		"caches lost": {(*porttest.Engine).Cold, ""},
+		"caches lost": {(*porttest.Engine).LoseCaches, ""},
 		"restart":     {func(e *porttest.Engine) { e.Restart("boot-2") }, verdict.CodeVersionNotServing},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -202,7 +202,7 @@
 // since its last report.
 func TestUncheckedEngine(t *testing.T) {
 	for name, change := range map[string]func(e *porttest.Engine){
-		"caches lost": (*porttest.Engine).Cold,
+		"caches lost": (*porttest.Engine).LoseCaches,
 		"restart":     func(e *porttest.Engine) { e.Restart("boot-2") },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -241,7 +241,7 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("the engine's status was not queried")
 	}
-	w.engine.Cold()
+	w.engine.LoseCaches()
 	const waiting = 4
 	for i := range waiting {
 		wg.Go(func() {
--- a/internal/app/agent/lifecycle_test.go
+++ b/internal/app/agent/lifecycle_test.go
@@ -129,7 +129,7 @@
 // one.
 func TestOrderWithoutPlatformSuperseded(t *testing.T) {
 	b := newTestbed(t, "engine", engine.Options{LoadPerMiB: 4 * time.Second})
-	b.kv.SetDown(true)
+	b.kv.SetUnavailable(true)
 	b.weights.Put("v1", make([]byte, 4<<20))
 	b.directory.setDeclaration(declaration(1, "v1", declare.KeepOld))
 	time.Sleep(rollout.LeaseDuration + time.Second)
@@ -142,7 +142,7 @@
 	if st := b.agent.Status(); st.Progress.Reason != "waiting for the order lease" {
 		t.Fatalf("an order was sent after that of another agent: %+v", st.Progress)
 	}
-	b.kv.SetDown(false)
+	b.kv.SetUnavailable(false)
 	b.eventually("order given with the lease", func() bool { return b.agent.Status().Progress.State == "loading" })
 }
 
@@ -159,7 +159,7 @@
 	if _, err := b.client.Serve(ctx, b.address, r, nil); verdict.FromError(err).Verdict != verdict.MayHaveRun {
 		t.Fatalf("got %v for a caller that gave up", err)
 	}
-	b.eventually("call done", func() bool { return b.ledger.Settled.Load() == 1 })
+	b.eventually("call done", func() bool { return b.ledger.Outcomes.Load() == 1 })
 	h, got, err := b.serve(r)
 	if err != nil || !h.Replayed || got != "log ok: x\n" {
 		t.Fatalf("retry: head %+v, response %q, error %v", h, got, err)
--- a/internal/app/agent/orders_test.go
+++ b/internal/app/agent/orders_test.go
@@ -72,11 +72,11 @@
 				}
 			},
 			"pause":   func(*rapid.T) { c.now = c.now.Add(2 * rollout.LeaseDuration) },
-			"outage":  func(t *rapid.T) { down = rapid.Bool().Draw(t, "down"); kv.SetDown(down) },
-			"lose":    func(*rapid.T) { kv.LoseAnswers(1) },
+			"outage":  func(t *rapid.T) { down = rapid.Bool().Draw(t, "down"); kv.SetUnavailable(down) },
+			"lose":    func(*rapid.T) { kv.LoseWriteAnswers(1) },
 			"replace": func(*rapid.T) { boot++; started = c.now; o = newTestOrderer(c, kv, e, boot) },
 			"": func(t *rapid.T) {
-				fences := e.Orders()
+				fences := e.OrderFences()
 				for i := 1; i < len(fences); i++ {
 					if fences[i] < fences[i-1] {
 						t.Fatalf("fencing numbers decreased: %v", fences)
@@ -94,8 +94,8 @@
 	e := porttest.NewEngine()
 	o := newTestOrderer(c, porttest.NewKV(c.Now), e, 1)
 	action := rollout.Action{Kind: rollout.Load, Ref: rollout.Ref{Version: "v9"}}
-	if err := o.sendOrder(context.Background(), action, 1); !errors.Is(err, errWeightsIncomplete) || len(e.Orders()) != 0 {
-		t.Fatalf("got %v, orders %v", err, e.Orders())
+	if err := o.sendOrder(context.Background(), action, 1); !errors.Is(err, errWeightsIncomplete) || len(e.OrderFences()) != 0 {
+		t.Fatalf("got %v, orders %v", err, e.OrderFences())
 	}
 }
 
@@ -109,8 +109,8 @@
 		decision := rollout.Decision{Step: rollout.SendOrder, Fence: 5, ValidUntil: c.now.Add(time.Second), Leased: leased}
 		c.now = decision.ValidUntil
 		for _, action := range []rollout.Action{unload, {Kind: rollout.Load, Ref: rollout.Ref{Version: "v1"}}} {
-			if err := o.runOrder(context.Background(), action, decision); !errors.Is(err, errLeaseLost) || len(e.Orders()) > 0 {
-				t.Fatalf("leased %v: got %v, orders %v", leased, err, e.Orders())
+			if err := o.runOrder(context.Background(), action, decision); !errors.Is(err, errLeaseLost) || len(e.OrderFences()) > 0 {
+				t.Fatalf("leased %v: got %v, orders %v", leased, err, e.OrderFences())
 			}
 		}
 	}
--- a/internal/app/agent/serve_test.go
+++ b/internal/app/agent/serve_test.go
@@ -54,11 +54,11 @@
 	if w := expectedResponse("r2", "v1", "weights one", "hello"); got != w {
 		t.Fatalf("response %q, want %q", got, w)
 	}
-	if n := b.weights.Live.Load(); n != int64(len(got)) {
+	if n := b.weights.LiveOutBytes.Load(); n != int64(len(got)) {
 		t.Errorf("%d bytes charged to the link, want %d", n, len(got))
 	}
 	// The body of the refused request r1 used the link, too.
-	if n := b.weights.LiveIn.Load(); n != int64(len("x")+len("hello")) {
+	if n := b.weights.LiveInBytes.Load(); n != int64(len("x")+len("hello")) {
 		t.Errorf("%d bytes charged to the link in, want those of two bodies", n)
 	}
 	r := b.request("r3", "x")
@@ -397,10 +397,10 @@
 	if _, _, err = b.serve(call("log", "k3")); err != nil {
 		t.Fatalf("a refused call must be able to run again: %v", err)
 	}
-	b.ledger.Down.Store(true)
+	b.ledger.Unavailable.Store(true)
 	_, _, err = b.serve(call("log", "k4"))
 	wantError(t, err, verdict.NotRun, verdict.CodeLedgerUnavailable)
-	b.ledger.Down.Store(false)
+	b.ledger.Unavailable.Store(false)
 	b.checkEffects(map[string]int64{"k1": 1, "k2": 1, "k3": 1, "k4": 0})
 	if got := b.ledger.State(port.LedgerKey{Service: "s", Customer: "c", Key: "k2"}); got != porttest.LedgerUnknown {
 		t.Fatalf("record of a lost response is %q", got)
--- a/internal/app/agent/service_test.go
+++ b/internal/app/agent/service_test.go
@@ -18,7 +18,7 @@
 	for name, respond := range map[string]func(r port.ServiceRequest) (port.Answer, error){
 		"before the response": func(port.ServiceRequest) (port.Answer, error) { return nil, lost },
 		"during the response": func(r port.ServiceRequest) (port.Answer, error) {
-			return &porttest.Answer{AnswerHead: port.AnswerHead{ID: r.ID}, Pieces: [][]byte{{1}}, End: lost}, nil
+			return &porttest.Answer{AnswerHead: port.AnswerHead{ID: r.ID}, Pieces: [][]byte{{1}}, EndError: lost}, nil
 		},
 	} {
 		for _, call := range []string{"read", "log"} {
--- a/internal/app/entry/entry_test.go
+++ b/internal/app/entry/entry_test.go
@@ -139,7 +139,7 @@
 			Labels: map[string]string{"pool": pool},
 		})
 	}
-	h.dir.Declare(testDeclaration(), 0)
+	h.dir.SetDeclaration(testDeclaration(), 0)
 	h.dir.SetMembers(records...)
 	client := rpc.NewClient()
 	t.Cleanup(client.Close)
--- a/internal/app/entry/serve_test.go
+++ b/internal/app/entry/serve_test.go
@@ -183,7 +183,7 @@
 	waiter := h.entry.table.AddWaiter(routing.Pool{Group: "summaries"}, fleet.ClassSummary)
 	defer h.entry.table.RemoveWaiter(waiter)
 	changes := map[string]func(){
-		"declaration": func() { h.dir.Declare(testDeclaration(), 0) },
+		"declaration": func() { h.dir.SetDeclaration(testDeclaration(), 0) },
 		"members":     func() { h.dir.SetMembers(port.MemberRecord{ID: "e2", Kind: fleet.KindEntry}) },
 	}
 	for name, change := range changes {
@@ -325,7 +325,7 @@
 	}
 	d := testDeclaration()
 	d.Cordons.VMs = map[fleet.VM]bool{first.status.VM: true}
-	h.dir.Declare(d, 0)
+	h.dir.SetDeclaration(d, 0)
 	if _, err := h.serveAndRead(callRequest("log")); err != nil || first.requestCount() != 5 {
 		t.Fatalf("%v, cordoned agent has %d requests", err, first.requestCount())
 	}
@@ -338,7 +338,7 @@
 	h := newHarness(t, "model", 4)
 	d := testDeclaration()
 	d.Cordons.Domains = map[fleet.Domain]bool{"a": true}
-	h.dir.Declare(d, 0)
+	h.dir.SetDeclaration(d, 0)
 	for range 20 {
 		if _, err := h.serveAndRead(generateRequest()); err != nil {
 			t.Fatal(err)
@@ -371,7 +371,7 @@
 		g := d.Groups["summaries"]
 		g.Overlap = c.overlap
 		d.Groups["summaries"] = g
-		h.dir.Declare(d, 0)
+		h.dir.SetDeclaration(d, 0)
 		h.updateAgents(func(_ int, a *fakeAgent) { a.status.Version = c.reported })
 		h.waitUntil("the version is reported", func() bool { return h.entry.table.Snapshot(time.Now())[0].Version == c.reported })
 		r := generateRequest()
--- a/internal/app/feed/feed_test.go
+++ b/internal/app/feed/feed_test.go
@@ -264,12 +264,12 @@
 // TestMaxStoreWait guards against a whole domain that misses changes for as long as
 // its reader waits on a connection that went silent.
 func TestMaxStoreWait(t *testing.T) {
-	w := &porttest.Waits{}
+	w := &porttest.WaitRecorder{}
 	s := NewSource(w, nil, sysclock.Clock{}, logging.New(io.Discard, "x", "1"), func() []core.Member { return nil },
 		map[string]PrefixOptions{"p/": {MaxStoreWait: time.Second}})
 	for prefix, want := range map[string]time.Duration{"p/": time.Second, "q/": time.Minute} {
-		if _, _, err := s.Changes(context.Background(), prefix, 0, time.Minute); err != nil || w.Last != want {
-			t.Errorf("%s: waits %v, want %v; %v", prefix, w.Last, want, err)
+		if _, _, err := s.Changes(context.Background(), prefix, 0, time.Minute); err != nil || w.LastWait != want {
+			t.Errorf("%s: waits %v, want %v; %v", prefix, w.LastWait, want, err)
 		}
 	}
 }
@@ -287,12 +287,12 @@
 	// By then both know the new revision: the reader from the store, the follower
 	// from the reader.
 	time.Sleep(300 * time.Millisecond)
-	tn.store.Forget()
-	lists := tn.store.Lists()
+	tn.store.CompactHistory()
+	lists := tn.store.ListCalls()
 	tn.net.disconnected.Store(true)
 	tn.waitUntil(func() bool { return follower.source.FromStore("p/") }, "the follower does not notice the lost reader")
 	tn.put("2", follower)
-	if n := tn.store.Lists() - lists; n != 0 {
+	if n := tn.store.ListCalls() - lists; n != 0 {
 		t.Errorf("%d listings", n)
 	}
 }
--- a/internal/app/follow/follow_test.go
+++ b/internal/app/follow/follow_test.go
@@ -65,15 +65,15 @@
 	v.wait(t, "map[p/a:1]")
 	s.Put("p/b", "2")
 	v.wait(t, "map[p/a:1 p/b:2]")
-	s.SetDown(true)
+	s.SetUnavailable(true)
 	time.Sleep(50 * time.Millisecond)
 	s.Put("p/a", "3")
-	s.SetDown(false)
+	s.SetUnavailable(false)
 	v.wait(t, "map[p/a:3 p/b:2]")
-	s.Silently("p/c", "4")
-	s.Forget()
+	s.PutWithoutWatch("p/c", "4")
+	s.CompactHistory()
 	v.wait(t, "map[p/a:3 p/b:2 p/c:4]")
-	s.Silently("p/d", "5")
+	s.PutWithoutWatch("p/d", "5")
 	f.Relist()
 	v.wait(t, "map[p/a:3 p/b:2 p/c:4 p/d:5]")
 }
@@ -86,9 +86,9 @@
 	f := New(s, "p/", time.Second, func() time.Duration { return time.Millisecond }, sysclock.Clock{}, logging.New(io.Discard, "x", "1"))
 	ctx, cancel := context.WithTimeout(context.Background(), 1200*time.Millisecond)
 	defer cancel()
-	s.SetDown(true)
+	s.SetUnavailable(true)
 	f.Run(ctx, func(Event) {})
-	if n := s.Lists(); n < 1 || n > 5 {
+	if n := s.ListCalls(); n < 1 || n > 5 {
 		t.Errorf("the prefix was listed %d times", n)
 	}
 }
--- a/internal/app/loader/loader_test.go
+++ b/internal/app/loader/loader_test.go
@@ -321,12 +321,12 @@
 // to be in use within 8 s.
 func TestWeightsStoreWaitIsBounded(t *testing.T) {
 	l := newLoader(newEngine(1), &fakeOrigin{})
-	s := &porttest.Waits{}
+	s := &porttest.WaitRecorder{}
 	l.source.Store = s
 	if _, _, err := l.source.Changes(context.Background(), l.deps.Decoder.Prefixes().Weights, 0, watchTimeout); err != nil {
 		t.Fatal(err)
 	}
-	if s.Last > 3*time.Second {
-		t.Errorf("a call to the store waits %v", s.Last)
+	if s.LastWait > 3*time.Second {
+		t.Errorf("a call to the store waits %v", s.LastWait)
 	}
 }
--- a/internal/app/registration/registrar_test.go
+++ b/internal/app/registration/registrar_test.go
@@ -25,7 +25,7 @@
 // against a registration that remains after the process stopped.
 func TestReregistersAfterLeaseLoss(t *testing.T) {
 	s := porttest.NewStore()
-	s.SetDown(true)
+	s.SetUnavailable(true)
 	r := Registrar{
 		Store: s, Prefix: "members/", Self: port.StoredMember{ID: "vm", Kind: "agent"}, Clock: fastClock{},
 		Log: logging.New(io.Discard, "x", "1"),
@@ -34,9 +34,9 @@
 	var wg conc.WaitGroup
 	wg.Go(func() { r.Run(ctx) })
 	time.Sleep(20 * time.Millisecond)
-	s.SetDown(false)
+	s.SetUnavailable(false)
 	waitForRegistration(t, s, true)
-	s.Expire()
+	s.ExpireLeases()
 	waitForRegistration(t, s, true)
 	cancel()
 	wg.Wait()
--- a/internal/port/porttest/directory.go
+++ b/internal/port/porttest/directory.go
@@ -1,4 +1,4 @@
-// Package porttest has in-memory fakes of the ports, for tests.
+// Package porttest provides in-memory fakes of the ports for tests.
 package porttest
 
 import (
@@ -10,36 +10,37 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Directory is a fake of port.Directory whose content a test sets.
+// Directory is a fake of port.Directory whose contents are set by a test.
 type Directory struct {
-	mu      sync.Mutex
-	decl    *declare.Declaration
-	age     time.Duration
-	members []port.MemberRecord
-	self    port.MemberRecord
-	subs    map[chan struct{}]bool
+	mu          sync.Mutex
+	declaration *declare.Declaration
+	age         time.Duration
+	members     []port.MemberRecord
+	self        port.MemberRecord
+	subscribers map[chan struct{}]bool
 }
 
 var _ port.Directory = (*Directory)(nil)
 
-// NewDirectory returns a directory that knows nothing.
-func NewDirectory() *Directory { return &Directory{subs: map[chan struct{}]bool{}} }
+// NewDirectory returns a directory without a declaration or members.
+func NewDirectory() *Directory { return &Directory{subscribers: map[chan struct{}]bool{}} }
 
-// Declare sets the declaration.
-func (d *Directory) Declare(decl *declare.Declaration, age time.Duration) {
-	d.change(func() { d.decl, d.age = decl, age })
+// SetDeclaration sets the declaration and the time since its confirmation.
+func (d *Directory) SetDeclaration(declaration *declare.Declaration, age time.Duration) {
+	d.updateAndNotify(func() { d.declaration, d.age = declaration, age })
 }
 
 // SetMembers replaces the members.
 func (d *Directory) SetMembers(ms ...port.MemberRecord) {
-	d.change(func() { d.members = ms })
+	d.updateAndNotify(func() { d.members = ms })
 }
 
-func (d *Directory) change(f func()) {
+// updateAndNotify calls f with the lock held and signals all subscribers.
+func (d *Directory) updateAndNotify(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f()
-	for c := range d.subs {
+	for c := range d.subscribers {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -51,7 +52,7 @@
 func (d *Directory) Declaration() (*declare.Declaration, time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.decl, d.age
+	return d.declaration, d.age
 }
 
 // Members implements port.Directory.
@@ -72,11 +73,11 @@
 	c := make(chan struct{}, 1)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.subs[c] = true
+	d.subscribers[c] = true
 	return c, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		delete(d.subs, c)
+		delete(d.subscribers, c)
 	}
 }
 
@@ -87,7 +88,7 @@
 	change(&d.self)
 }
 
-// Self returns the record that SetSelf changed.
+// Self returns the record that UpdateSelf changes.
 func (d *Directory) Self() port.MemberRecord {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/port/porttest/engine.go
+++ b/internal/port/porttest/engine.go
@@ -11,12 +11,12 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Answer is a fake of port.Answer with its pieces given beforehand.
+// Answer is a fake of port.Answer that returns fixed pieces.
 type Answer struct {
 	AnswerHead port.AnswerHead
 	Pieces     [][]byte
-	// End is returned after the pieces; nil means io.EOF.
-	End error
+	// EndError is the error after the last piece; nil stands for io.EOF.
+	EndError error
 }
 
 var _ port.Answer = (*Answer)(nil)
@@ -31,23 +31,24 @@
 		a.Pieces = a.Pieces[1:]
 		return b, nil
 	}
-	if a.End == nil {
+	if a.EndError == nil {
 		return nil, io.EOF
 	}
-	return nil, a.End
+	return nil, a.EndError
 }
 
 // Close implements port.Answer.
 func (a *Answer) Close() error { return nil }
 
-// Engine is a fake of port.Engine. An answer has one piece, the text of the
-// version that produced it. Its lock guards all fields.
+// Engine is a fake of port.Engine. An answer consists of one piece, the bytes of the
+// weights of the requested version. mu guards all unexported fields.
 type Engine struct {
-	mu     sync.Mutex
-	status port.EngineStatus
-	orders []int64
-	texts  map[fleet.Version]string
-	// Respond, if set, replaces the answer. It is set before the engine is used.
+	mu          sync.Mutex
+	status      port.EngineStatus
+	orderFences []int64
+	weightsText map[fleet.Version]string
+	// Respond, if set, handles requests instead. It must be set before the engine is
+	// used.
 	Respond func(r port.EngineRequest) (port.Answer, error)
 }
 
@@ -55,35 +56,36 @@
 
 // NewEngine returns an engine without weights.
 func NewEngine() *Engine {
-	return &Engine{status: port.EngineStatus{EngineIdentity: fleet.EngineIdentity{BootID: "boot-1"}}, texts: map[fleet.Version]string{}}
+	return &Engine{status: port.EngineStatus{EngineIdentity: fleet.EngineIdentity{BootID: "boot-1"}}, weightsText: map[fleet.Version]string{}}
 }
 
-// Restart gives the engine another boot identity and drops its weights.
+// Restart gives the engine a new boot id and removes its weights.
 func (e *Engine) Restart(boot string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.status = port.EngineStatus{EngineIdentity: fleet.EngineIdentity{BootID: boot}, ChecksIdentity: e.status.ChecksIdentity}
 }
 
-// Cold makes the engine lose its caches and keep its weights.
-func (e *Engine) Cold() {
+// LoseCaches changes the engine's identity as after a loss of its caches. The weights
+// stay loaded.
+func (e *Engine) LoseCaches() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.status.LoadCount++
 }
 
-// CheckIdentity makes the engine refuse requests that expect another identity.
-func (e *Engine) CheckIdentity() {
+// RefuseOtherIdentity makes the engine refuse requests that expect another identity.
+func (e *Engine) RefuseOtherIdentity() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.status.ChecksIdentity = true
 }
 
-// Orders returns the fencing numbers of all orders.
-func (e *Engine) Orders() []int64 {
+// OrderFences returns the fencing numbers of all orders so far.
+func (e *Engine) OrderFences() []int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.orders)
+	return slices.Clone(e.orderFences)
 }
 
 // Status implements port.Engine.
@@ -106,11 +108,11 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.orders = append(e.orders, o.Fence)
+	e.orderFences = append(e.orderFences, o.Fence)
 	e.status.Fence = max(e.status.Fence, o.Fence)
 	e.status.LoadCount++
 	e.status.Loaded = append(e.status.Loaded, o.Version)
-	e.texts[o.Version] = string(b)
+	e.weightsText[o.Version] = string(b)
 	return nil
 }
 
@@ -121,7 +123,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.orders = append(e.orders, o.Fence)
+	e.orderFences = append(e.orderFences, o.Fence)
 	e.status.Fence = max(e.status.Fence, o.Fence)
 	e.status.Loaded = slices.DeleteFunc(e.status.Loaded, func(x fleet.Version) bool { return x == o.Version })
 	return nil
@@ -143,6 +145,6 @@
 	}
 	return &Answer{
 		AnswerHead: port.AnswerHead{ID: r.ID, Version: r.Version, Status: 200},
-		Pieces:     [][]byte{[]byte(e.texts[r.Version])},
+		Pieces:     [][]byte{[]byte(e.weightsText[r.Version])},
 	}, nil
 }
--- a/internal/port/porttest/kv.go
+++ b/internal/port/porttest/kv.go
@@ -9,18 +9,18 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// KV is a fake of port.KV in memory. Its lock guards all fields; it is held
-// only for map operations.
+// KV is an in-memory fake of port.KV. mu guards all fields and is held only for map
+// operations.
 type KV struct {
-	mu     sync.Mutex
-	rev    int64
-	now    func() time.Time
-	keys   map[string]kvValue
-	leases map[port.LeaseID]kvLease
-	change chan struct{}
-	down   bool
-	lose   int
-	calls  map[string]int
+	mu          sync.Mutex
+	rev         int64
+	now         func() time.Time
+	keys        map[string]kvValue
+	leases      map[port.LeaseID]kvLease
+	changed     chan struct{}
+	unavailable bool
+	lostAnswers int
+	callCounts  map[string]int
 }
 
 type kvValue struct {
@@ -36,54 +36,55 @@
 
 var _ port.KV = (*KV)(nil)
 
-// NewKV returns an empty service. Leases expire by the given clock.
+// NewKV returns an empty KV whose leases expire according to the clock now.
 func NewKV(now func() time.Time) *KV {
 	return &KV{
 		now: now, keys: map[string]kvValue{}, leases: map[port.LeaseID]kvLease{},
-		change: make(chan struct{}), calls: map[string]int{},
+		changed: make(chan struct{}), callCounts: map[string]int{},
 	}
 }
 
-// SetDown switches an outage on or off. Calls in an outage fail with
-// ErrUnavailable and have no effect.
-func (k *KV) SetDown(down bool) {
+// SetUnavailable starts or ends an outage. During an outage, calls fail with
+// port.ErrUnavailable and have no effect.
+func (k *KV) SetUnavailable(unavailable bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.down = down
+	k.unavailable = unavailable
 }
 
-// LoseAnswers lets the next n writes take effect and return
-// ErrUnknownOutcome.
-func (k *KV) LoseAnswers(n int) {
+// LoseWriteAnswers makes the next n writes take effect but return
+// port.ErrUnknownOutcome.
+func (k *KV) LoseWriteAnswers(n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.lose = n
+	k.lostAnswers = n
 }
 
-// Calls returns the number of calls of a kind: get, cas, delete, watch, grant,
+// CallCount returns the number of calls of a kind: get, cas, delete, watch, grant,
 // keepalive or revoke.
-func (k *KV) Calls(kind string) int {
+func (k *KV) CallCount(kind string) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.calls[kind]
+	return k.callCounts[kind]
 }
 
-// enterLocked counts a call, expires leases and fails in an outage.
-func (k *KV) enterLocked(kind string) error {
-	k.calls[kind]++
-	if k.down {
+// beginCallLocked counts a call, ends expired leases, and fails during an outage.
+func (k *KV) beginCallLocked(kind string) error {
+	k.callCounts[kind]++
+	if k.unavailable {
 		return port.ErrUnavailable
 	}
 	now := k.now()
 	for id, l := range k.leases {
 		if !now.Before(l.until) {
-			k.endLocked(id)
+			k.endLeaseLocked(id)
 		}
 	}
 	return nil
 }
 
-func (k *KV) endLocked(id port.LeaseID) {
+// endLeaseLocked removes a lease and its keys.
+func (k *KV) endLeaseLocked(id port.LeaseID) {
 	delete(k.leases, id)
 	for key, v := range k.keys {
 		if v.lease == id {
@@ -92,9 +93,10 @@
 	}
 }
 
-func (k *KV) lostLocked() error {
-	if k.lose > 0 {
-		k.lose--
+// writeErrorLocked returns the error of a write that took effect.
+func (k *KV) writeErrorLocked() error {
+	if k.lostAnswers > 0 {
+		k.lostAnswers--
 		return port.ErrUnknownOutcome
 	}
 	return nil
@@ -104,7 +106,7 @@
 func (k *KV) Get(_ context.Context, key string) (port.KVEntry, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err := k.enterLocked("get"); err != nil {
+	if err := k.beginCallLocked("get"); err != nil {
 		return port.KVEntry{}, err
 	}
 	v, ok := k.keys[key]
@@ -120,7 +122,7 @@
 ) (int64, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err := k.enterLocked("cas"); err != nil {
+	if err := k.beginCallLocked("cas"); err != nil {
 		return 0, err
 	}
 	if _, ok := k.leases[lease]; lease != port.NoLease && !ok {
@@ -131,23 +133,23 @@
 	}
 	k.rev++
 	k.keys[key] = kvValue{append([]byte(nil), value...), k.rev, lease}
-	close(k.change)
-	k.change = make(chan struct{})
-	return k.rev, k.lostLocked()
+	close(k.changed)
+	k.changed = make(chan struct{})
+	return k.rev, k.writeErrorLocked()
 }
 
 // Delete implements port.KV.
 func (k *KV) Delete(_ context.Context, key string, rev int64) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err := k.enterLocked("delete"); err != nil {
+	if err := k.beginCallLocked("delete"); err != nil {
 		return err
 	}
 	if v, ok := k.keys[key]; !ok || v.rev != rev {
 		return port.ErrConflict
 	}
 	delete(k.keys, key)
-	return k.lostLocked()
+	return k.writeErrorLocked()
 }
 
 // Watch implements port.KV.
@@ -155,7 +157,7 @@
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	for first := true; ; first = false {
-		e, change, err := k.look(key, after, first)
+		e, change, err := k.newerThan(key, after, first)
 		if err != nil || change == nil {
 			return e, err
 		}
@@ -169,28 +171,29 @@
 	}
 }
 
-// look returns the entry if it is newer than after, or else a channel that is
-// closed with the next change.
-func (k *KV) look(key string, after int64, count bool) (port.KVEntry, <-chan struct{}, error) {
+// newerThan returns the entry if its revision exceeds after, or else a channel that
+// is closed by the next change. A repeated check by the same Watch does not count as
+// a call.
+func (k *KV) newerThan(key string, after int64, countCall bool) (port.KVEntry, <-chan struct{}, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !count {
-		k.calls["watch"]--
+	if !countCall {
+		k.callCounts["watch"]--
 	}
-	if err := k.enterLocked("watch"); err != nil {
+	if err := k.beginCallLocked("watch"); err != nil {
 		return port.KVEntry{}, nil, err
 	}
 	if v, ok := k.keys[key]; ok && v.rev > after {
 		return port.KVEntry{Key: key, Value: v.value, Rev: v.rev}, nil, nil
 	}
-	return port.KVEntry{}, k.change, nil
+	return port.KVEntry{}, k.changed, nil
 }
 
 // Grant implements port.KV.
 func (k *KV) Grant(_ context.Context, ttl time.Duration) (port.LeaseID, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err := k.enterLocked("grant"); err != nil {
+	if err := k.beginCallLocked("grant"); err != nil {
 		return port.NoLease, err
 	}
 	k.rev++
@@ -203,7 +206,7 @@
 func (k *KV) KeepAlive(_ context.Context, id port.LeaseID) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err := k.enterLocked("keepalive"); err != nil {
+	if err := k.beginCallLocked("keepalive"); err != nil {
 		return err
 	}
 	l, ok := k.leases[id]
@@ -218,9 +221,9 @@
 func (k *KV) Revoke(_ context.Context, id port.LeaseID) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if err := k.enterLocked("revoke"); err != nil {
+	if err := k.beginCallLocked("revoke"); err != nil {
 		return err
 	}
-	k.endLocked(id)
+	k.endLeaseLocked(id)
 	return nil
 }
--- a/internal/port/porttest/ledger.go
+++ b/internal/port/porttest/ledger.go
@@ -9,10 +9,10 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// LedgerState is the state of a key in the fake ledger.
+// LedgerState is the state of a key in the fake Ledger.
 type LedgerState string
 
-// The states of a key.
+// States of a key.
 const (
 	LedgerStarted LedgerState = "started"
 	LedgerDone    LedgerState = "done"
@@ -25,13 +25,13 @@
 	content port.ContentDigest
 }
 
-// Ledger is a fake of port.Ledger in memory.
+// Ledger is an in-memory fake of port.Ledger.
 type Ledger struct {
 	records *shard.Map[port.LedgerKey, ledgerRecord]
-	// Down refuses every call as not run.
-	Down atomic.Bool
-	// Settled counts the tickets that were settled.
-	Settled atomic.Int64
+	// Unavailable makes Begin refuse every call with the verdict NotRun.
+	Unavailable atomic.Bool
+	// Outcomes counts the claims whose outcome was recorded.
+	Outcomes atomic.Int64
 }
 
 var _ port.Ledger = (*Ledger)(nil)
@@ -39,7 +39,8 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{records: shard.New[port.LedgerKey, ledgerRecord](0)} }
 
-// State returns the state of a key, or empty if a call may run.
+// State returns the state of a key, or an empty state if a call with the key may
+// run.
 func (l *Ledger) State(k port.LedgerKey) LedgerState {
 	r, _ := l.records.Get(k)
 	return r.state
@@ -47,7 +48,7 @@
 
 // Begin implements port.Ledger.
 func (l *Ledger) Begin(_ context.Context, k port.LedgerKey, content port.ContentDigest) (port.LedgerClaim, *port.StoredAnswer, error) {
-	if l.Down.Load() {
+	if l.Unavailable.Load() {
 		return nil, nil, verdict.New(verdict.NotRun, verdict.CodeLedgerUnavailable, "ledger is down")
 	}
 	var old ledgerRecord
@@ -60,48 +61,50 @@
 	})
 	switch {
 	case !known:
-		return &ledgerTicket{l: l, k: k, content: content}, nil, nil
+		return &ledgerClaim{l: l, k: k, content: content}, nil, nil
 	case old.state == LedgerDone && old.answer != nil && old.content != content:
-		return nil, nil, verdict.New(verdict.NotRun, verdict.CodeKeyReused, "key of another call")
+		return nil, nil, verdict.New(verdict.NotRun, verdict.CodeKeyReused, "idempotency key was used for another call")
 	case old.state == LedgerDone && old.answer != nil:
 		return nil, old.answer, nil
 	case old.state == LedgerDone:
-		return nil, nil, verdict.New(verdict.Ran, verdict.CodeDuplicate, "answer not kept")
+		return nil, nil, verdict.New(verdict.Ran, verdict.CodeDuplicate, "answer is not stored")
 	case old.state == LedgerUnknown:
-		return nil, nil, verdict.New(verdict.MayHaveRun, verdict.CodeDuplicate, "end of the call is not known")
+		return nil, nil, verdict.New(verdict.MayHaveRun, verdict.CodeDuplicate, "outcome of the call is unknown")
 	default:
 		return nil, nil, verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "call is in progress")
 	}
 }
 
-type ledgerTicket struct {
-	l       *Ledger
-	k       port.LedgerKey
-	content port.ContentDigest
-	settled atomic.Bool
+// ledgerClaim is a fake of port.LedgerClaim. It panics if more than one outcome is
+// recorded.
+type ledgerClaim struct {
+	l        *Ledger
+	k        port.LedgerKey
+	content  port.ContentDigest
+	recorded atomic.Bool
 }
 
-func (t *ledgerTicket) settle() {
-	if t.settled.Swap(true) {
-		panic("ledger ticket settled twice")
+func (t *ledgerClaim) recordOutcome() {
+	if t.recorded.Swap(true) {
+		panic("outcome of a ledger claim recorded twice")
 	}
-	t.l.Settled.Add(1)
+	t.l.Outcomes.Add(1)
 }
 
 // Done implements port.LedgerClaim.
-func (t *ledgerTicket) Done(a *port.StoredAnswer) {
-	t.settle()
+func (t *ledgerClaim) Done(a *port.StoredAnswer) {
+	t.recordOutcome()
 	t.l.records.Put(t.k, ledgerRecord{LedgerDone, a, t.content})
 }
 
 // Unknown implements port.LedgerClaim.
-func (t *ledgerTicket) Unknown() {
-	t.settle()
+func (t *ledgerClaim) Unknown() {
+	t.recordOutcome()
 	t.l.records.Put(t.k, ledgerRecord{state: LedgerUnknown})
 }
 
 // NotRun implements port.LedgerClaim.
-func (t *ledgerTicket) NotRun() {
-	t.settle()
+func (t *ledgerClaim) NotRun() {
+	t.recordOutcome()
 	t.l.records.Delete(t.k)
 }
--- a/internal/port/porttest/service.go
+++ b/internal/port/porttest/service.go
@@ -8,30 +8,30 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Service is a fake of port.Service that echoes the body of each call.
+// Service is a fake of port.Service that answers each call with its body.
 type Service struct {
-	effects *shard.Map[string, int]
-	// Sick makes Healthy fail.
-	Sick atomic.Bool
-	// Respond, if set, replaces the answer after the effect. It is set before
-	// the service is used.
+	runCounts *shard.Map[string, int]
+	// Unhealthy makes Healthy fail.
+	Unhealthy atomic.Bool
+	// Respond, if set, answers a call after it was counted. It must be set before the
+	// service is used.
 	Respond func(ctx context.Context, r port.ServiceRequest) (port.Answer, error)
 }
 
 var _ port.Service = (*Service)(nil)
 
-// NewService returns a service without effects.
-func NewService() *Service { return &Service{effects: shard.New[string, int](0)} }
+// NewService returns a service that has run no calls.
+func NewService() *Service { return &Service{runCounts: shard.New[string, int](0)} }
 
-// Effects returns the number of calls that ran with an idempotency key.
-func (s *Service) Effects(key string) int {
-	n, _ := s.effects.Get(key)
+// RunCount returns the number of calls with an idempotency key that ran.
+func (s *Service) RunCount(key string) int {
+	n, _ := s.runCounts.Get(key)
 	return n
 }
 
 // Healthy implements port.Service.
 func (s *Service) Healthy(context.Context) error {
-	if s.Sick.Load() {
+	if s.Unhealthy.Load() {
 		return context.DeadlineExceeded
 	}
 	return nil
@@ -39,7 +39,7 @@
 
 // Call implements port.Service.
 func (s *Service) Call(ctx context.Context, r port.ServiceRequest) (port.Answer, error) {
-	s.effects.Update(r.IdempotencyKey, func(n int, _ bool) (int, bool) { return n + 1, true })
+	s.runCounts.Update(r.IdempotencyKey, func(n int, _ bool) (int, bool) { return n + 1, true })
 	if s.Respond != nil {
 		return s.Respond(ctx, r)
 	}
--- a/internal/port/porttest/store.go
+++ b/internal/port/porttest/store.go
@@ -10,22 +10,22 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Store is a fake of port.Store in memory. Its lock guards all fields; it is
-// held only for map operations.
+// Store is an in-memory fake of port.Store. mu guards all fields and is held only
+// for map operations.
 type Store struct {
 	mu      sync.Mutex
 	rev     int64
 	items   map[string]port.StoreItem
 	changes []port.StoreChange
-	// oldest is the revision up to which the history is gone.
-	oldest int64
-	down   bool
-	lease  int64
-	leases map[port.LeaseID]bool
-	owned  map[string]port.LeaseID
-	wake   chan struct{}
-	// lists counts the calls of List.
-	lists int
+	// compactedAt is the revision before which the history is no longer available.
+	compactedAt int64
+	unavailable bool
+	lastLease   int64
+	leases      map[port.LeaseID]bool
+	leaseByKey  map[string]port.LeaseID
+	wake        chan struct{}
+	// listCalls is the number of calls of List.
+	listCalls int
 }
 
 var _ port.Store = (*Store)(nil)
@@ -33,29 +33,30 @@
 // NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{
-		items: map[string]port.StoreItem{}, leases: map[port.LeaseID]bool{}, owned: map[string]port.LeaseID{}, wake: make(chan struct{}),
+		items: map[string]port.StoreItem{}, leases: map[port.LeaseID]bool{}, leaseByKey: map[string]port.LeaseID{}, wake: make(chan struct{}),
 	}
 }
 
-// SetDown switches an outage on or off.
-func (s *Store) SetDown(down bool) {
+// SetUnavailable starts or ends an outage, in which calls fail with
+// port.ErrUnavailable.
+func (s *Store) SetUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = down
-	s.signal()
+	s.unavailable = unavailable
+	s.signalLocked()
 }
 
-// Forget drops the history and cuts the watches.
-func (s *Store) Forget() {
+// CompactHistory discards the history, so that watches from earlier revisions fail.
+func (s *Store) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.oldest = s.rev
+	s.compactedAt = s.rev
 	s.changes = nil
-	s.signal()
+	s.signalLocked()
 }
 
-// Silently makes a change that no watch reports.
-func (s *Store) Silently(key, value string) {
+// PutWithoutWatch writes a key without reporting the change to watches.
+func (s *Store) PutWithoutWatch(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rev++
@@ -66,7 +67,7 @@
 func (s *Store) Put(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.put(port.StoreWrite{Key: key, Value: []byte(value)})
+	s.putLocked(port.StoreWrite{Key: key, Value: []byte(value)})
 }
 
 // Get returns the value of a key.
@@ -77,47 +78,49 @@
 	return string(it.Value), ok
 }
 
-// Lists returns the number of calls of List, refused ones included.
-func (s *Store) Lists() int {
+// ListCalls returns the number of calls of List, including failed ones.
+func (s *Store) ListCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lists
+	return s.listCalls
 }
 
-// Expire ends all leases and removes their keys.
-func (s *Store) Expire() {
+// ExpireLeases ends all leases and removes their keys.
+func (s *Store) ExpireLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
-		s.end(id)
+		s.endLeaseLocked(id)
 	}
 }
 
-func (s *Store) put(w port.StoreWrite) {
+// putLocked applies a write and signals the watches.
+func (s *Store) putLocked(w port.StoreWrite) {
 	s.rev++
 	it := port.StoreItem{Key: w.Key, Value: w.Value, Revision: s.rev}
 	s.items[w.Key] = it
-	s.owned[w.Key] = w.Lease
+	s.leaseByKey[w.Key] = w.Lease
 	s.changes = append(s.changes, port.StoreChange{StoreItem: it})
-	s.signal()
+	s.signalLocked()
 }
 
-func (s *Store) end(id port.LeaseID) {
+// endLeaseLocked removes a lease and its keys and signals the watches.
+func (s *Store) endLeaseLocked(id port.LeaseID) {
 	delete(s.leases, id)
-	for k, owner := range s.owned {
+	for k, owner := range s.leaseByKey {
 		if owner != id {
 			continue
 		}
 		s.rev++
 		delete(s.items, k)
-		delete(s.owned, k)
+		delete(s.leaseByKey, k)
 		s.changes = append(s.changes, port.StoreChange{StoreItem: port.StoreItem{Key: k, Revision: s.rev}, Removed: true})
 	}
-	s.signal()
+	s.signalLocked()
 }
 
-// signal wakes the watches. The caller holds the lock.
-func (s *Store) signal() {
+// signalLocked wakes all watches.
+func (s *Store) signalLocked() {
 	close(s.wake)
 	s.wake = make(chan struct{})
 }
@@ -126,8 +129,8 @@
 func (s *Store) List(_ context.Context, prefix string) ([]port.StoreItem, int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lists++
-	if s.down {
+	s.listCalls++
+	if s.unavailable {
 		return nil, 0, port.ErrUnavailable
 	}
 	var out []port.StoreItem
@@ -143,7 +146,7 @@
 func (s *Store) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]port.StoreChange, int64, error) {
 	late := time.After(wait)
 	for {
-		out, at, wake, err := s.since(prefix, after)
+		out, at, wake, err := s.changesSince(prefix, after)
 		if err != nil || len(out) > 0 {
 			return out, at, err
 		}
@@ -157,13 +160,15 @@
 	}
 }
 
-func (s *Store) since(prefix string, after int64) ([]port.StoreChange, int64, <-chan struct{}, error) {
+// changesSince returns the changes after a revision, the current revision, and a
+// channel that is closed by the next change.
+func (s *Store) changesSince(prefix string, after int64) ([]port.StoreChange, int64, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.down:
+	case s.unavailable:
 		return nil, after, nil, port.ErrUnavailable
-	case after < s.oldest:
+	case after < s.compactedAt:
 		return nil, after, nil, port.ErrHistoryGone
 	}
 	var out []port.StoreChange
@@ -179,7 +184,7 @@
 func (s *Store) Commit(_ context.Context, expect []port.Precondition, writes []port.StoreWrite) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down {
+	if s.unavailable {
 		return port.ErrUnavailable
 	}
 	for _, e := range expect {
@@ -188,7 +193,7 @@
 		}
 	}
 	for _, w := range writes {
-		s.put(w)
+		s.putLocked(w)
 	}
 	return nil
 }
@@ -197,11 +202,11 @@
 func (s *Store) Grant(context.Context, time.Duration) (port.LeaseID, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down {
+	if s.unavailable {
 		return port.NoLease, port.ErrUnavailable
 	}
-	s.lease++
-	id := port.LeaseID(strconv.FormatInt(s.lease, 10))
+	s.lastLease++
+	id := port.LeaseID(strconv.FormatInt(s.lastLease, 10))
 	s.leases[id] = true
 	return id, nil
 }
@@ -211,7 +216,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.down:
+	case s.unavailable:
 		return port.ErrUnavailable
 	case !s.leases[id]:
 		return port.ErrNotFound
@@ -223,9 +228,9 @@
 func (s *Store) Revoke(_ context.Context, id port.LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down {
+	if s.unavailable {
 		return port.ErrUnavailable
 	}
-	s.end(id)
+	s.endLeaseLocked(id)
 	return nil
 }
--- a/internal/port/porttest/weights.go
+++ b/internal/port/porttest/weights.go
@@ -1,4 +1,3 @@
-// Package porttest has in-memory fakes of the ports for tests.
 package porttest
 
 import (
@@ -11,38 +10,39 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// Weights is a fake of port.Weights. A version is complete once Put was called
-// for it, whether it is wanted or not.
+// Weights is a fake of port.Weights. A version is complete once Put was called for
+// it, whether it is wanted or not.
 type Weights struct {
-	held    *shard.Map[fleet.Version, []byte]
-	wanted  *shard.Map[string, []port.WantedVersion]
-	changed chan struct{}
-	// Live and LiveIn count the bytes charged for live traffic out and in.
-	Live, LiveIn atomic.Int64
+	complete *shard.Map[fleet.Version, []byte]
+	wanted   *shard.Map[string, []port.WantedVersion]
+	changed  chan struct{}
+	// LiveOutBytes and LiveInBytes count the bytes charged for live traffic.
+	LiveOutBytes, LiveInBytes atomic.Int64
 }
 
 var _ port.Weights = (*Weights)(nil)
 
-// NewWeights returns a store without versions.
+// NewWeights returns a fake without complete versions.
 func NewWeights() *Weights {
 	return &Weights{
-		held:    shard.New[fleet.Version, []byte](0),
-		wanted:  shard.New[string, []port.WantedVersion](1),
-		changed: make(chan struct{}, 1),
+		complete: shard.New[fleet.Version, []byte](0),
+		wanted:   shard.New[string, []port.WantedVersion](1),
+		changed:  make(chan struct{}, 1),
 	}
 }
 
+// wantedKey is the only key of the map with the wanted versions.
 const wantedKey = "wanted"
 
-// Put completes a version.
+// Put makes a version complete.
 func (w *Weights) Put(v fleet.Version, data []byte) {
-	w.held.Put(v, data)
+	w.complete.Put(v, data)
 	w.signal()
 }
 
-// Drop makes a version incomplete.
-func (w *Weights) Drop(v fleet.Version) {
-	w.held.Delete(v)
+// Remove makes a version incomplete.
+func (w *Weights) Remove(v fleet.Version) {
+	w.complete.Delete(v)
 	w.signal()
 }
 
@@ -53,8 +53,8 @@
 	}
 }
 
-// Wanted returns the last set given to Want.
-func (w *Weights) Wanted() []port.WantedVersion {
+// WantedVersions returns the versions of the last call of Want.
+func (w *Weights) WantedVersions() []port.WantedVersion {
 	ts, _ := w.wanted.Get(wantedKey)
 	return ts
 }
@@ -64,13 +64,13 @@
 
 // Open implements port.Weights.
 func (w *Weights) Open(v fleet.Version) (io.Reader, int64, bool) {
-	b, ok := w.held.Get(v)
+	b, ok := w.complete.Get(v)
 	return bytes.NewReader(b), int64(len(b)), ok
 }
 
 // Progress implements port.Weights.
 func (w *Weights) Progress() port.Progress {
-	ts := w.Wanted()
+	ts := w.WantedVersions()
 	if len(ts) == 0 {
 		return port.Progress{}
 	}
@@ -86,6 +86,6 @@
 
 // ChargeLiveTraffic implements port.Weights.
 func (w *Weights) ChargeLiveTraffic(in, out int) {
-	w.LiveIn.Add(int64(in))
-	w.Live.Add(int64(out))
+	w.LiveInBytes.Add(int64(in))
+	w.LiveOutBytes.Add(int64(out))
 }
