--- a/internal/app/chunks/chunks.go
+++ b/internal/app/chunks/chunks.go
@@ -422,7 +422,7 @@
 
 // errWatchUnsupported is returned to a member whose deployment uses streams of
 // chunk announcements.
-var errWatchUnsupported = errors.New("streams of chunk announcements are not supported")
+var errWatchUnsupported = errors.New("chunks are not announced")
 
 // WatchChunks implements port.PeerHandler. It always fails: members of this
 // deployment use announce-only requests instead.
--- a/internal/app/feed/server.go
+++ b/internal/app/feed/server.go
@@ -24,9 +24,9 @@
 	ErrNotReader = errors.Wrap(port.ErrFeedRefused, "process does not read the store")
 	// ErrStale means that the store's last confirmation of the process's view is too
 	// old.
-	ErrStale = errors.Wrap(port.ErrFeedRefused, "last confirmation by the store is too old")
+	ErrStale = errors.Wrap(port.ErrFeedRefused, "picture is not confirmed")
 	// ErrGap means that changes after the requested revision may be missing.
-	ErrGap = errors.Wrap(port.ErrFeedRefused, "changes after the requested revision may be missing")
+	ErrGap = errors.Wrap(port.ErrFeedRefused, "changes after the revision are not known")
 )
 
 // maxConfirmationAge is the age of the last confirmation above which no changes are
--- a/internal/app/gateway/attempt.go
+++ b/internal/app/gateway/attempt.go
@@ -228,7 +228,7 @@
 		err = c.out.Data(body)
 	}
 	if err != nil {
-		c.logRequest("caller left", verdict.Wrap(err, verdict.Ran, verdict.CodeCanceled, "response could not be delivered"), ans.Status)
+		c.logRequest("caller left", verdict.Wrap(err, verdict.Ran, verdict.CodeCanceled, "answer could not be delivered"), ans.Status)
 		return nil
 	}
 	c.logRequest("served", nil, ans.Status)
@@ -240,12 +240,12 @@
 func (c *call) recordBrokenResponse(ctx context.Context, choice placement.Choice, err error) *verdict.Error {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeDeadline, "deadline passed during the response")
+		return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeDeadline, "deadline passed within the answer")
 	case ctx.Err() != nil:
 		return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeCanceled, "caller left")
 	}
 	c.g.targets.RecordFailure(choice.Instance, c.g.deps.Clock.Now())
-	return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeBrokenAnswer, "response ended early")
+	return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeBrokenAnswer, "answer ended early")
 }
 
 // streamReadBytes is the buffer size for reading a stream; an event has about 100 bytes.
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -102,12 +102,12 @@
 		return nil
 	}
 	if age := c.g.viewAge(); c.g.confirmedAt.Load() == 0 || age > c.g.settings.KeyBound-keyBoundMargin {
-		return verdict.New(verdict.NotRun, verdict.CodeStaleConfiguration, "API keys were last confirmed %v ago", age.Round(time.Millisecond)).
+		return verdict.New(verdict.NotRun, verdict.CodeStaleConfiguration, "keys were last confirmed %v ago", age.Round(time.Millisecond)).
 			WithRetryAfter(localRetryAfter)
 	}
 	a, ok := c.routeTable.Account(c.in.APIKey)
 	if !ok {
-		return verdict.New(verdict.NotRun, verdict.CodeUnknownCustomer, "API key is not known")
+		return verdict.New(verdict.NotRun, verdict.CodeUnknownCustomer, "key is not known")
 	}
 	c.account = a
 	return nil
--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -210,15 +210,15 @@
 	case s.cordoned:
 		return verdict.New(verdict.NotRun, verdict.CodeTargetCordoned, "target is cordoned")
 	case !s.ready:
-		return verdict.New(verdict.NotRun, verdict.CodeVersionNotServing, "target has no completely loaded version").WithRetryAfter(retryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeVersionNotServing, "target serves no complete version").WithRetryAfter(retryAfter)
 	case s.limits.MaxBytes > 0 && n > s.limits.MaxBytes:
-		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "request has %d bytes, target accepts at most %d", n, s.limits.MaxBytes)
+		return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "request has %d bytes, target takes %d", n, s.limits.MaxBytes)
 	case s.inFlight >= s.limit && s.limit < s.limits.MaxRequests:
-		return verdict.New(verdict.NotRun, verdict.CodeTargetWarming, "target is warming up and is limited to %d concurrent requests", s.limit).WithRetryAfter(retryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeTargetWarming, "target is warming up at %d requests", s.limit).WithRetryAfter(retryAfter)
 	case s.inFlight >= s.limit:
-		return verdict.New(verdict.NotRun, verdict.CodeTargetFull, "target already has %d requests in progress", s.inFlight).WithRetryAfter(retryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeTargetFull, "target holds %d requests", s.inFlight).WithRetryAfter(retryAfter)
 	case s.limits.MaxBytes > 0 && s.bytes+n > s.limits.MaxBytes:
-		return verdict.New(verdict.NotRun, verdict.CodeTargetFull, "target already has %d request bytes in progress", s.bytes).WithRetryAfter(retryAfter)
+		return verdict.New(verdict.NotRun, verdict.CodeTargetFull, "target holds %d bytes", s.bytes).WithRetryAfter(retryAfter)
 	default:
 		return nil
 	}
--- a/internal/core/ledger/key.go
+++ b/internal/core/ledger/key.go
@@ -63,7 +63,7 @@
 	}
 	t, ok := uuidTime(key)
 	if !ok {
-		return Key{}, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the idempotency key is not a version 7 UUID")
+		return Key{}, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the idempotency key is not a UUID of version 7")
 	}
 	k := Key{Service: s, Hash: hashKey(c, key), Time: t, Partition: Partition(c, key)}
 	if t.Sub(now) > MaxSkew {
@@ -75,7 +75,7 @@
 // ErrKeyReused returns the error for a call whose key was used before for a
 // call with different content.
 func ErrKeyReused() *verdict.Error {
-	return verdict.New(verdict.NotRun, verdict.CodeKeyReused, "the idempotency key was already used for a call with different content")
+	return verdict.New(verdict.NotRun, verdict.CodeKeyReused, "the idempotency key belongs to a call with another content")
 }
 
 // checkAge rejects a key older than the window. The record of such a key may
--- a/internal/core/ledger/record.go
+++ b/internal/core/ledger/record.go
@@ -94,13 +94,13 @@
 	case InProgress:
 		return verdict.New(verdict.MayHaveRun, verdict.CodeInProgress, "a call with this key is in progress").WithRetryAfter(retryAfter)
 	case MayHaveRun:
-		return verdict.New(verdict.MayHaveRun, verdict.CodeDuplicate, "a call with this key was started and its outcome is unknown")
+		return verdict.New(verdict.MayHaveRun, verdict.CodeDuplicate, "a call with this key was started and its end is not recorded")
 	case AlreadyRan:
-		return verdict.New(verdict.Ran, verdict.CodeDuplicate, "a call with this key already ran; its response is not available")
+		return verdict.New(verdict.Ran, verdict.CodeDuplicate, "a call with this key ran; answer not kept")
 	case Expired:
-		return verdict.New(verdict.MayHaveRun, verdict.CodeKeyExpired, "the idempotency key expired before the call could start")
+		return verdict.New(verdict.MayHaveRun, verdict.CodeKeyExpired, "the idempotency key left its window")
 	case Full:
-		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many calls with idempotency keys of the same minute")
+		return verdict.New(verdict.NotRun, verdict.CodeOverloaded, "too many calls with keys of the same minute")
 	default:
 		return verdict.New(verdict.NotRun, verdict.CodeLedgerUnavailable, "the call could not be recorded").WithRetryAfter(retryAfter)
 	}
--- a/internal/core/schedule/byte_limiter.go
+++ b/internal/core/schedule/byte_limiter.go
@@ -28,7 +28,7 @@
 	if b.total.Add(n) > b.max {
 		b.total.Add(-n)
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded,
-			"entry has reached its memory limit of %d bytes", b.max).WithRetryAfter(retryAfter)
+			"entry holds its limit of %d bytes", b.max).WithRetryAfter(retryAfter)
 	}
 	exceeded := false
 	b.customers.Update(c, func(v int64, _ bool) (int64, bool) {
@@ -40,7 +40,7 @@
 	if exceeded {
 		b.total.Add(-n)
 		return verdict.New(verdict.NotRun, verdict.CodeCustomerLimit,
-			"customer has reached its memory limit of %d bytes at this entry", customerLimit).WithRetryAfter(retryAfter)
+			"customer holds its limit of %d bytes at this entry", customerLimit).WithRetryAfter(retryAfter)
 	}
 	return nil
 }
--- a/internal/core/schedule/pool.go
+++ b/internal/core/schedule/pool.go
@@ -72,7 +72,7 @@
 	}
 	if now.Add(wait).After(r.Deadline) {
 		return verdict.New(verdict.NotRun, verdict.CodeOverloaded,
-			"expected wait of %v exceeds the deadline", wait).WithRetryAfter(max(wait, retryAfter))
+			"expected wait of %v passes the deadline", wait).WithRetryAfter(max(wait, retryAfter))
 	}
 	return nil
 }
--- a/internal/core/schedule/schedule.go
+++ b/internal/core/schedule/schedule.go
@@ -90,7 +90,7 @@
 	t := &Ticket{req: r, grant: make(chan error, 1)}
 	if !q.countQueued(r) {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeCustomerLimit,
-			"customer has reached its limit of %d waiting requests at this entry", r.MaxQueued).WithRetryAfter(retryAfter)
+			"customer has %d requests waiting at this entry", r.MaxQueued).WithRetryAfter(retryAfter)
 	}
 	t.countedAsQueued = true
 	var err error
