--- a/test/spread/faults_test.go
+++ b/test/spread/faults_test.go
@@ -152,7 +152,7 @@
 
 // limitMemory leaves an agent memory for one new version, not for two.
 func limitMemory(s *harness.Spec) {
-	s.Agent = map[string]map[string]string{"weights": {"memory": "4MiB"}}
+	s.AgentSettings = map[string]map[string]string{"weights": {"memory": "4MiB"}}
 }
 
 // TestVersionChanges declares another version during a fetch. It guards against
