--- a/test/bench/control/inforce.go
+++ b/test/bench/control/inforce.go
@@ -126,7 +126,7 @@
 	for _, n := range nodes {
 		p.Go(func() error {
 			var status harness.AgentStatus
-			err := harness.Status(ctx, n.Admin, &status)
+			err := harness.GetStatus(ctx, n.Admin, &status)
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil {
--- a/test/bench/control/window.go
+++ b/test/bench/control/window.go
@@ -76,7 +76,7 @@
 }
 
 func (f *fleet) platformCalls(ctx context.Context) int64 {
-	counts, _ := harness.Counts(ctx, f.d.PlatformAddr)
+	counts, _ := harness.GetCounts(ctx, f.d.PlatformAddr)
 	sum := int64(0)
 	for _, n := range counts {
 		sum += n
@@ -126,7 +126,7 @@
 			Out  int64  `json:"out_bytes"`
 		}
 	}
-	if err := harness.Status(ctx, n.Admin, &status); err != nil {
+	if err := harness.GetStatus(ctx, n.Admin, &status); err != nil {
 		return out, err
 	}
 	out.revision = status.Revision
--- a/test/bench/serve/domain.go
+++ b/test/bench/serve/domain.go
@@ -38,9 +38,9 @@
 // runDomain cordons a failure domain under load and uncordons it again.
 func runDomain(ctx context.Context, b *bench, h *harness.Harness) error {
 	d, err := deploy(ctx, h, harness.Spec{
-		Domains: domainSpecs(3, 1, 3),
-		Engine:  harness.EngineSpec{MaxRequests: 8, ColdRequests: 2, TokenDelay: "10ms"},
-		Limits:  limitLines(8, 2),
+		Domains:    domainSpecs(3, 1, 3),
+		Engine:     harness.EngineSpec{MaxRequests: 8, ColdRequests: 2, TokenDelay: "10ms"},
+		LimitLines: limitLines(8, 2),
 	})
 	if err != nil {
 		return err
@@ -78,7 +78,7 @@
 		return 0, err
 	}
 	var nodes []*harness.Node
-	for _, n := range d.Engines() {
+	for _, n := range d.EngineAgents() {
 		if n.Domain == domain {
 			nodes = append(nodes, n)
 		}
@@ -101,7 +101,7 @@
 
 // reportOverloads prints how many requests the engines received beyond their limit.
 func reportOverloads(ctx context.Context, b *bench, d *harness.Deployment, section string) error {
-	n, err := sumCounts(ctx, d.Engines(), "overload")
+	n, err := sumCounts(ctx, d.EngineAgents(), "overload")
 	if err == nil {
 		b.atMost("engine_overloads_"+section, float64(n), "requests", 0)
 	}
--- a/test/bench/serve/kill.go
+++ b/test/bench/serve/kill.go
@@ -27,9 +27,9 @@
 // engines at full load and counts requests beyond the limits of their ramp.
 func runKill(ctx context.Context, b *bench, h *harness.Harness) error {
 	d, err := deploy(ctx, h, harness.Spec{
-		Domains: domainSpecs(2, 1, 5),
-		Engine:  harness.EngineSpec{MaxRequests: 8, ColdRequests: 2, TokenDelay: "10ms"},
-		Limits:  limitLines(8, 2),
+		Domains:    domainSpecs(2, 1, 5),
+		Engine:     harness.EngineSpec{MaxRequests: 8, ColdRequests: 2, TokenDelay: "10ms"},
+		LimitLines: limitLines(8, 2),
 	})
 	if err != nil {
 		return err
@@ -54,7 +54,7 @@
 		return killErr
 	}
 	printFailures("restarted engines at full load", rs)
-	if err := overloads.add(ctx, d.Engines()); err != nil {
+	if err := overloads.add(ctx, d.EngineAgents()); err != nil {
 		return err
 	}
 	b.atMost("cold_overload", float64(overloads.total), "requests", 0)
@@ -72,7 +72,7 @@
 // killed.
 func (o *overloadCounter) add(ctx context.Context, nodes []*harness.Node) error {
 	for _, n := range nodes {
-		c, err := harness.Counts(ctx, n.TargetAddr)
+		c, err := harness.GetCounts(ctx, n.TargetAddr)
 		if err != nil {
 			return err
 		}
@@ -89,7 +89,7 @@
 // after killDowntime.
 func killAgents(ctx context.Context, b *bench, d *harness.Deployment, overloads *overloadCounter) error {
 	rng := b.rand(5)
-	nodes := d.Engines()
+	nodes := d.EngineAgents()
 	for range killRounds {
 		if err := pause(ctx, killInterval-killDowntime); err != nil {
 			return err
@@ -123,7 +123,7 @@
 // killing its process, the others by a simulated restart within the process.
 func restartEngines(ctx context.Context, b *bench, d *harness.Deployment, overloads *overloadCounter) error {
 	rng := b.rand(6)
-	nodes := d.Engines()
+	nodes := d.EngineAgents()
 	for i := range restartRounds {
 		if err := pause(ctx, restartInterval); err != nil {
 			return err
--- a/test/bench/serve/latency.go
+++ b/test/bench/serve/latency.go
@@ -25,9 +25,9 @@
 // same time and rate, so that they see the same conditions on the machine.
 func runLatency(ctx context.Context, b *bench, h *harness.Harness) error {
 	d, err := deploy(ctx, h, harness.Spec{
-		Domains: domainSpecs(1, 1, 2),
-		Engine:  harness.EngineSpec{MaxRequests: 64, ColdRequests: 64},
-		Limits:  limitLines(64, 64),
+		Domains:    domainSpecs(1, 1, 2),
+		Engine:     harness.EngineSpec{MaxRequests: 64, ColdRequests: 64},
+		LimitLines: limitLines(64, 64),
 	})
 	if err != nil {
 		return err
@@ -101,7 +101,7 @@
 			break
 		}
 		time.Sleep(time.Until(start.Add(at)))
-		engines := l.d.Engines()
+		engines := l.d.EngineAgents()
 		n := engines[rng.IntN(len(engines))]
 		wg.Go(func() {
 			r := l.call(ctx, n)
--- a/test/bench/serve/load.go
+++ b/test/bench/serve/load.go
@@ -116,9 +116,9 @@
 	start := time.Now()
 	resp, err := c.Send(ctx, r.req)
 	r.total, r.verdict, r.lines = time.Since(start), resp.Verdict, len(resp.Lines)
-	check := resp.CheckWhole
+	check := resp.CheckComplete
 	if strings.HasPrefix(r.req.Path, "/v1/services/") {
-		check = resp.CheckCall
+		check = resp.CheckServiceCall
 	}
 	switch {
 	case err != nil:
--- a/test/bench/serve/once.go
+++ b/test/bench/serve/once.go
@@ -35,7 +35,7 @@
 			{Name: "a", Region: "ra", Entries: 2, Services: map[string]int{harness.Service: 2}},
 			{Name: "b", Region: "rb", Entries: 1, Services: map[string]int{harness.Service: 2}},
 		},
-		Limits: limitLines(256, 64),
+		LimitLines: limitLines(256, 64),
 	})
 	if err != nil {
 		return err
--- a/test/bench/serve/overload.go
+++ b/test/bench/serve/overload.go
@@ -24,9 +24,9 @@
 // one of eleven customers.
 func runOverload(ctx context.Context, b *bench, h *harness.Harness) error {
 	d, err := deploy(ctx, h, harness.Spec{
-		Domains: domainSpecs(2, 2, overloadEngines/2),
-		Engine:  harness.EngineSpec{MaxRequests: overloadSlots, ColdRequests: 2, TokenDelay: "10ms"},
-		Limits:  limitLines(overloadSlots, 2),
+		Domains:    domainSpecs(2, 2, overloadEngines/2),
+		Engine:     harness.EngineSpec{MaxRequests: overloadSlots, ColdRequests: 2, TokenDelay: "10ms"},
+		LimitLines: limitLines(overloadSlots, 2),
 	})
 	if err != nil {
 		return err
--- a/test/bench/spread/procs/fleet.go
+++ b/test/bench/spread/procs/fleet.go
@@ -72,7 +72,7 @@
 		// reads the end of a response before the engine has freed the slot.
 		Engine:   harness.EngineSpec{MaxRequests: 2 * slots, ColdRequests: 2, TokenDelay: tokenDelay.String(), OneProcess: true},
 		LinkRate: strconv.FormatInt(c.Rate, 10),
-		Limits: []string{
+		LimitLines: []string{
 			"max_requests = " + strconv.Itoa(slots), "max_bytes = 4MiB", "cold_requests = 1", "ramp_step = 200ms",
 		},
 	}
@@ -98,7 +98,7 @@
 	out := ""
 	for _, n := range f.Agents {
 		var s agentStatus
-		if err := harness.Status(ctx, n.Admin, &s); err != nil || s.Version == "" {
+		if err := harness.GetStatus(ctx, n.Admin, &s); err != nil || s.Version == "" {
 			out += fmt.Sprintf("%s: %+v %v; ", n.Name, s, err)
 		}
 	}
@@ -127,7 +127,7 @@
 	if err := harness.SetFaults(ctx, f.OriginAddr, origin.Faults{Corrupt: f.cfg.Corrupt}); err != nil {
 		return time.Time{}, err
 	}
-	text := f.Spec.Declare(map[string]string{"old": digest(f.old), "new": digest(f.new)}, "new")
+	text := f.Spec.RenderDeclaration(map[string]string{"old": digest(f.old), "new": digest(f.new)}, "new")
 	err := f.Apply(ctx, text)
 	return time.Now(), err
 }
@@ -146,7 +146,7 @@
 	statuses := make([]agentStatus, len(agents))
 	p := pool.New().WithErrors().WithMaxGoroutines(maxStatusCalls)
 	for i, n := range agents {
-		p.Go(func() error { return errors.Wrap(harness.Status(ctx, n.Admin, &statuses[i]), n.Name) })
+		p.Go(func() error { return errors.Wrap(harness.GetStatus(ctx, n.Admin, &statuses[i]), n.Name) })
 	}
 	if err := p.Wait(); err != nil {
 		return progress{}, err
--- a/test/bench/spread/procs/live.go
+++ b/test/bench/spread/procs/live.go
@@ -118,8 +118,8 @@
 
 // check returns an error unless the response is complete and every line comes from
 // the weights of the version that the response names.
-func (l *Live) check(resp *harness.Answer) error {
-	if err := resp.CheckWhole(); err != nil {
+func (l *Live) check(resp *harness.Response) error {
+	if err := resp.CheckComplete(); err != nil {
 		return err
 	}
 	want, ok := l.expect[resp.Version]
--- a/test/spread/corrupting_peer_test.go
+++ b/test/spread/corrupting_peer_test.go
@@ -15,7 +15,7 @@
 // that fetch from the agent again and again, and an origin that sends more than
 // its quota.
 func TestPeerCorrupts(t *testing.T) {
-	d := startDeployment(t, func(s *harness.Spec) { s.Relays = []harness.Link{harness.LinkRPC} })
+	d := startDeployment(t, func(s *harness.Spec) { s.RelayedLinks = []harness.Link{harness.LinkRPC} })
 	sender := d.agentsIn("b")[0]
 	if err := d.SetLinkFaults(t.Context(), harness.LinkRPC, relay.Faults{CorruptToCaller: true}, sender); err != nil {
 		t.Fatal(err)
--- a/test/spread/deployment_test.go
+++ b/test/spread/deployment_test.go
@@ -91,7 +91,7 @@
 // applyVersion applies a declaration that serves the version of a seed.
 func (d *deployment) applyVersion(seed uint64) {
 	d.t.Helper()
-	if err := d.Apply(d.t.Context(), d.Spec.Declare(d.digests, fmt.Sprintf("v%d", seed))); err != nil {
+	if err := d.Apply(d.t.Context(), d.Spec.RenderDeclaration(d.digests, fmt.Sprintf("v%d", seed))); err != nil {
 		d.t.Fatal(err)
 	}
 }
@@ -107,7 +107,7 @@
 
 func (d *deployment) agentStatus(n *harness.Node) (agentStatus, error) {
 	var s agentStatus
-	err := harness.Status(d.t.Context(), n.Admin, &s)
+	err := harness.GetStatus(d.t.Context(), n.Admin, &s)
 	return s, err
 }
 
@@ -153,7 +153,7 @@
 // agentsIn returns the agents of a failure domain.
 func (d *deployment) agentsIn(domain string) []*harness.Node {
 	var out []*harness.Node
-	for _, n := range d.InDomain(domain) {
+	for _, n := range d.NodesInDomain(domain) {
 		if !n.IsEntry {
 			out = append(out, n)
 		}
@@ -174,7 +174,7 @@
 			Path: harness.GeneratePath(harness.Group), Customer: harness.Customer, Class: "status", Body: body,
 		})
 		if err == nil {
-			err = resp.CheckWhole()
+			err = resp.CheckComplete()
 		}
 		if err != nil {
 			d.t.Fatal(err)
--- a/test/spread/faults_test.go
+++ b/test/spread/faults_test.go
@@ -152,7 +152,7 @@
 
 // limitMemory leaves an agent memory for one new version, not for two.
 func limitMemory(s *harness.Spec) {
-	s.Agent = map[string]map[string]string{"weights": {"memory": "4MiB"}}
+	s.AgentSettings = map[string]map[string]string{"weights": {"memory": "4MiB"}}
 }
 
 // TestVersionChanges declares another version during a fetch. It guards against
@@ -177,7 +177,7 @@
 func TestMemoryForOneVersion(t *testing.T) {
 	d := startDeployment(t, func(s *harness.Spec) {
 		limitMemory(s)
-		s.Limits = []string{"max_requests = 8", "max_bytes = 4MiB", "cold_requests = 2", "ramp_step = 200ms", "overlap = drain-first"}
+		s.LimitLines = []string{"max_requests = 8", "max_bytes = 4MiB", "cold_requests = 2", "ramp_step = 200ms", "overlap = drain-first"}
 	})
 	d.waitForVersion(d.publishAndApply(2), d.Agents...)
 	d.waitForVersion(d.publishAndApply(3), d.Agents...)
@@ -195,7 +195,7 @@
 	inside := d.agentsIn("b")
 	d.waitForPartialCopy(inside[0], v, 0.15)
 	outside := []*harness.Process{d.Platform, d.Origin}
-	for _, n := range d.InDomain("a") {
+	for _, n := range d.NodesInDomain("a") {
 		outside = append(outside, n.Proc)
 	}
 	for _, p := range outside {
