--- a/test/proof/check_test.go
+++ b/test/proof/check_test.go
@@ -18,43 +18,43 @@
 
 // check compares the histories. It is strict: nothing in it depends on which
 // failures the test switched on.
-func (w *world) check() {
-	w.t.Helper()
-	ranAt := w.engineHistory()
+func (dt *deploymentTest) checkHistories() {
+	dt.t.Helper()
+	ranAt := dt.enginesByRequest()
 	var broken, untrue []string
 	counts := map[string]int{}
-	for _, r := range w.all() {
+	for _, r := range dt.allRecords() {
 		counts[r.outcome]++
-		if r.outcome == ran && r.generate() {
-			if err := w.own(r); err != nil {
-				broken = append(broken, r.failed()+": "+err.Error())
+		if r.outcome == ran && r.isGenerate() {
+			if err := dt.checkAnswer(r); err != nil {
+				broken = append(broken, r.describe()+": "+err.Error())
 			}
 		}
-		if id := r.answer.RequestID; r.outcome == notRun && r.generate() && id != "" && ranAt[id] != "" {
-			untrue = append(untrue, r.failed()+" ran at "+ranAt[id])
+		if id := r.answer.RequestID; r.outcome == notRun && r.isGenerate() && id != "" && ranAt[id] != "" {
+			untrue = append(untrue, r.describe()+" ran at "+ranAt[id])
 		}
 	}
-	w.t.Logf("%d requests: %v", len(w.all()), counts)
-	w.report("answers that are not whole, own and from one declared version", broken)
-	w.report("requests reported as not run that ran", untrue)
-	w.report("revisions that went back", w.revs.faults)
-	w.checkKeys()
+	dt.t.Logf("%d requests: %v", len(dt.allRecords()), counts)
+	dt.reportViolations("answers that are not whole, own and from one declared version", broken)
+	dt.reportViolations("requests reported as not run that ran", untrue)
+	dt.reportViolations("revisions that went back", dt.revs.violations)
+	dt.checkKeyedCalls()
 }
 
-func (w *world) report(what string, faults []string) {
-	w.t.Helper()
+func (dt *deploymentTest) reportViolations(what string, faults []string) {
+	dt.t.Helper()
 	if len(faults) > 0 {
-		w.t.Errorf("%d %s; the first: %q", len(faults), what, faults[:min(maxShown, len(faults))])
+		dt.t.Errorf("%d %s; the first: %q", len(faults), what, faults[:min(maxShown, len(faults))])
 	}
 }
 
 // own returns an error unless the answer is whole and its text is what one
 // declared and complete version makes of this request's body.
-func (w *world) own(r record) error {
-	if err := r.whole(); err != nil {
+func (dt *deploymentTest) checkAnswer(r requestRecord) error {
+	if err := r.checkComplete(); err != nil {
 		return err
 	}
-	digest, ok := w.weights[r.answer.Version]
+	digest, ok := dt.weights[r.answer.Version]
 	if !ok {
 		return errors.Errorf("version %q was never declared", r.answer.Version)
 	}
@@ -77,14 +77,14 @@
 
 // engineHistory returns where each request ran. Requests that still run at an
 // engine end within moments after the load has ended.
-func (w *world) engineHistory() map[string]string {
-	w.t.Helper()
+func (dt *deploymentTest) enginesByRequest() map[string]string {
+	dt.t.Helper()
 	time.Sleep(200 * time.Millisecond)
 	at := map[string]string{}
-	for _, n := range w.EngineAgents() {
+	for _, n := range dt.EngineAgents() {
 		var h []engine.Answered
-		if err := harness.CallJSON(w.t.Context(), http.MethodGet, "http://"+n.TargetAddr+"/history", nil, &h); err != nil {
-			w.t.Errorf("history of %s: %v", n.Name, err)
+		if err := harness.CallJSON(dt.t.Context(), http.MethodGet, "http://"+n.TargetAddr+"/history", nil, &h); err != nil {
+			dt.t.Errorf("history of %s: %v", n.Name, err)
 		}
 		for _, a := range h {
 			at[a.RequestID] = n.Name
@@ -94,16 +94,16 @@
 }
 
 // effects returns how often each key took effect at the services.
-func (w *world) effects() map[string]int64 {
-	w.t.Helper()
+func (dt *deploymentTest) effectCounts() map[string]int64 {
+	dt.t.Helper()
 	all := map[string]int64{}
-	for _, n := range w.Agents {
+	for _, n := range dt.Agents {
 		if n.Service == "" {
 			continue
 		}
 		var m map[string]int64
-		if err := harness.CallJSON(w.t.Context(), http.MethodGet, "http://"+n.TargetAddr+"/effects", nil, &m); err != nil {
-			w.t.Errorf("effects of %s: %v", n.Name, err)
+		if err := harness.CallJSON(dt.t.Context(), http.MethodGet, "http://"+n.TargetAddr+"/effects", nil, &m); err != nil {
+			dt.t.Errorf("effects of %s: %v", n.Name, err)
 		}
 		for k, c := range m {
 			all[k] += c
@@ -124,7 +124,7 @@
 type possible struct{ not, took bool }
 
 // onceModel is a key whose call takes effect at most once.
-var onceModel = porcupine.Model{
+var atMostOnceModel = porcupine.Model{
 	Partition: func(h []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[any][]porcupine.Operation{}
 		for _, op := range h {
@@ -155,17 +155,17 @@
 }
 
 // checkKeys checks the keyed calls against the services' own counts.
-func (w *world) checkKeys() {
-	w.t.Helper()
-	effects, keys := w.effects(), map[string]bool{}
+func (dt *deploymentTest) checkKeyedCalls() {
+	dt.t.Helper()
+	effects, keys := dt.effectCounts(), map[string]bool{}
 	var ops []porcupine.Operation
 	var twice []string
-	for _, r := range w.all() {
+	for _, r := range dt.allRecords() {
 		if r.req.Key == "" || r.outcome == notSent {
 			continue
 		}
 		keys[r.req.Key] = true
-		op := porcupine.Operation{ClientId: r.caller, Input: r.req.Key, Call: int64(r.began), Return: int64(r.end)}
+		op := porcupine.Operation{ClientId: r.caller, Input: r.req.Key, Call: int64(r.startedAt), Return: int64(r.endedAt)}
 		if r.outcome == mayHaveRun {
 			op.Return = math.MaxInt64 - 2
 		}
@@ -181,9 +181,9 @@
 			Input: k, Call: math.MaxInt64 - 1, Return: math.MaxInt64, Output: told{count: effects[k]},
 		})
 	}
-	w.t.Logf("%d keys, %d operations, %d keys with an effect", len(keys), len(ops), len(effects))
-	w.report("keys with more than one effect", twice)
-	if res := porcupine.CheckOperationsTimeout(onceModel, ops, time.Minute); res != porcupine.Ok {
-		w.t.Errorf("the history of keyed calls is not linearizable (%v)", res)
+	dt.t.Logf("%d keys, %d operations, %d keys with an effect", len(keys), len(ops), len(effects))
+	dt.reportViolations("keys with more than one effect", twice)
+	if res := porcupine.CheckOperationsTimeout(atMostOnceModel, ops, time.Minute); res != porcupine.Ok {
+		dt.t.Errorf("the history of keyed calls is not linearizable (%v)", res)
 	}
 }
--- a/test/proof/cold_test.go
+++ b/test/proof/cold_test.go
@@ -11,70 +11,70 @@
 // manyCallers keep every engine above the load that a cold one bears, and leave
 // room for one engine less. With 16, the engines were full while one of them was
 // cold, and a request could be refused as target_full.
-const manyCallers = 10
+const heavyLoadCallers = 10
 
 // TestColdRestart guards against a target that has just started and gets more
 // load than it can handle: engines restart without their weights, one after
 // the other and under load.
 func TestColdRestart(t *testing.T) {
-	w := deploy(t, nil)
-	w.startLoadOf(manyCallers)
-	w.sleep(time.Second)
-	for _, n := range w.EngineAgents() {
-		w.coldBoot(n)
-		w.sleep(2 * time.Second)
+	dt := deploy(t, nil)
+	dt.startLoadWithCallers(heavyLoadCallers)
+	dt.sleep(time.Second)
+	for _, n := range dt.EngineAgents() {
+		dt.restartEngine(n)
+		dt.sleep(2 * time.Second)
 	}
-	w.must(w.WaitVersion(w.ctx, waitBound, w.versions["v1"]))
-	w.sleep(time.Second)
-	w.finish()
-	w.noOverload()
-	w.allAnswered(func(r record) bool { return r.generate() && len(r.answer.Lines) == 0 })
+	dt.must(dt.WaitVersion(dt.ctx, waitBound, dt.versions["v1"]))
+	dt.sleep(time.Second)
+	dt.finish()
+	dt.checkNoOverload()
+	dt.checkAllAnswered(func(r requestRecord) bool { return r.isGenerate() && len(r.answer.Lines) == 0 })
 }
 
 // TestCachesLost guards against an engine that loses its caches, keeps its
 // weights, and goes on to get the load of a warm one.
 func TestCachesLost(t *testing.T) {
-	w := deploy(t, nil)
-	w.startLoadOf(manyCallers)
-	w.sleep(time.Second)
-	for _, n := range w.EngineAgents() {
-		w.note("engine of " + n.Name + " becomes cold")
-		w.must(harness.CallJSON(w.ctx, http.MethodPost, "http://"+n.TargetAddr+"/cold", nil, nil))
-		w.sleep(time.Second)
+	dt := deploy(t, nil)
+	dt.startLoadWithCallers(heavyLoadCallers)
+	dt.sleep(time.Second)
+	for _, n := range dt.EngineAgents() {
+		dt.logStep("engine of " + n.Name + " becomes cold")
+		dt.must(harness.CallJSON(dt.ctx, http.MethodPost, "http://"+n.TargetAddr+"/cold", nil, nil))
+		dt.sleep(time.Second)
 	}
-	w.finish()
-	w.noOverload()
+	dt.finish()
+	dt.checkNoOverload()
 }
 
 // TestCachesLostBeforeLoad guards against an engine that lost its caches while
 // it was idle, and gets the load of a warm one when requests arrive. No request
 // may run in between, since each one that it finishes makes it bear one more.
 func TestCachesLostBeforeLoad(t *testing.T) {
-	w := deploy(t, nil)
-	w.startLoadOf(manyCallers)
-	w.sleep(time.Second)
-	w.load.stop()
-	for _, n := range w.EngineAgents() {
-		w.must(harness.CallJSON(w.ctx, http.MethodPost, "http://"+n.TargetAddr+"/cold", nil, nil))
+	dt := deploy(t, nil)
+	dt.startLoadWithCallers(heavyLoadCallers)
+	dt.sleep(time.Second)
+	dt.load.stop()
+	for _, n := range dt.EngineAgents() {
+		dt.must(harness.CallJSON(dt.ctx, http.MethodPost, "http://"+n.TargetAddr+"/cold", nil, nil))
 	}
-	w.note("all engines are cold")
-	w.sleep(time.Second) // the agents probe their engines meanwhile
-	w.startLoadOf(manyCallers)
-	w.sleep(2 * time.Second)
-	w.finish()
-	w.noOverload()
-	w.allAnswered(func(r record) bool { return r.generate() })
+	dt.logStep("all engines are cold")
+	dt.sleep(time.Second) // the agents probe their engines meanwhile
+	dt.startLoadWithCallers(heavyLoadCallers)
+	dt.sleep(2 * time.Second)
+	dt.finish()
+	dt.checkNoOverload()
+	dt.checkAllAnswered(func(r requestRecord) bool { return r.isGenerate() })
 }
 
 // noOverload fails the test if an engine got more requests than it bears.
-func (w *world) noOverload() {
-	w.t.Helper()
-	for _, n := range w.EngineAgents() {
-		c, err := harness.GetCounts(w.t.Context(), n.TargetAddr)
-		w.must(err)
-		w.t.Logf("%s: %v", n.Name, c)
+func (dt *deploymentTest) checkNoOverload() {
+	dt.t.Helper()
+	for _, n := range dt.EngineAgents() {
+		c, err := harness.GetCounts(dt.t.Context(), n.TargetAddr)
+		dt.must(err)
+		dt.t.Logf("%s: %v", n.Name, c)
 		if c["overload"] > 0 {
-			w.t.Errorf("the engine of %s was overloaded %d times", n.Name, c["overload"])
+			dt.t.Errorf("the engine of %s was overloaded %d times", n.Name, c["overload"])
 		}
 	}
 }
--- a/test/proof/history_test.go
+++ b/test/proof/history_test.go
@@ -20,45 +20,45 @@
 )
 
 // record is one request of a caller.
-type record struct {
-	caller     int
-	entry      string
-	req        harness.Request
-	began, end time.Duration
-	answer     harness.Response
-	err        error
-	outcome    string
+type requestRecord struct {
+	caller             int
+	entry              string
+	req                harness.Request
+	startedAt, endedAt time.Duration
+	answer             harness.Response
+	err                error
+	outcome            string
 }
 
 // history is what callers saw.
 type history struct {
-	began time.Time
+	startedAt time.Time
 
 	mu      sync.Mutex
-	records []record
+	records []requestRecord
 }
 
 // send sends one request and records it.
-func (h *history) send(w *world, caller int, e *harness.Node, c *harness.Caller, req harness.Request) record {
-	r := record{caller: caller, entry: e.Name, req: req, began: time.Since(h.began)}
-	r.answer, r.err = c.Send(w.t.Context(), req)
-	r.end = time.Since(h.began)
-	r.outcome = outcomeOf(r.answer, r.err)
+func (h *history) send(dt *deploymentTest, caller int, e *harness.Node, c *harness.Caller, req harness.Request) requestRecord {
+	r := requestRecord{caller: caller, entry: e.Name, req: req, startedAt: time.Since(h.startedAt)}
+	r.answer, r.err = c.Send(dt.t.Context(), req)
+	r.endedAt = time.Since(h.startedAt)
+	r.outcome = classifyOutcome(r.answer, r.err)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.records = append(h.records, r)
 	return r
 }
 
-func (h *history) all() []record {
+func (h *history) allRecords() []requestRecord {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]record(nil), h.records...)
+	return append([]requestRecord(nil), h.records...)
 }
 
 // outcomeOf reads the verdict. A connection that ends without one means that
 // the request may have run, unless it could not be opened.
-func outcomeOf(a harness.Response, err error) string {
+func classifyOutcome(a harness.Response, err error) string {
 	var op *net.OpError
 	switch {
 	case err != nil && errors.As(err, &op) && op.Op == "dial":
@@ -73,20 +73,20 @@
 }
 
 // whole reports whether the caller has the whole answer of its request.
-func (r *record) whole() error {
+func (r *requestRecord) checkComplete() error {
 	if r.err != nil {
 		return r.err
 	}
-	if r.generate() {
+	if r.isGenerate() {
 		return r.answer.CheckComplete()
 	}
 	return r.answer.CheckServiceCall()
 }
 
-func (r *record) generate() bool { return r.req.Path == harness.GeneratePath(harness.Group) }
+func (r *requestRecord) isGenerate() bool { return r.req.Path == harness.GeneratePath(harness.Group) }
 
 // failed describes a request without an answer, for messages.
-func (r *record) failed() string {
+func (r *requestRecord) describe() string {
 	code := ""
 	if r.answer.Error != nil {
 		code = r.answer.Error.Code + ": " + r.answer.Error.Message
@@ -94,79 +94,79 @@
 	if r.err != nil {
 		code = r.err.Error()
 	}
-	return time.Duration(r.began).Round(time.Millisecond).String() + " to " + r.end.Round(time.Millisecond).String() +
+	return time.Duration(r.startedAt).Round(time.Millisecond).String() + " to " + r.endedAt.Round(time.Millisecond).String() +
 		" at " + r.entry + " " + r.req.Path + " " + r.outcome + " " + code
 }
 
 // revisions checks that the revision of a process never goes back.
-type revisions struct {
-	mu     sync.Mutex
-	newest map[string]uint64
-	faults []string
+type revisionChecker struct {
+	mu         sync.Mutex
+	latest     map[string]uint64
+	violations []string
 }
 
-func (v *revisions) forget(name string) {
+func (v *revisionChecker) forget(name string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	delete(v.newest, name)
+	delete(v.latest, name)
 }
 
-func (v *revisions) see(name string, rev uint64) {
+func (v *revisionChecker) observe(name string, rev uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.newest == nil {
-		v.newest = map[string]uint64{}
+	if v.latest == nil {
+		v.latest = map[string]uint64{}
 	}
-	if old := v.newest[name]; rev < old {
-		v.faults = append(v.faults, errors.Errorf("%s went back from revision %d to %d", name, old, rev).Error())
+	if old := v.latest[name]; rev < old {
+		v.violations = append(v.violations, errors.Errorf("%s went back from revision %d to %d", name, old, rev).Error())
 	}
-	v.newest[name] = max(rev, v.newest[name])
+	v.latest[name] = max(rev, v.latest[name])
 }
 
 // monitorEvery is the time between two looks at the revision of a process.
-const monitorEvery = 50 * time.Millisecond
+const monitorInterval = 50 * time.Millisecond
 
 // startMonitor follows the revision of each daemon while the test runs.
-func (w *world) startMonitor() {
-	for _, n := range w.Nodes() {
-		w.locks[n] = &sync.Mutex{}
+func (dt *deploymentTest) startRevisionMonitor() {
+	for _, n := range dt.Nodes() {
+		dt.restartLocks[n] = &sync.Mutex{}
 	}
-	for _, n := range w.Nodes() {
-		w.monitor.Go(func() {
-			for w.ctx.Err() == nil {
-				w.look(n)
+	for _, n := range dt.Nodes() {
+		dt.monitor.Go(func() {
+			for dt.ctx.Err() == nil {
+				dt.recordRevision(n)
 				select {
-				case <-w.ctx.Done():
-				case <-time.After(monitorEvery):
+				case <-dt.ctx.Done():
+				case <-time.After(monitorInterval):
 				}
 			}
 		})
 	}
 }
 
-func (w *world) look(n *harness.Node) {
-	if !w.locks[n].TryLock() {
+func (dt *deploymentTest) recordRevision(n *harness.Node) {
+	if !dt.restartLocks[n].TryLock() {
 		return
 	}
-	defer w.locks[n].Unlock()
-	if rev, err := w.revision(n); err == nil {
-		w.revs.see(n.Name, rev)
+	defer dt.restartLocks[n].Unlock()
+	if rev, err := dt.revision(n); err == nil {
+		dt.revs.observe(n.Name, rev)
 	}
 }
 
 // revision returns the revision that a daemon reports.
-func (w *world) revision(n *harness.Node) (uint64, error) {
+func (dt *deploymentTest) revision(n *harness.Node) (uint64, error) {
 	var s struct{ Revision uint64 }
-	err := harness.GetStatus(w.ctx, n.Admin, &s)
+	err := harness.GetStatus(dt.ctx, n.Admin, &s)
 	return s.Revision, err
 }
 
 // waitRevision waits until each node given holds the revision.
-func (w *world) waitRevision(bound time.Duration, rev uint64, nodes ...*harness.Node) {
-	w.t.Helper()
-	w.must(harness.WaitFor(w.ctx, bound, "the newest revision", func() error {
+func (dt *deploymentTest) waitForRevision(bound time.Duration, rev uint64, nodes ...*harness.Node) {
+	dt.t.Helper()
+	dt.must(harness.WaitFor(dt.ctx, bound, "the newest revision", func() error {
 		for _, n := range nodes {
-			if got, err := w.revision(n); err != nil || got < rev {
+			if got, err := dt.revision(n); err != nil || got < rev {
 				return errors.Errorf("%s is at revision %d, want %d: %v", n.Name, got, rev, err)
 			}
 		}
--- a/test/proof/memory_test.go
+++ b/test/proof/memory_test.go
@@ -12,7 +12,7 @@
 
 // memoryForOne starts machines whose engines have the memory for one version
 // and take a second to load it.
-func memoryForOne(t *testing.T, overlap string) *world {
+func deployLowMemory(t *testing.T, overlap string) *deploymentTest {
 	t.Helper()
 	return deploy(t, func(s *harness.Spec) {
 		s.Engine.MemoryBytes, s.Engine.LoadPerMiB = 3<<19, "1s"
@@ -22,16 +22,16 @@
 
 // checkChange fails the test unless both versions served, each generate request
 // was answered, and every engine refused as many loads as expected.
-func (w *world) checkChange(v1, v2 string, refusals func(int64) bool) {
-	w.t.Helper()
-	w.served(v1, v2)
-	w.allAnswered(func(r record) bool { return r.generate() })
-	for _, n := range w.EngineAgents() {
-		c, err := harness.GetCounts(w.t.Context(), n.TargetAddr)
-		w.must(err)
-		w.t.Logf("%s: %v", n.Name, c)
+func (dt *deploymentTest) checkVersionChange(v1, v2 string, refusals func(int64) bool) {
+	dt.t.Helper()
+	dt.checkVersionsServed(v1, v2)
+	dt.checkAllAnswered(func(r requestRecord) bool { return r.isGenerate() })
+	for _, n := range dt.EngineAgents() {
+		c, err := harness.GetCounts(dt.t.Context(), n.TargetAddr)
+		dt.must(err)
+		dt.t.Logf("%s: %v", n.Name, c)
 		if !refusals(c["out_of_memory"]) {
-			w.t.Errorf("the engine of %s refused %d loads for want of memory", n.Name, c["out_of_memory"])
+			dt.t.Errorf("the engine of %s refused %d loads for want of memory", n.Name, c["out_of_memory"])
 		}
 	}
 }
@@ -41,18 +41,18 @@
 // rotation at a time, or does not end: each machine leaves the rotation, loads
 // the new version and returns.
 func TestDrainFirstUnderLoad(t *testing.T) {
-	w := memoryForOne(t, "drain-first")
-	w.startLoad()
-	w.sleep(500 * time.Millisecond)
-	v1, v2 := w.versions["v1"], w.publish("v2", 2)
-	w.declare("v2")
-	w.note("v2 is declared")
+	dt := deployLowMemory(t, "drain-first")
+	dt.startLoad()
+	dt.sleep(500 * time.Millisecond)
+	v1, v2 := dt.versions["v1"], dt.publish("v2", 2)
+	dt.declareVersion("v2")
+	dt.logStep("v2 is declared")
 	left, most := map[string]bool{}, 0
-	w.must(harness.WaitFor(w.ctx, waitBound, "v2 everywhere", func() error {
+	dt.must(harness.WaitFor(dt.ctx, waitBound, "v2 everywhere", func() error {
 		out, done := 0, 0
-		for _, n := range w.EngineAgents() {
+		for _, n := range dt.EngineAgents() {
 			var s harness.AgentStatus
-			if err := harness.GetStatus(w.ctx, n.Admin, &s); err != nil {
+			if err := harness.GetStatus(dt.ctx, n.Admin, &s); err != nil {
 				return err
 			}
 			if !s.Ready {
@@ -63,50 +63,50 @@
 				done++
 			}
 		}
-		if most = max(most, out); done < len(w.EngineAgents()) {
+		if most = max(most, out); done < len(dt.EngineAgents()) {
 			return errors.Errorf("%d machines are done, %d are out of rotation", done, out)
 		}
 		return nil
 	}))
-	w.note("v2 is served everywhere")
-	w.sleep(500 * time.Millisecond)
-	w.finish()
-	w.t.Logf("left rotation: %v, at most %d at a time", left, most)
-	if len(left) != len(w.EngineAgents()) || most > len(w.EngineAgents())/2 {
-		t.Errorf("%d of %d machines were seen out of rotation, %d at a time", len(left), len(w.EngineAgents()), most)
+	dt.logStep("v2 is served everywhere")
+	dt.sleep(500 * time.Millisecond)
+	dt.finish()
+	dt.t.Logf("left rotation: %v, at most %d at a time", left, most)
+	if len(left) != len(dt.EngineAgents()) || most > len(dt.EngineAgents())/2 {
+		t.Errorf("%d of %d machines were seen out of rotation, %d at a time", len(left), len(dt.EngineAgents()), most)
 	}
-	w.checkChange(v1, v2, func(n int64) bool { return n == 0 })
+	dt.checkVersionChange(v1, v2, func(n int64) bool { return n == 0 })
 }
 
 // TestKeepOldWithoutMemory guards against a change with keep-old that the
 // engines have no memory for, and that fails requests, stops service or does not
 // say why it stands still. Declared with drain-first, it goes on.
 func TestKeepOldWithoutMemory(t *testing.T) {
-	w := memoryForOne(t, "keep-old")
-	w.startLoad()
-	w.sleep(500 * time.Millisecond)
-	v1, v2 := w.versions["v1"], w.publish("v2", 2)
-	w.declare("v2")
-	w.note("v2 is declared")
-	for _, n := range w.EngineAgents() {
-		w.must(harness.WaitFor(w.ctx, waitBound, "the reason at "+n.Name, func() error {
-			out, _, err := w.Ctl(w.ctx, "status", "--peer", w.Entries[0].RPC)
+	dt := deployLowMemory(t, "keep-old")
+	dt.startLoad()
+	dt.sleep(500 * time.Millisecond)
+	v1, v2 := dt.versions["v1"], dt.publish("v2", 2)
+	dt.declareVersion("v2")
+	dt.logStep("v2 is declared")
+	for _, n := range dt.EngineAgents() {
+		dt.must(harness.WaitFor(dt.ctx, waitBound, "the reason at "+n.Name, func() error {
+			out, _, err := dt.Ctl(dt.ctx, "status", "--peer", dt.Entries[0].RPC)
 			for line := range strings.Lines(out) {
 				if strings.HasPrefix(line, "stuck: "+n.Name+":") && strings.Contains(line, "not enough memory") {
-					w.note(strings.TrimSpace(line))
+					dt.logStep(strings.TrimSpace(line))
 					return nil
 				}
 			}
 			return errors.Errorf("status shows: %s %v", out, err)
 		}))
 	}
-	w.must(w.WaitVersion(w.ctx, configBound, v1))
-	w.Spec.Overlap = "drain-first"
-	w.declare("v2")
-	w.note("v2 is declared with drain-first")
-	w.must(w.WaitVersion(w.ctx, waitBound, v2))
-	w.note("v2 is served everywhere")
-	w.sleep(500 * time.Millisecond)
-	w.finish()
-	w.checkChange(v1, v2, func(n int64) bool { return n > 0 })
+	dt.must(dt.WaitVersion(dt.ctx, configBound, v1))
+	dt.Spec.Overlap = "drain-first"
+	dt.declareVersion("v2")
+	dt.logStep("v2 is declared with drain-first")
+	dt.must(dt.WaitVersion(dt.ctx, waitBound, v2))
+	dt.logStep("v2 is served everywhere")
+	dt.sleep(500 * time.Millisecond)
+	dt.finish()
+	dt.checkVersionChange(v1, v2, func(n int64) bool { return n > 0 })
 }
--- a/test/proof/proof_test.go
+++ b/test/proof/proof_test.go
@@ -36,26 +36,26 @@
 func TestMain(m *testing.M) { os.Exit(harness.Main(m)) }
 
 // world is a deployment with the histories of one test.
-type world struct {
+type deploymentTest struct {
 	*harness.Deployment
 	t   *testing.T
 	ctx context.Context
 	rnd *rand.Rand
 	history
-	revs revisions
-
-	versions map[string]string            // digest by name
-	weights  map[string][sha256.Size]byte // digest of the weights by version
-	load     *load
-	monitor  conc.WaitGroup
-	stop     context.CancelFunc
-	locks    map[*harness.Node]*sync.Mutex // held while a node is restarted
+	revs revisionChecker
+
+	versions     map[string]string            // digest by name
+	weights      map[string][sha256.Size]byte // digest of the weights by version
+	load         *loadGenerator
+	monitor      conc.WaitGroup
+	stop         context.CancelFunc
+	restartLocks map[*harness.Node]*sync.Mutex // held while a node is restarted
 }
 
 // deploy starts 2 failure domains in 2 regions with an entry, two engines and
 // a service each, and waits until version v1 is served. The histories are
 // checked when the test ends.
-func deploy(t *testing.T, change func(*harness.Spec)) *world {
+func deploy(t *testing.T, change func(*harness.Spec)) *deploymentTest {
 	t.Helper()
 	seed := *seedFlag
 	if seed == 0 {
@@ -76,52 +76,52 @@
 		change(&s)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	w := &world{
+	dt := &deploymentTest{
 		t: t, ctx: ctx, stop: stop, rnd: rand.New(rand.NewPCG(seed, 1)), versions: map[string]string{},
-		weights: map[string][sha256.Size]byte{}, locks: map[*harness.Node]*sync.Mutex{},
+		weights: map[string][sha256.Size]byte{}, restartLocks: map[*harness.Node]*sync.Mutex{},
 	}
 	var err error
-	w.Deployment, err = harness.Deploy(ctx, harness.ForTest(t), s)
-	w.must(err)
-	w.must(w.WaitVersion(ctx, waitBound, w.publish("v1", 1)))
-	w.began = time.Now()
-	w.startMonitor()
-	return w
+	dt.Deployment, err = harness.Deploy(ctx, harness.ForTest(t), s)
+	dt.must(err)
+	dt.must(dt.WaitVersion(ctx, waitBound, dt.publish("v1", 1)))
+	dt.startedAt = time.Now()
+	dt.startRevisionMonitor()
+	return dt
 }
 
-func (w *world) must(err error) {
-	w.t.Helper()
+func (dt *deploymentTest) must(err error) {
+	dt.t.Helper()
 	if err != nil {
-		w.t.Fatal(err)
+		dt.t.Fatal(err)
 	}
 }
 
 // publish makes the origin offer a version and returns its digest.
-func (w *world) publish(name string, seed int) string {
-	w.t.Helper()
-	v, err := w.Publish(w.ctx, seed)
-	w.must(err)
+func (dt *deploymentTest) publish(name string, seed int) string {
+	dt.t.Helper()
+	v, err := dt.Publish(dt.ctx, seed)
+	dt.must(err)
 	var size, chunk int
-	for text, n := range map[string]*int{w.Spec.Origin.Size: &size, w.Spec.Origin.Chunk: &chunk} {
+	for text, n := range map[string]*int{dt.Spec.Origin.Size: &size, dt.Spec.Origin.Chunk: &chunk} {
 		b, err := origin.ParseBytes(text)
-		w.must(err)
+		dt.must(err)
 		*n = int(b)
 	}
-	b := origin.Version{Model: fleet.Model(w.Spec.Origin.Model), Bytes: size, ChunkBytes: chunk, Seed: uint64(seed)}.Make()
-	w.versions[name], w.weights[v] = v, sha256.Sum256(b)
+	b := origin.Version{Model: fleet.Model(dt.Spec.Origin.Model), Bytes: size, ChunkBytes: chunk, Seed: uint64(seed)}.Make()
+	dt.versions[name], dt.weights[v] = v, sha256.Sum256(b)
 	return v
 }
 
 // declare puts a version in force.
-func (w *world) declare(name string) {
-	w.t.Helper()
-	w.must(w.Apply(w.ctx, w.Spec.RenderDeclaration(w.versions, name)))
+func (dt *deploymentTest) declareVersion(name string) {
+	dt.t.Helper()
+	dt.must(dt.Apply(dt.ctx, dt.Spec.RenderDeclaration(dt.versions, name)))
 }
 
 // agents returns the agents of a failure domain with or without an engine.
-func (w *world) agents(domain string, engine bool) []*harness.Node {
+func (dt *deploymentTest) agents(domain string, engine bool) []*harness.Node {
 	var out []*harness.Node
-	for _, n := range w.NodesInDomain(domain) {
+	for _, n := range dt.NodesInDomain(domain) {
 		if !n.IsEntry && (n.Service == "") == engine {
 			out = append(out, n)
 		}
@@ -131,57 +131,57 @@
 
 // restart starts the daemon of a node that has ended and waits until it is
 // ready.
-func (w *world) restart(n *harness.Node) {
-	w.t.Helper()
-	w.run(n)
-	w.must(harness.WaitReady(w.ctx, waitBound, n.Proc, n.Admin))
+func (dt *deploymentTest) startDaemonAndWait(n *harness.Node) {
+	dt.t.Helper()
+	dt.startDaemon(n)
+	dt.must(harness.WaitReady(dt.ctx, waitBound, n.Proc, n.Admin))
 }
 
 // run starts the daemon of a node that has ended and does not wait. Its
 // revision is followed anew, since the old process took its own with it.
-func (w *world) run(n *harness.Node) {
-	w.t.Helper()
-	w.locks[n].Lock()
-	defer w.locks[n].Unlock()
-	w.must(w.SpawnNode(n))
-	w.revs.forget(n.Name)
+func (dt *deploymentTest) startDaemon(n *harness.Node) {
+	dt.t.Helper()
+	dt.restartLocks[n].Lock()
+	defer dt.restartLocks[n].Unlock()
+	dt.must(dt.SpawnNode(n))
+	dt.revs.forget(n.Name)
 }
 
 // kill ends the daemon of a node without warning.
-func (w *world) kill(n *harness.Node) {
-	w.t.Helper()
-	w.must(n.Proc.Kill())
+func (dt *deploymentTest) killDaemon(n *harness.Node) {
+	dt.t.Helper()
+	dt.must(n.Proc.Kill())
 }
 
 // note logs what the test does with the time since its start.
-func (w *world) note(what string) {
-	w.t.Logf("%6.2fs %s", time.Since(w.began).Seconds(), what)
+func (dt *deploymentTest) logStep(what string) {
+	dt.t.Logf("%6.2fs %s", time.Since(dt.startedAt).Seconds(), what)
 }
 
-func (w *world) sleep(d time.Duration) {
-	w.t.Helper()
+func (dt *deploymentTest) sleep(d time.Duration) {
+	dt.t.Helper()
 	select {
-	case <-w.ctx.Done():
-		w.t.Fatal(w.ctx.Err())
+	case <-dt.ctx.Done():
+		dt.t.Fatal(dt.ctx.Err())
 	case <-time.After(d):
 	}
 }
 
 // faults sets the faults of the stand-in at addr.
-func (w *world) faults(addr string, f any) {
-	w.t.Helper()
-	w.must(harness.SetFaults(w.ctx, addr, f))
+func (dt *deploymentTest) setFaults(addr string, f any) {
+	dt.t.Helper()
+	dt.must(harness.SetFaults(dt.ctx, addr, f))
 }
 
 // finish ends the load and checks the histories.
-func (w *world) finish() {
-	w.t.Helper()
-	if w.load != nil {
-		w.load.stop()
+func (dt *deploymentTest) finish() {
+	dt.t.Helper()
+	if dt.load != nil {
+		dt.load.stop()
 	}
-	w.note("the load has ended")
-	w.stop()
-	w.monitor.Wait()
-	w.check()
-	w.note("the histories are checked")
+	dt.logStep("the load has ended")
+	dt.stop()
+	dt.monitor.Wait()
+	dt.checkHistories()
+	dt.logStep("the histories are checked")
 }
