--- a/test/proof/check_test.go
+++ b/test/proof/check_test.go
@@ -157,7 +157,7 @@
 // checkKeys checks the keyed calls against the services' own counts.
 func (dt *deploymentTest) checkKeyedCalls() {
 	dt.t.Helper()
-	effects, keys := dt.effectCounts(), map[string]bool{}
+	effectCounts, keys := dt.effectCounts(), map[string]bool{}
 	var ops []porcupine.Operation
 	var twice []string
 	for _, r := range dt.allRecords() {
@@ -174,14 +174,14 @@
 		ops = append(ops, op)
 	}
 	for k := range keys {
-		if effects[k] > 1 {
+		if effectCounts[k] > 1 {
 			twice = append(twice, k)
 		}
 		ops = append(ops, porcupine.Operation{
-			Input: k, Call: math.MaxInt64 - 1, Return: math.MaxInt64, Output: told{count: effects[k]},
+			Input: k, Call: math.MaxInt64 - 1, Return: math.MaxInt64, Output: told{count: effectCounts[k]},
 		})
 	}
-	dt.t.Logf("%d keys, %d operations, %d keys with an effect", len(keys), len(ops), len(effects))
+	dt.t.Logf("%d keys, %d operations, %d keys with an effect", len(keys), len(ops), len(effectCounts))
 	dt.reportViolations("keys with more than one effect", twice)
 	if res := porcupine.CheckOperationsTimeout(atMostOnceModel, ops, time.Minute); res != porcupine.Ok {
 		dt.t.Errorf("the history of keyed calls is not linearizable (%v)", res)
--- a/test/proof/cold_test.go
+++ b/test/proof/cold_test.go
@@ -53,7 +53,7 @@
 	dt := deploy(t, nil)
 	dt.startLoadWithCallers(heavyLoadCallers)
 	dt.sleep(time.Second)
-	dt.load.stop()
+	dt.loadGenerator.stop()
 	for _, n := range dt.EngineAgents() {
 		dt.must(harness.CallJSON(dt.ctx, http.MethodPost, "http://"+n.TargetAddr+"/cold", nil, nil))
 	}
--- a/test/proof/load_test.go
+++ b/test/proof/load_test.go
@@ -38,7 +38,7 @@
 func (dt *deploymentTest) startLoadWithCallers(callers int) {
 	l := &loadGenerator{dt: dt}
 	l.ctx, l.cancel = context.WithCancel(dt.ctx)
-	dt.load = l
+	dt.loadGenerator = l
 	for _, e := range dt.Entries {
 		l.callers = append(l.callers, harness.NewCaller(e.HTTP))
 	}
--- a/test/proof/proof_test.go
+++ b/test/proof/proof_test.go
@@ -44,12 +44,12 @@
 	history
 	revs revisionChecker
 
-	versions     map[string]string            // digest by name
-	weights      map[string][sha256.Size]byte // digest of the weights by version
-	load         *loadGenerator
-	monitor      conc.WaitGroup
-	stop         context.CancelFunc
-	restartLocks map[*harness.Node]*sync.Mutex // held while a node is restarted
+	versions      map[string]string            // digest by name
+	weights       map[string][sha256.Size]byte // digest of the weights by version
+	loadGenerator *loadGenerator
+	monitor       conc.WaitGroup
+	stop          context.CancelFunc
+	restartLocks  map[*harness.Node]*sync.Mutex // held while a node is restarted
 }
 
 // deploy starts 2 failure domains in 2 regions with an entry, two engines and
@@ -176,8 +176,8 @@
 // finish ends the load and checks the histories.
 func (dt *deploymentTest) finish() {
 	dt.t.Helper()
-	if dt.load != nil {
-		dt.load.stop()
+	if dt.loadGenerator != nil {
+		dt.loadGenerator.stop()
 	}
 	dt.logStep("the load has ended")
 	dt.stop()
