--- a/internal/adapter/kvhttp/kvhttp.go
+++ b/internal/adapter/kvhttp/kvhttp.go
@@ -21,21 +21,22 @@
 )
 
 const (
-	// callTimeout bounds a call; the service answers in milliseconds.
+	// callTimeout limits every call except watches. The platform normally responds
+	// within milliseconds.
 	callTimeout = 2 * time.Second
-	// watchMargin is added to the wait of a watch.
-	watchMargin = 2 * time.Second
-	// maxValueBytes is the service's limit of a value.
-	maxValueBytes = 1 << 20
-	revHeader     = "X-Rev"
+	// watchTimeoutMargin is added to the wait time of a watch to get its timeout.
+	watchTimeoutMargin = 2 * time.Second
+	// maxValueBytes is the largest value that the platform stores.
+	maxValueBytes  = 1 << 20
+	revisionHeader = "X-Rev"
 )
 
-// Client calls the platform.
+// Client calls the HTTP interface of the platform.
 type Client struct {
-	base string
-	http *http.Client
-	// in and out count the bytes of all connections.
-	in, out *atomic.Int64
+	baseURL string
+	http    *http.Client
+	// bytesIn and bytesOut count the bytes received and sent on all connections.
+	bytesIn, bytesOut *atomic.Int64
 }
 
 var (
@@ -43,16 +44,16 @@
 	_ port.VMList = (*Client)(nil)
 )
 
-// New returns a client of the service at addr.
+// New returns a client of the platform at addr.
 func New(addr fleet.Address) *Client {
-	c := &Client{base: "http://" + string(addr), in: &atomic.Int64{}, out: &atomic.Int64{}}
+	c := &Client{baseURL: "http://" + string(addr), bytesIn: &atomic.Int64{}, bytesOut: &atomic.Int64{}}
 	c.http = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DialContext: c.dial}}
 	return c
 }
 
-// Traffic returns the bytes sent and received so far.
+// Traffic returns the number of bytes received and sent so far.
 func (c *Client) Traffic() port.Traffic {
-	return port.Traffic{Kind: "platform", In: c.in.Load(), Out: c.out.Load()}
+	return port.Traffic{Kind: "platform", In: c.bytesIn.Load(), Out: c.bytesOut.Load()}
 }
 
 func (c *Client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -60,39 +61,39 @@
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{conn, c}, nil
+	return countingConn{conn, c}, nil
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
-	c *Client
+	client *Client
 }
 
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.c.in.Add(int64(n))
+	c.client.bytesIn.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.c.out.Add(int64(n))
+	c.client.bytesOut.Add(int64(n))
 	return n, err
 }
 
-type reply struct {
+type response struct {
 	status int
 	rev    int64
 	body   []byte
 }
 
-// call sends one request. An error means that the outcome is unknown. A call
-// that gets no answer in time may have used a connection that went silent for
-// good. The idle ones are dropped then, since they may be silent as well and
-// each would cost a further call its timeout.
+// call sends one request. An error means that the outcome is unknown. After a
+// timeout it closes all idle connections: the connection used may be dead without
+// having been closed, and the idle ones may be dead as well, so that each of them
+// would cost another call its timeout.
 func (c *Client) call(
 	ctx context.Context, timeout time.Duration, method, path string, q url.Values, body []byte,
-) (reply, error) {
+) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	r, err := c.send(ctx, method, path, q, body)
@@ -102,26 +103,26 @@
 	return r, err
 }
 
-func (c *Client) send(ctx context.Context, method, path string, q url.Values, body []byte) (reply, error) {
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path+"?"+q.Encode(), bytes.NewReader(body))
+func (c *Client) send(ctx context.Context, method, path string, q url.Values, body []byte) (response, error) {
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path+"?"+q.Encode(), bytes.NewReader(body))
 	if err != nil {
-		return reply{}, errors.Wrap(err, "building platform request")
+		return response{}, errors.Wrap(err, "building platform request")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return reply{}, errors.Wrap(err, "calling platform")
+		return response{}, errors.Wrap(err, "calling platform")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxValueBytes+1))
 	if err != nil {
-		return reply{}, errors.Wrap(err, "reading platform answer")
+		return response{}, errors.Wrap(err, "reading platform answer")
 	}
-	rev, _ := strconv.ParseInt(resp.Header.Get(revHeader), 10, 64)
-	return reply{resp.StatusCode, rev, b}, nil
+	rev, _ := strconv.ParseInt(resp.Header.Get(revisionHeader), 10, 64)
+	return response{resp.StatusCode, rev, b}, nil
 }
 
-// read maps the result of a call without effect.
-func read(r reply, err error) (reply, error) {
+// readResult maps the result of a call without side effects to an error of port.KV.
+func readResult(r response, err error) (response, error) {
 	switch {
 	case err != nil:
 		return r, errors.Wrap(port.ErrUnavailable, err.Error())
@@ -134,9 +135,10 @@
 	}
 }
 
-// write maps the result of a call with an effect. Only an explicit refusal, or
-// a connection that was never made, says that there was none.
-func write(r reply, err error) (reply, error) {
+// writeResult maps the result of a call with side effects to an error of port.KV.
+// Only a rejection by the platform, or a failure to connect, proves that there was no
+// side effect.
+func writeResult(r response, err error) (response, error) {
 	var op *net.OpError
 	switch {
 	case errors.As(err, &op) && op.Op == "dial":
@@ -160,7 +162,7 @@
 
 // Get implements port.KV.
 func (c *Client) Get(ctx context.Context, key string) (port.KVEntry, error) {
-	r, err := read(c.call(ctx, callTimeout, http.MethodGet, keyPath(key), nil, nil))
+	r, err := readResult(c.call(ctx, callTimeout, http.MethodGet, keyPath(key), nil, nil))
 	if err != nil {
 		return port.KVEntry{}, err
 	}
@@ -170,7 +172,7 @@
 // Watch implements port.KV.
 func (c *Client) Watch(ctx context.Context, key string, after int64, wait time.Duration) (port.KVEntry, error) {
 	q := url.Values{"after": {strconv.FormatInt(after, 10)}, "wait": {wait.String()}}
-	r, err := read(c.call(ctx, wait+watchMargin, http.MethodGet, keyPath(key), q, nil))
+	r, err := readResult(c.call(ctx, wait+watchTimeoutMargin, http.MethodGet, keyPath(key), q, nil))
 	if err != nil {
 		return port.KVEntry{}, err
 	}
@@ -185,36 +187,36 @@
 	if lease != port.NoLease {
 		q.Set("lease", string(lease))
 	}
-	r, err := write(c.call(ctx, callTimeout, http.MethodPut, keyPath(key), q, value))
+	r, err := writeResult(c.call(ctx, callTimeout, http.MethodPut, keyPath(key), q, value))
 	return r.rev, err
 }
 
 // Delete implements port.KV.
 func (c *Client) Delete(ctx context.Context, key string, rev int64) error {
 	q := url.Values{"rev": {strconv.FormatInt(rev, 10)}}
-	_, err := write(c.call(ctx, callTimeout, http.MethodDelete, keyPath(key), q, nil))
+	_, err := writeResult(c.call(ctx, callTimeout, http.MethodDelete, keyPath(key), q, nil))
 	return err
 }
 
 // Grant implements port.KV.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (port.LeaseID, error) {
-	r, err := write(c.call(ctx, callTimeout, http.MethodPost, "/v1/leases", url.Values{"ttl": {ttl.String()}}, nil))
+	r, err := writeResult(c.call(ctx, callTimeout, http.MethodPost, "/v1/leases", url.Values{"ttl": {ttl.String()}}, nil))
 	return port.LeaseID(r.body), err
 }
 
 // KeepAlive implements port.KV.
 func (c *Client) KeepAlive(ctx context.Context, id port.LeaseID) error {
-	_, err := write(c.call(ctx, callTimeout, http.MethodPut, "/v1/leases/"+string(id), nil, nil))
+	_, err := writeResult(c.call(ctx, callTimeout, http.MethodPut, "/v1/leases/"+string(id), nil, nil))
 	return err
 }
 
 // Revoke implements port.KV.
 func (c *Client) Revoke(ctx context.Context, id port.LeaseID) error {
-	_, err := write(c.call(ctx, callTimeout, http.MethodDelete, "/v1/leases/"+string(id), nil, nil))
+	_, err := writeResult(c.call(ctx, callTimeout, http.MethodDelete, "/v1/leases/"+string(id), nil, nil))
 	return err
 }
 
-type vmLine struct {
+type vmJSON struct {
 	Name   string `json:"name"`
 	Domain string `json:"domain"`
 	State  string `json:"state"`
@@ -222,17 +224,17 @@
 
 // VMs implements port.VMList.
 func (c *Client) VMs(ctx context.Context) ([]port.VMRecord, error) {
-	r, err := read(c.call(ctx, callTimeout, http.MethodGet, "/v1/vms", nil, nil))
+	r, err := readResult(c.call(ctx, callTimeout, http.MethodGet, "/v1/vms", nil, nil))
 	if err != nil {
 		return nil, err
 	}
-	var lines []vmLine
-	if err := json.Unmarshal(r.body, &lines); err != nil {
+	var vms []vmJSON
+	if err := json.Unmarshal(r.body, &vms); err != nil {
 		return nil, errors.Wrap(err, "decoding list of VMs")
 	}
-	out := make([]port.VMRecord, 0, len(lines))
-	for _, l := range lines {
-		out = append(out, port.VMRecord{VM: fleet.VM(l.Name), Domain: fleet.Domain(l.Domain), State: port.VMState(l.State)})
+	out := make([]port.VMRecord, 0, len(vms))
+	for _, vm := range vms {
+		out = append(out, port.VMRecord{VM: fleet.VM(vm.Name), Domain: fleet.Domain(vm.Domain), State: port.VMState(vm.State)})
 	}
 	return out, nil
 }
--- a/internal/adapter/kvhttp/kvhttp_test.go
+++ b/internal/adapter/kvhttp/kvhttp_test.go
@@ -18,7 +18,7 @@
 	"github.com/masticwing/masticwing/internal/standin/relay"
 )
 
-func start(t *testing.T) (*Client, *httptest.Server) {
+func startPlatform(t *testing.T) (*Client, *httptest.Server) {
 	t.Helper()
 	srv := httptest.NewServer(platform.New().Handler())
 	t.Cleanup(srv.Close)
@@ -34,10 +34,10 @@
 	_ = resp.Body.Close()
 }
 
-// TestCompareAndSwap guards against a write that replaces a value its writer
-// has not seen.
+// TestCompareAndSwap guards against a write that replaces a value that its writer
+// has not read.
 func TestCompareAndSwap(t *testing.T) {
-	c, _ := start(t)
+	c, _ := startPlatform(t)
 	ctx := context.Background()
 	rev, err := c.CompareAndSwap(ctx, "config/current", 0, []byte("one"), port.NoLease)
 	if err != nil {
@@ -52,10 +52,10 @@
 	}
 }
 
-// TestLostAnswerIsUnknown guards against reporting a write as failed when it
-// took effect.
-func TestLostAnswerIsUnknown(t *testing.T) {
-	c, srv := start(t)
+// TestLostResponseIsUnknownOutcome guards against reporting a write as failed
+// although it took effect and only its response was lost.
+func TestLostResponseIsUnknownOutcome(t *testing.T) {
+	c, srv := startPlatform(t)
 	ctx := context.Background()
 	setFaults(t, srv, `{"lose_write_answers": 1}`)
 	if _, err := c.CompareAndSwap(ctx, "k", 0, []byte("v"), port.NoLease); !errors.Is(err, port.ErrUnknownOutcome) {
@@ -70,10 +70,10 @@
 	}
 }
 
-// TestWatchAndLease guards against a watch that misses a write and a key that
-// outlives its lease.
+// TestWatchAndLease guards against a watch that misses a write, and against a key
+// that outlives its lease.
 func TestWatchAndLease(t *testing.T) {
-	c, _ := start(t)
+	c, _ := startPlatform(t)
 	ctx := context.Background()
 	if _, err := c.Watch(ctx, "k", 0, 10*time.Millisecond); !errors.Is(err, port.ErrNotFound) {
 		t.Fatalf("watch without a change: %v", err)
@@ -93,24 +93,25 @@
 		t.Fatalf("key outlived its lease: %v", err)
 	}
 	if err := c.KeepAlive(ctx, id); !errors.Is(err, port.ErrNotFound) {
-		t.Fatalf("KeepAlive of a lapsed lease: %v", err)
+		t.Fatalf("KeepAlive of an expired lease: %v", err)
 	}
 }
 
-// TestNoConnectionIsUnavailable guards against a write reported as of unknown
-// outcome although nothing was sent, which keeps its caller waiting.
-func TestNoConnectionIsUnavailable(t *testing.T) {
-	c, srv := start(t)
+// TestFailedConnectIsUnavailable guards against reporting an unknown outcome
+// although nothing was sent, which would keep the caller waiting for no reason.
+func TestFailedConnectIsUnavailable(t *testing.T) {
+	c, srv := startPlatform(t)
 	srv.Close()
 	if _, err := c.CompareAndSwap(context.Background(), "k", 0, nil, port.NoLease); !errors.Is(err, port.ErrUnavailable) {
 		t.Fatalf("err = %v, want unavailable", err)
 	}
 }
 
-// startRelayed is start with a relay between the client and the platform.
-func startRelayed(t *testing.T) (*Client, *relay.Relay) {
+// startWithRelay is like startPlatform, with a relay between the client and the
+// platform.
+func startWithRelay(t *testing.T) (*Client, *relay.Relay) {
 	t.Helper()
-	_, srv := start(t)
+	_, srv := startPlatform(t)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -125,22 +126,22 @@
 	return New(fleet.Address(addr)), r
 }
 
-// TestSilentConnectionsAreDropped guards against calls that wait for each
-// pooled connection in turn after all of them went silent for good.
-func TestSilentConnectionsAreDropped(t *testing.T) {
-	c, r := startRelayed(t)
+// TestDeadConnectionsAreClosed guards against one timeout per pooled connection
+// when all of them are dead without having been closed.
+func TestDeadConnectionsAreClosed(t *testing.T) {
+	c, r := startWithRelay(t)
 	ctx := context.Background()
 	if _, err := c.CompareAndSwap(ctx, "k", 0, []byte("v"), port.NoLease); err != nil {
 		t.Fatal(err)
 	}
 	const conns = 3
 	var wg conc.WaitGroup
-	for range conns { // watches at the same time open a connection each
+	for range conns { // each concurrent watch opens a connection
 		wg.Go(func() { _, _ = c.Watch(ctx, "k", 100, 200*time.Millisecond) })
 	}
 	wg.Wait()
 	if n := r.Counts()["platform"].Connections; n < conns {
-		t.Fatalf("%d connections are open, want %d", n, conns)
+		t.Fatalf("%d connections are open, want at least %d", n, conns)
 	}
 	for _, f := range []relay.Freeze{relay.FreezeOld, relay.FreezeNone} {
 		if err := r.SetFaults("platform", relay.Faults{Freeze: f}); err != nil {
@@ -148,9 +149,9 @@
 		}
 	}
 	if _, err := c.Get(ctx, "k"); err == nil {
-		t.Fatal("a silent connection answered")
+		t.Fatal("a call on a dead connection succeeded")
 	}
 	if _, err := c.Get(ctx, "k"); err != nil {
-		t.Errorf("the second call used a silent connection as well: %v", err)
+		t.Errorf("the second call used a dead connection as well: %v", err)
 	}
 }
--- a/internal/adapter/ledgerdoc/ledgerdoc.go
+++ b/internal/adapter/ledgerdoc/ledgerdoc.go
@@ -1,4 +1,5 @@
-// Package ledgerdoc encodes the documents of the ledger.
+// Package ledgerdoc encodes and decodes the documents in which the ledger stores its
+// records.
 package ledgerdoc
 
 import (
@@ -12,14 +13,14 @@
 	"github.com/masticwing/masticwing/internal/core/ledger"
 )
 
-// ErrMalformed means that a document cannot be understood. No call may run on
-// the strength of such a document.
+// ErrMalformed means that a document cannot be decoded. A call must not run then,
+// since the document may hold a record of an earlier run.
 var ErrMalformed = errors.New("malformed ledger document")
 
-// Encode returns the bytes of a document, in the order of its keys.
-func Encode(rec ledger.Records) ([]byte, error) {
-	doc := &pb.Document{Records: make([]*pb.Record, 0, len(rec))}
-	for k, r := range rec {
+// Encode returns the document with the records, sorted by key.
+func Encode(records ledger.Records) ([]byte, error) {
+	doc := &pb.Document{Records: make([]*pb.Record, 0, len(records))}
+	for k, r := range records {
 		doc.Records = append(doc.Records, &pb.Record{Key: k[:], Attempt: r.Attempt[:], State: pb.State(r.State)})
 	}
 	slices.SortFunc(doc.Records, func(a, b *pb.Record) int { return bytes.Compare(a.Key, b.Key) })
@@ -33,18 +34,18 @@
 	if err := proto.Unmarshal(b, &doc); err != nil {
 		return nil, errors.Wrap(ErrMalformed, err.Error())
 	}
-	rec := make(ledger.Records, len(doc.Records))
+	records := make(ledger.Records, len(doc.Records))
 	for _, r := range doc.Records {
-		st := ledger.State(r.State)
+		state := ledger.State(r.State)
 		if len(r.Key) != len(ledger.KeyHash{}) || len(r.Attempt) != len(ledger.Attempt{}) ||
-			st < ledger.Started || st > ledger.Aborted {
+			state < ledger.Started || state > ledger.Aborted {
 			return nil, errors.Wrapf(ErrMalformed, "record %x %x %v", r.Key, r.Attempt, r.State)
 		}
 		k := ledger.KeyHash(r.Key)
-		if _, twice := rec[k]; twice {
+		if _, exists := records[k]; exists {
 			return nil, errors.Wrapf(ErrMalformed, "two records of key %x", r.Key)
 		}
-		rec[k] = ledger.Record{Attempt: ledger.Attempt(r.Attempt), State: st}
+		records[k] = ledger.Record{Attempt: ledger.Attempt(r.Attempt), State: state}
 	}
-	return rec, nil
+	return records, nil
 }
--- a/internal/adapter/ledgerdoc/ledgerdoc_test.go
+++ b/internal/adapter/ledgerdoc/ledgerdoc_test.go
@@ -10,8 +10,8 @@
 	"github.com/masticwing/masticwing/internal/core/ledger"
 )
 
-// TestFullDocument guards against records lost in the encoding, and against a
-// full document that exceeds the platform's limit of a value.
+// TestFullDocument guards against records that are lost in the encoding, and
+// against a full document that exceeds the platform's limit of 1 MiB per value.
 func TestFullDocument(t *testing.T) {
 	rec := ledger.Records{}
 	for i := range ledger.MaxRecords {
@@ -28,8 +28,8 @@
 	}
 }
 
-// FuzzDecode guards against a damaged document that is taken for one with
-// fewer or other records, and against a panic on it.
+// FuzzDecode guards against a corrupted document that is decoded to fewer or
+// other records, and against a panic.
 func FuzzDecode(f *testing.F) {
 	good, _ := Encode(ledger.Records{{1}: {Attempt: ledger.Attempt{2}, State: ledger.Done}})
 	f.Add(good)
--- a/internal/adapter/logfile/logfile.go
+++ b/internal/adapter/logfile/logfile.go
@@ -1,4 +1,4 @@
-// Package logfile reads the log lines that the product's processes write.
+// Package logfile parses the log output of masticwing processes.
 package logfile
 
 import (
@@ -13,43 +13,43 @@
 	"github.com/masticwing/masticwing/internal/core/explain"
 )
 
-// maxLine bounds a line. The longest ones hold an error of some kilobytes.
-const maxLine = 1 << 20
+// maxLineBytes limits a line. The longest ones contain an error of a few kilobytes.
+const maxLineBytes = 1 << 20
 
-// Read returns the lines of r in the order in which they stand there. What stands
-// before the first brace of a line is ignored, since collectors of logs add their
-// own fields there. Lines of other programs are skipped.
+// Read returns the log lines of r in their order. It ignores text before the first
+// brace of a line, since log collectors add a prefix, and skips lines that are not
+// log lines of masticwing.
 func Read(r io.Reader) ([]explain.Line, error) {
 	var out []explain.Line
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
-		if l, ok := parse(s.Bytes()); ok {
+		if l, ok := parseLine(s.Bytes()); ok {
 			out = append(out, l)
 		}
 	}
 	return out, errors.Wrap(s.Err(), "reading log lines")
 }
 
-func parse(b []byte) (explain.Line, bool) {
-	at := bytes.IndexByte(b, '{')
-	if at < 0 {
+func parseLine(b []byte) (explain.Line, bool) {
+	start := bytes.IndexByte(b, '{')
+	if start < 0 {
 		return explain.Line{}, false
 	}
-	d := json.NewDecoder(bytes.NewReader(b[at:]))
-	d.UseNumber() // keeps identities of more than 53 bits
+	d := json.NewDecoder(bytes.NewReader(b[start:]))
+	d.UseNumber() // float64 would round identifiers of more than 53 bits
 	l := explain.Line{}
 	if d.Decode(&l.Fields) != nil {
 		return l, false
 	}
-	text := func(field string) string {
+	takeString := func(field string) string {
 		s, _ := l.Fields[field].(string)
 		delete(l.Fields, field)
 		return s
 	}
-	l.Role, l.Process, l.Message = text("role"), text("id"), text("message")
-	text("level")
+	l.Role, l.Process, l.Message = takeString("role"), takeString("id"), takeString("message")
+	takeString("level")
 	var err error
-	l.Time, err = time.Parse(time.RFC3339Nano, text("time"))
+	l.Time, err = time.Parse(time.RFC3339Nano, takeString("time"))
 	return l, err == nil && l.Message != ""
 }
--- a/internal/adapter/logfile/logfile_test.go
+++ b/internal/adapter/logfile/logfile_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestRead guards against lines that are lost behind a collector's prefix, and
-// against a broken line that ends the reading of a file.
+// TestRead guards against skipping lines that a log collector has prefixed, and
+// against a malformed line that stops the parsing of a file.
 func TestRead(t *testing.T) {
 	const text = `  -9.9823 vm-1 {"time":"2026-01-02T08:56:58.016Z","level":"info","role":"masticwing-loader","id":"vm-1","started":1767344219909123456,"message":"regained the engine"}
 goroutine 1 [running]:
--- a/internal/adapter/originhttp/fuzz_test.go
+++ b/internal/adapter/originhttp/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/masticwing/masticwing/internal/core/manifest"
 )
 
-// FuzzManifest guards against a manifest that crashes the agent, or that passes
-// the check of its version with an impossible size.
+// FuzzManifest guards against a panic on a malformed manifest, and against a
+// manifest of an impossible size that passes validation.
 func FuzzManifest(f *testing.F) {
 	f.Add(`{"model":"m","chunks":[{"digest":"` + strings.Repeat("ab", 32) + `","bytes":5}]}`)
 	f.Add(`{"model":"m","chunks":[{"digest":"` + strings.Repeat("zz", 32) + `","bytes":-5}]}`)
--- a/internal/adapter/originhttp/originhttp.go
+++ b/internal/adapter/originhttp/originhttp.go
@@ -22,51 +22,51 @@
 )
 
 const (
-	// stallTimeout ends a call that receives nothing.
+	// stallTimeout cancels a call that has received no data for this long.
 	stallTimeout = 2 * time.Second
 	dialTimeout  = time.Second
-	// maxManifestBytes bounds a manifest in its JSON form, in which a chunk
-	// takes about 100 bytes.
+	// maxManifestBytes limits the JSON form of a manifest. A chunk takes about
+	// 100 bytes there.
 	maxManifestBytes = 128 * manifest.MaxChunks
-	// RequesterHeader names the VM that asks.
+	// RequesterHeader is the header field with the name of the requesting VM.
 	RequesterHeader = "X-Masticwing-VM"
 )
 
-// Client calls an origin.
+// Client fetches manifests and chunks from an origin.
 type Client struct {
-	base string
-	vm   fleet.VM
-	http *http.Client
+	baseURL string
+	vm      fleet.VM
+	http    *http.Client
 }
 
 var _ port.Origin = (*Client)(nil)
 
-// New returns a client of the origin at addr that names itself vm.
+// New returns a client of the origin at addr. It sends vm as the requester.
 func New(addr fleet.Address, vm fleet.VM) *Client {
 	d := net.Dialer{Timeout: dialTimeout}
 	t := &http.Transport{DialContext: d.DialContext, MaxIdleConnsPerHost: 4}
-	return &Client{base: "http://" + string(addr), vm: vm, http: &http.Client{Transport: t}}
+	return &Client{baseURL: "http://" + string(addr), vm: vm, http: &http.Client{Transport: t}}
 }
 
-type manifestBody struct {
+type manifestJSON struct {
 	Model  string      `json:"model"`
-	Chunks []chunkBody `json:"chunks"`
+	Chunks []chunkJSON `json:"chunks"`
 }
 
-type chunkBody struct {
+type chunkJSON struct {
 	Digest string `json:"digest"`
 	Bytes  int64  `json:"bytes"`
 }
 
-// Manifest implements port.Origin. The caller checks the result against the
-// version.
+// Manifest implements port.Origin. It does not check that the manifest matches v;
+// the caller does.
 func (c *Client) Manifest(ctx context.Context, v fleet.Version) (manifest.Manifest, error) {
 	rc, err := c.get(ctx, "/v1/versions/"+string(v)+"/manifest")
 	if err != nil {
-		return manifest.Manifest{}, errors.Wrap(err, "asking origin for manifest")
+		return manifest.Manifest{}, errors.Wrap(err, "requesting manifest from origin")
 	}
 	defer func() { _ = rc.Close() }()
-	var m manifestBody
+	var m manifestJSON
 	if err := json.NewDecoder(io.LimitReader(rc, maxManifestBytes)).Decode(&m); err != nil {
 		return manifest.Manifest{}, errors.Wrap(err, "decoding manifest")
 	}
@@ -87,7 +87,7 @@
 // Chunk implements port.Origin.
 func (c *Client) Chunk(ctx context.Context, v fleet.Version, i int) (io.ReadCloser, error) {
 	rc, err := c.get(ctx, "/v1/versions/"+string(v)+"/chunks/"+strconv.Itoa(i))
-	return rc, errors.Wrap(err, "asking origin for chunk")
+	return rc, errors.Wrap(err, "requesting chunk from origin")
 }
 
 func (c *Client) get(ctx context.Context, path string) (io.ReadCloser, error) {
@@ -98,7 +98,7 @@
 		cancel()
 		return nil, err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+path, nil)
 	if err != nil {
 		return fail(err)
 	}
@@ -116,26 +116,27 @@
 		_ = resp.Body.Close()
 		return fail(errors.Errorf("origin answered with status %d", resp.StatusCode))
 	}
-	return &body{resp.Body, timer, cancel}, nil
+	return &stallReader{resp.Body, timer, cancel}, nil
 }
 
-// body cancels its call when a read waits too long. Time between reads does not
-// count, so that a paced reader is not taken for a stalled origin.
-type body struct {
+// stallReader is a response body that cancels its call when a read blocks for
+// stallTimeout. The time between reads does not count, so that a rate-limited reader
+// is not mistaken for a stalled origin.
+type stallReader struct {
 	io.ReadCloser
 	timer  *time.Timer
 	cancel context.CancelFunc
 }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
+func (b *stallReader) Read(p []byte) (int, error) {
 	b.timer.Reset(stallTimeout)
 	defer b.timer.Stop()
 	return b.ReadCloser.Read(p)
 }
 
 // Close implements io.Closer.
-func (b *body) Close() error {
+func (b *stallReader) Close() error {
 	b.timer.Stop()
 	err := b.ReadCloser.Close()
 	b.cancel()
--- a/internal/adapter/originhttp/originhttp_test.go
+++ b/internal/adapter/originhttp/originhttp_test.go
@@ -15,18 +15,18 @@
 
 const manifestPath = "/v1/versions/v/manifest"
 
-func serve(t *testing.T, h http.HandlerFunc) *Client {
+func newTestClient(t *testing.T, h http.HandlerFunc) *Client {
 	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	return New(fleet.Address(strings.TrimPrefix(s.URL, "http://")), "vm1")
 }
 
-// TestManifestRefusesMalformed guards against digests of a wrong length that
-// are cut or padded without an error.
-func TestManifestRefusesMalformed(t *testing.T) {
+// TestManifestRejectsMalformedDigests guards against digests of a wrong length
+// that are truncated or padded without an error.
+func TestManifestRejectsMalformedDigests(t *testing.T) {
 	for _, digest := range []string{"", "00", strings.Repeat("0", 66), strings.Repeat("g", 64)} {
-		c := serve(t, func(w http.ResponseWriter, r *http.Request) {
+		c := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != manifestPath || r.Header.Get(RequesterHeader) != "vm1" {
 				t.Errorf("path %s, requester %q", r.URL.Path, r.Header.Get(RequesterHeader))
 			}
@@ -36,7 +36,7 @@
 			t.Errorf("digest %q: %d chunks", digest, len(m.Chunks))
 		}
 	}
-	ok := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+	ok := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `{"model":"m","chunks":[{"digest":"`+strings.Repeat("0a", 32)+`","bytes":5}]}`)
 	})
 	m, err := ok.Manifest(context.Background(), "v")
@@ -45,10 +45,10 @@
 	}
 }
 
-// TestChunkStalls guards against a fetch that waits for ever on an origin that
-// stops in the middle of a chunk.
-func TestChunkStalls(t *testing.T) {
-	c := serve(t, func(w http.ResponseWriter, r *http.Request) {
+// TestChunkStallTimeout guards against a fetch that never ends because the origin
+// stops sending in the middle of a chunk.
+func TestChunkStallTimeout(t *testing.T) {
+	c := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "10")
 		_, _ = io.WriteString(w, "half")
 		w.(http.Flusher).Flush()
@@ -60,10 +60,10 @@
 	}
 	start := time.Now()
 	if _, err := io.ReadAll(rc); err == nil {
-		t.Fatal("a chunk cut short was whole")
+		t.Fatal("a truncated chunk was read without an error")
 	}
 	if d := time.Since(start); d > 2*stallTimeout {
-		t.Fatalf("gave up after %v", d)
+		t.Fatalf("the read failed only after %v", d)
 	}
 	_ = rc.Close()
 }
--- a/internal/adapter/otelmetrics/otelmetrics.go
+++ b/internal/adapter/otelmetrics/otelmetrics.go
@@ -1,5 +1,5 @@
-// Package otelmetrics implements port.Metrics with OpenTelemetry and serves
-// the result for scraping.
+// Package otelmetrics implements port.Metrics with OpenTelemetry and serves the
+// metrics in the Prometheus text format.
 package otelmetrics
 
 import (
@@ -19,30 +19,31 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// maxValues bounds the distinct values of one attribute of one metric. Further
-// values are recorded as "other", so that callers cannot grow memory by
-// sending new names.
-const maxValues = 64
+// maxAttributeValues limits the distinct values of one attribute of one metric.
+// Further values are recorded as otherValue, so that clients cannot exhaust memory by
+// sending ever new names.
+const maxAttributeValues = 64
 
 const otherValue = "other"
 
-// secondsBounds are the histogram bounds in seconds. They include the targets
-// of 30 ms between tokens and 0.86 s to the first token.
-var secondsBounds = []float64{.0005, .001, .002, .005, .01, .02, .03, .05, .1, .2, .43, .86, 2, 5, 10, 30, 60}
+// secondsBuckets are the upper bounds of the histogram buckets, in seconds. They
+// include the latency objectives of 30 ms between tokens and 0.86 s to the first
+// token.
+var secondsBuckets = []float64{.0005, .001, .002, .005, .01, .02, .03, .05, .1, .2, .43, .86, 2, 5, 10, 30, 60}
 
 // Metrics implements port.Metrics.
 type Metrics struct {
-	meter    metric.Meter
-	handler  http.Handler
-	counters *shard.Map[string, metric.Int64Counter]
-	seconds  *shard.Map[string, metric.Float64Histogram]
-	gauges   *shard.Map[string, metric.Float64Gauge]
-	values   *shard.Map[string, map[string]bool]
+	meter           metric.Meter
+	handler         http.Handler
+	counters        *shard.Map[string, metric.Int64Counter]
+	histograms      *shard.Map[string, metric.Float64Histogram]
+	gauges          *shard.Map[string, metric.Float64Gauge]
+	attributeValues *shard.Map[string, map[string]bool]
 }
 
 var _ port.Metrics = (*Metrics)(nil)
 
-// New returns metrics with an own registry.
+// New returns metrics with a registry of their own.
 func New() (*Metrics, error) {
 	reg := prometheus.NewRegistry()
 	exp, err := otelprom.New(otelprom.WithRegisterer(reg), otelprom.WithoutScopeInfo(), otelprom.WithoutTargetInfo())
@@ -51,12 +52,12 @@
 	}
 	p := sdk.NewMeterProvider(sdk.WithReader(exp))
 	return &Metrics{
-		meter:    p.Meter("masticwing"),
-		handler:  promhttp.HandlerFor(reg, promhttp.HandlerOpts{}),
-		counters: shard.New[string, metric.Int64Counter](0),
-		seconds:  shard.New[string, metric.Float64Histogram](0),
-		gauges:   shard.New[string, metric.Float64Gauge](0),
-		values:   shard.New[string, map[string]bool](0),
+		meter:           p.Meter("masticwing"),
+		handler:         promhttp.HandlerFor(reg, promhttp.HandlerOpts{}),
+		counters:        shard.New[string, metric.Int64Counter](0),
+		histograms:      shard.New[string, metric.Float64Histogram](0),
+		gauges:          shard.New[string, metric.Float64Gauge](0),
+		attributeValues: shard.New[string, map[string]bool](0),
 	}, nil
 }
 
@@ -65,7 +66,7 @@
 
 // Count implements port.Metrics.
 func (m *Metrics) Count(name string, n int64, attrs ...port.Attr) {
-	c := instrument(m.counters, name, func() (metric.Int64Counter, error) { return m.meter.Int64Counter(name) })
+	c := getOrCreate(m.counters, name, func() (metric.Int64Counter, error) { return m.meter.Int64Counter(name) })
 	if c != nil {
 		c.Add(context.Background(), n, m.attributes(name, attrs))
 	}
@@ -73,8 +74,8 @@
 
 // Seconds implements port.Metrics.
 func (m *Metrics) Seconds(name string, d time.Duration, attrs ...port.Attr) {
-	h := instrument(m.seconds, name, func() (metric.Float64Histogram, error) {
-		return m.meter.Float64Histogram(name, metric.WithUnit("s"), metric.WithExplicitBucketBoundaries(secondsBounds...))
+	h := getOrCreate(m.histograms, name, func() (metric.Float64Histogram, error) {
+		return m.meter.Float64Histogram(name, metric.WithUnit("s"), metric.WithExplicitBucketBoundaries(secondsBuckets...))
 	})
 	if h != nil {
 		h.Record(context.Background(), d.Seconds(), m.attributes(name, attrs))
@@ -83,15 +84,15 @@
 
 // Gauge implements port.Metrics.
 func (m *Metrics) Gauge(name string, v float64, attrs ...port.Attr) {
-	g := instrument(m.gauges, name, func() (metric.Float64Gauge, error) { return m.meter.Float64Gauge(name) })
+	g := getOrCreate(m.gauges, name, func() (metric.Float64Gauge, error) { return m.meter.Float64Gauge(name) })
 	if g != nil {
 		g.Record(context.Background(), v, m.attributes(name, attrs))
 	}
 }
 
-// instrument returns the instrument of that name, creating it once. An
-// instrument that cannot be created is recorded as nil and ignored.
-func instrument[T any](m *shard.Map[string, T], name string, create func() (T, error)) T {
+// getOrCreate returns the instrument called name and creates it on first use. If
+// that fails, it stores and returns nil, and the callers ignore the instrument.
+func getOrCreate[T any](m *shard.Map[string, T], name string, create func() (T, error)) T {
 	if v, ok := m.Get(name); ok {
 		return v
 	}
@@ -112,20 +113,21 @@
 func (m *Metrics) attributes(name string, attrs []port.Attr) metric.MeasurementOption {
 	kvs := make([]attribute.KeyValue, 0, len(attrs))
 	for _, a := range attrs {
-		kvs = append(kvs, attribute.String(a.Key, m.bounded(name+"/"+a.Key, a.Value)))
+		kvs = append(kvs, attribute.String(a.Key, m.limitValue(name+"/"+a.Key, a.Value)))
 	}
 	return metric.WithAttributes(kvs...)
 }
 
-func (m *Metrics) bounded(key, v string) string {
+// limitValue returns v, or otherValue if key already has maxAttributeValues other values.
+func (m *Metrics) limitValue(key, v string) string {
 	out := v
-	m.values.Update(key, func(seen map[string]bool, ok bool) (map[string]bool, bool) {
+	m.attributeValues.Update(key, func(seen map[string]bool, ok bool) (map[string]bool, bool) {
 		if !ok {
 			seen = map[string]bool{}
 		}
 		switch {
 		case seen[v]:
-		case len(seen) < maxValues:
+		case len(seen) < maxAttributeValues:
 			seen[v] = true
 		default:
 			out = otherValue
--- a/internal/adapter/sysclock/sysclock.go
+++ b/internal/adapter/sysclock/sysclock.go
@@ -1,5 +1,5 @@
-// Package sysclock implements port.Clock and port.Rand with the system's time
-// and random source.
+// Package sysclock implements port.Clock and port.Rand with the system clock and
+// the random source of the runtime.
 package sysclock
 
 import (
@@ -18,12 +18,12 @@
 // After returns a channel that receives once d has passed.
 func (Clock) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// SinceBoot returns the time since the machine started. It goes on while the
-// machine is suspended, unlike the monotonic reading of Now, and does not jump
-// with the time of day.
+// SinceBoot returns the time since the machine booted. Unlike the monotonic reading
+// of Now, it includes the time in which the machine was suspended, and adjustments of
+// the wall clock do not change it.
 func (Clock) SinceBoot() time.Duration {
 	var ts unix.Timespec
-	// The call fails only for a clock that the kernel does not have.
+	// The call fails only if the kernel does not support the clock.
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts)
 	return time.Duration(ts.Nano())
 }
@@ -31,8 +31,8 @@
 // Rand is the runtime's random source, safe for concurrent use.
 type Rand struct{}
 
-// IntN returns a number in [0, n).
+// IntN returns a random number in [0, n).
 func (Rand) IntN(n int) int { return rand.IntN(n) }
 
-// Uint64 returns a random number.
+// Uint64 returns a random 64-bit number.
 func (Rand) Uint64() uint64 { return rand.Uint64() }
