--- a/cmd/standin-origin/main.go
+++ b/cmd/standin-origin/main.go
@@ -28,7 +28,7 @@
 	printOnly := slices.Contains(os.Args[1:], "--print-versions")
 	if printOnly {
 		// The address is required only to serve.
-		command.Listen.Required = false
+		command.ListenFlag.Required = false
 	}
 	command.Run("standin-origin", "the origin of weights", flags, func(c *cli.Command) (http.Handler, error) {
 		vs, err := versions(c)
--- a/internal/app/agent/harness_test.go
+++ b/internal/app/agent/harness_test.go
@@ -211,9 +211,9 @@
 // complete weights.
 func expectedResponse(id, version, weights, body string) string {
 	var out strings.Builder
-	for i := range engine.Tokens([]byte(body)) {
+	for i := range engine.FrameCount([]byte(body)) {
 		fmt.Fprintf(&out, "{\"request_id\":%q,\"version\":%q,\"seq\":%d,\"text\":%q}\n",
-			id, version, i, engine.Token([]byte(weights), []byte(body), i))
+			id, version, i, engine.FrameText([]byte(weights), []byte(body), i))
 	}
 	return out.String()
 }
--- a/internal/app/weights/manager_test.go
+++ b/internal/app/weights/manager_test.go
@@ -43,7 +43,7 @@
 	c := startCluster(t, cluster.Config{Machines: 12, Regions: 3, Version: smallVersion})
 	c.SetVersion()
 	t.Logf("took %v", waitComplete(t, c, 20*time.Second))
-	want := sha256.Sum256(smallVersion.Make())
+	want := sha256.Sum256(smallVersion.GenerateWeights())
 	for _, a := range c.Agents {
 		r, n, ok := a.Manager.Open(c.Target.Version)
 		h := sha256.New()
@@ -146,7 +146,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("took %v, %+v", waitComplete(t, c, 30*time.Second), c.LinkUsage())
-	want := sha256.Sum256(smallVersion.Make())
+	want := sha256.Sum256(smallVersion.GenerateWeights())
 	for _, a := range c.Agents {
 		if a.IsLost() {
 			continue
--- a/internal/archtest/arch_test.go
+++ b/internal/archtest/arch_test.go
@@ -21,7 +21,7 @@
 	imports []string
 }
 
-func list(t *testing.T) []pkg {
+func listPackages(t *testing.T) []pkg {
 	t.Helper()
 	out, err := exec.Command("go", "list", "-f", `{{.ImportPath}} {{join .Imports " "}}`, module+"...").Output()
 	if err != nil {
@@ -35,16 +35,16 @@
 	return ps
 }
 
-func under(path, dir string) bool {
+func isUnder(path, dir string) bool {
 	return path == module+dir || strings.HasPrefix(path, module+dir+"/")
 }
 
 // TestImportDirection guards against decisions that depend on an adapter and
 // against product code that depends on a stand-in.
 func TestImportDirection(t *testing.T) {
-	for _, p := range list(t) {
+	for _, p := range listPackages(t) {
 		for _, imp := range p.imports {
-			if reason := refuse(p.path, imp); reason != "" {
+			if reason := violation(p.path, imp); reason != "" {
 				t.Errorf("%s imports %s: %s", p.path, imp, reason)
 			}
 		}
@@ -54,49 +54,49 @@
 // platformCommands wire the product to the users' platform.
 var platformCommands = map[string]bool{"cmd/masticwing-gateway": true, "cmd/masticwing-loader": true}
 
-func refuse(p, imp string) string {
+func violation(p, imp string) string {
 	own := strings.HasPrefix(imp, module)
-	if under(imp, "platform/platformtest") {
-		if under(p, "test") || under(p, "platform/platformtest") {
+	if isUnder(imp, "platform/platformtest") {
+		if isUnder(p, "test") || isUnder(p, "platform/platformtest") {
 			return ""
 		}
 		return "only tests import the stand-in of the users' platform"
 	}
-	if under(imp, "platform") && !under(p, "platform") && !platformCommands[strings.TrimPrefix(p, module)] {
+	if isUnder(imp, "platform") && !isUnder(p, "platform") && !platformCommands[strings.TrimPrefix(p, module)] {
 		return "only the commands for the users' platform import its translation"
 	}
 	switch {
-	case under(p, "platform"):
-		if own && !under(imp, "platform") && !under(imp, "internal/core") && !under(imp, "internal/port") && !under(imp, "internal/adapter") {
+	case isUnder(p, "platform"):
+		if own && !isUnder(imp, "platform") && !isUnder(imp, "internal/core") && !isUnder(imp, "internal/port") && !isUnder(imp, "internal/adapter") {
 			return "the translation imports core, ports and adapters only"
 		}
-	case under(p, "internal/core"):
-		return refuseCore(imp, own)
-	case under(p, "internal/port"):
-		if own && !under(imp, "internal/core") && !under(imp, "internal/port") {
+	case isUnder(p, "internal/core"):
+		return coreViolation(imp, own)
+	case isUnder(p, "internal/port"):
+		if own && !isUnder(imp, "internal/core") && !isUnder(imp, "internal/port") {
 			return "ports import core only"
 		}
-	case under(p, "internal/adapter"):
-		if own && !under(imp, "internal/core") && !under(imp, "internal/port") && !under(imp, "internal/adapter") {
+	case isUnder(p, "internal/adapter"):
+		if own && !isUnder(imp, "internal/core") && !isUnder(imp, "internal/port") && !isUnder(imp, "internal/adapter") {
 			return "adapters import core, ports and adapters only"
 		}
-	case under(p, "internal/standin"):
-		if own && !under(imp, "internal/standin") && !under(imp, "internal/core/manifest") && !under(imp, "internal/core/fleet") {
+	case isUnder(p, "internal/standin"):
+		if own && !isUnder(imp, "internal/standin") && !isUnder(imp, "internal/core/manifest") && !isUnder(imp, "internal/core/fleet") {
 			return "stand-ins share only names and manifests with the product"
 		}
-	case under(p, "internal/app"):
-		if under(imp, "internal/standin") || under(imp, "test") {
+	case isUnder(p, "internal/app"):
+		if isUnder(imp, "internal/standin") || isUnder(imp, "test") {
 			return "product code does not import stand-ins or tests"
 		}
-	case under(p, "cmd"):
-		return refuseCommand(p, imp)
+	case isUnder(p, "cmd"):
+		return commandViolation(p, imp)
 	}
 	return ""
 }
 
-func refuseCore(imp string, own bool) string {
+func coreViolation(imp string, own bool) string {
 	if own {
-		if under(imp, "internal/core") {
+		if isUnder(imp, "internal/core") {
 			return ""
 		}
 		return "core imports core only"
@@ -112,9 +112,9 @@
 	return ""
 }
 
-func refuseCommand(p, imp string) string {
+func commandViolation(p, imp string) string {
 	standin := strings.HasPrefix(p, module+"cmd/standin-")
-	if !standin && under(imp, "internal/standin") {
+	if !standin && isUnder(imp, "internal/standin") {
 		return "product binaries do not import stand-ins"
 	}
 	return ""
@@ -140,7 +140,7 @@
 		{"platform", module + "internal/app/gateway"},
 	}
 	for _, w := range wrong {
-		if refuse(module+w[0], w[1]) == "" {
+		if violation(module+w[0], w[1]) == "" {
 			t.Errorf("%s may import %s", w[0], w[1])
 		}
 	}
--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -17,8 +17,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Listen is the flag for the addresses.
-var Listen = &cli.StringSliceFlag{
+// ListenFlag is the flag for the addresses.
+var ListenFlag = &cli.StringSliceFlag{
 	Name: "listen", Required: true, Usage: "`IP:PORT` to serve on; repeat it for several stand-ins in one process",
 }
 
@@ -28,7 +28,7 @@
 	cmd := &cli.Command{
 		Name:  name,
 		Usage: "stand-in for tests and demos only: " + usage,
-		Flags: append([]cli.Flag{Listen}, flags...),
+		Flags: append([]cli.Flag{ListenFlag}, flags...),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			p := pool.New().WithContext(ctx).WithCancelOnError()
 			for _, addr := range c.StringSlice("listen") {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -45,53 +45,53 @@
 	CutOnce bool `json:"cut_once"`
 }
 
-// Answered is one line of the history.
-type Answered struct {
+// HistoryEntry is one line of the history.
+type HistoryEntry struct {
 	RequestID string `json:"request_id"`
 	Version   string `json:"version"`
-	// Whole is false for an answer that was cut or canceled.
-	Whole bool `json:"whole"`
+	// Complete is false for an answer that was cut or canceled.
+	Complete bool `json:"whole"`
 }
 
 // Order is one order that the engine has taken. Began and Done number these
 // events of all orders; Done is 0 for an order without an effect.
 type Order struct {
-	Kind    string `json:"kind"`
-	Version string `json:"version"`
-	Fence   int64  `json:"fence"`
-	Began   int    `json:"began"`
-	Done    int    `json:"done"`
+	Kind     string `json:"kind"`
+	Version  string `json:"version"`
+	Fence    int64  `json:"fence"`
+	BeganSeq int    `json:"began"`
+	DoneSeq  int    `json:"done"`
 }
 
 // maxHistory bounds the record of answers, and that of orders.
 const maxHistory = 100_000
 
-type model struct {
+type loadedModel struct {
 	digest [sha256.Size]byte
 	bytes  int64
 }
 
 // Server is the stand-in's HTTP handler.
 type Server struct {
-	o Options
+	opts Options
 
-	// started tells the boot identities of two processes apart.
-	started time.Time
+	// startedAt tells the boot identities of two processes apart.
+	startedAt time.Time
 
-	faults fault.Switch[Faults]
+	faults fault.Active[Faults]
 	counts fault.Counts
 
 	mu        sync.Mutex // guards the fields below
-	boots     int
+	bootCount int
 	loadCount int64
 	fence     int64
-	loaded    map[string]model
+	loaded    map[string]loadedModel
 	inFlight  int
 	served    int
 	failed    bool
-	history   []Answered
+	history   []HistoryEntry
 	orders    []*Order
-	ticks     int
+	eventSeq  int
 }
 
 // New returns an engine without weights.
@@ -102,18 +102,18 @@
 	if o.ColdRequests <= 0 {
 		o.ColdRequests = o.MaxRequests
 	}
-	return &Server{o: o, started: time.Now(), boots: 1, loaded: map[string]model{}}
+	return &Server{opts: o, startedAt: time.Now(), bootCount: 1, loaded: map[string]loadedModel{}}
 }
 
 // Handler returns the routes of the stand-in.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/status", s.counted("status", s.status))
-	mux.HandleFunc("POST /v1/load", s.counted("load", s.load))
-	mux.HandleFunc("POST /v1/unload", s.counted("unload", s.unload))
-	mux.HandleFunc("POST /v1/generate", s.counted("generate", s.generate))
+	mux.HandleFunc("GET /v1/status", s.instrument("status", s.status))
+	mux.HandleFunc("POST /v1/load", s.instrument("load", s.load))
+	mux.HandleFunc("POST /v1/unload", s.instrument("unload", s.unload))
+	mux.HandleFunc("POST /v1/generate", s.instrument("generate", s.generate))
 	mux.HandleFunc("POST /restart", s.restart)
-	mux.HandleFunc("POST /cold", s.cold)
+	mux.HandleFunc("POST /cold", s.dropCaches)
 	mux.Handle("POST /faults", &s.faults)
 	mux.Handle("GET /counts", &s.counts)
 	mux.HandleFunc("GET /history", s.getHistory)
@@ -121,7 +121,7 @@
 	return mux
 }
 
-func (s *Server) counted(kind string, h http.HandlerFunc) http.HandlerFunc {
+func (s *Server) instrument(kind string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.counts.Add(kind)
 		s.mu.Lock()
@@ -148,18 +148,18 @@
 	for v := range s.loaded {
 		st.Loaded = append(st.Loaded, v)
 	}
-	if s.o.CheckIdentity {
-		w.Header().Set("ETag", s.tag())
+	if s.opts.CheckIdentity {
+		w.Header().Set("ETag", s.entityTag())
 	}
 	s.mu.Unlock()
 	fault.WriteJSON(w, st)
 }
 
 // bootID is called under the lock.
-func (s *Server) bootID() string { return fmt.Sprintf("%x-%d", s.started.UnixNano(), s.boots) }
+func (s *Server) bootID() string { return fmt.Sprintf("%x-%d", s.startedAt.UnixNano(), s.bootCount) }
 
-// tag is the entity tag of the identity. It is called under the lock.
-func (s *Server) tag() string {
+// entityTag is the entity entityTag of the identity. It is called under the lock.
+func (s *Server) entityTag() string {
 	return fmt.Sprintf(`"%s/%d"`, s.bootID(), s.loadCount)
 }
 
@@ -167,13 +167,13 @@
 func (s *Server) restart(http.ResponseWriter, *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.boots++
+	s.bootCount++
 	s.loadCount, s.served, s.failed, s.fence = 0, 0, false, 0
-	s.loaded = map[string]model{}
+	s.loaded = map[string]loadedModel{}
 }
 
-// cold drops the caches and keeps the weights.
-func (s *Server) cold(http.ResponseWriter, *http.Request) {
+// dropCaches drops the caches and keeps the weights.
+func (s *Server) dropCaches(http.ResponseWriter, *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loadCount++
@@ -182,7 +182,7 @@
 
 func (s *Server) getHistory(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	h := append([]Answered{}, s.history...)
+	h := append([]HistoryEntry{}, s.history...)
 	s.mu.Unlock()
 	fault.WriteJSON(w, h)
 }
--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -37,17 +37,19 @@
 	} `json:"end"`
 }
 
-// Token returns the text of frame seq of the answer that the given weights
+// FrameText returns the text of frame seq of the answer that the given weights
 // produce for a request body.
-func Token(weights, body []byte, seq int) string { return token(sha256.Sum256(weights), body, seq) }
+func FrameText(weights, body []byte, seq int) string {
+	return frameText(sha256.Sum256(weights), body, seq)
+}
 
-// DigestToken is Token for weights of which the SHA-256 digest is known, so that
+// FrameTextFromDigest is Token for weights of which the SHA-256 digest is known, so that
 // a test that checks many frames hashes the weights once.
-func DigestToken(digest [sha256.Size]byte, body []byte, seq int) string {
-	return token(digest, body, seq)
+func FrameTextFromDigest(digest [sha256.Size]byte, body []byte, seq int) string {
+	return frameText(digest, body, seq)
 }
 
-func token(digest [sha256.Size]byte, body []byte, seq int) string {
+func frameText(digest [sha256.Size]byte, body []byte, seq int) string {
 	h := sha256.New()
 	h.Write(digest[:])
 	h.Write(body)
@@ -55,9 +57,9 @@
 	return fmt.Sprintf("%x", h.Sum(nil)[:8])
 }
 
-// Tokens returns the number of frames of the answer to body: its max_tokens
+// FrameCount returns the number of frames of the answer to body: its max_tokens
 // if it is a JSON object with one, otherwise 8.
-func Tokens(body []byte) int {
+func FrameCount(body []byte) int {
 	var req struct {
 		MaxTokens int `json:"max_tokens"`
 	}
@@ -67,33 +69,33 @@
 	return req.MaxTokens
 }
 
-// enter counts a request in, or makes the engine fail over its limit. expect is
+// startRequest counts a request in, or makes the engine fail over its limit. expect is
 // the identity that the request names, or empty.
-func (s *Server) enter(w http.ResponseWriter, version, expect string) (model, int) {
-	m, inFlight, code := s.take(w, version, expect)
+func (s *Server) startRequest(w http.ResponseWriter, version, expect string) (loadedModel, int) {
+	m, inFlight, code := s.admit(w, version, expect)
 	switch code {
 	case http.StatusPreconditionFailed:
 		s.counts.Add("changed")
 	case http.StatusInternalServerError:
 		s.counts.Add("overload")
 	case http.StatusOK:
-		s.counts.Max("max_in_flight", int64(inFlight))
+		s.counts.RaiseTo("max_in_flight", int64(inFlight))
 	}
 	return m, code
 }
 
-func (s *Server) take(w http.ResponseWriter, version, expect string) (m model, inFlight, code int) {
+func (s *Server) admit(w http.ResponseWriter, version, expect string) (m loadedModel, inFlight, code int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.o.CheckIdentity && expect != "" && expect != s.tag() {
-		w.Header().Set("ETag", s.tag())
-		return model{}, s.inFlight, http.StatusPreconditionFailed
+	if s.opts.CheckIdentity && expect != "" && expect != s.entityTag() {
+		w.Header().Set("ETag", s.entityTag())
+		return loadedModel{}, s.inFlight, http.StatusPreconditionFailed
 	}
 	m, ok := s.loaded[version]
 	if !ok {
 		return m, s.inFlight, http.StatusConflict
 	}
-	if s.inFlight >= min(s.o.MaxRequests, s.o.ColdRequests+s.served) {
+	if s.inFlight >= min(s.opts.MaxRequests, s.opts.ColdRequests+s.served) {
 		s.failed = true
 		return m, s.inFlight, http.StatusInternalServerError
 	}
@@ -101,14 +103,14 @@
 	return m, s.inFlight, http.StatusOK
 }
 
-func (s *Server) leave(a Answered) {
-	if !a.Whole {
+func (s *Server) finishRequest(a HistoryEntry) {
+	if !a.Complete {
 		s.counts.Add("canceled")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
-	if a.Whole {
+	if a.Complete {
 		s.served++
 	}
 	if len(s.history) < maxHistory {
@@ -122,8 +124,8 @@
 		http.Error(w, "bad body", http.StatusBadRequest)
 		return
 	}
-	a := Answered{RequestID: r.Header.Get("X-Request-Id"), Version: r.Header.Get("X-Model-Version")}
-	m, code := s.enter(w, a.Version, r.Header.Get("If-Match"))
+	a := HistoryEntry{RequestID: r.Header.Get("X-Request-Id"), Version: r.Header.Get("X-Model-Version")}
+	m, code := s.startRequest(w, a.Version, r.Header.Get("If-Match"))
 	if code != http.StatusOK {
 		http.Error(w, "engine has changed, has failed, or has not loaded the version", code)
 		return
@@ -131,26 +133,26 @@
 	left := false
 	defer func() {
 		if !left {
-			s.leave(a)
+			s.finishRequest(a)
 		}
 	}()
 	resume, _ := strconv.Atoi(r.Header.Get("X-Resume-Frames"))
-	if a.Whole = s.stream(w, r, a, m, body, resume); !a.Whole {
+	if a.Complete = s.stream(w, r, a, m, body, resume); !a.Complete {
 		return
 	}
 	// An engine frees what a request holds before it says that the answer has
 	// ended. Were the request still counted then, its caller's next one could
 	// count as one too many.
-	s.leave(a)
+	s.finishRequest(a)
 	left = true
 	var end endLine
-	end.End.Frames = Tokens(body)
+	end.End.Frames = FrameCount(body)
 	_ = json.NewEncoder(w).Encode(end)
 }
 
 // stream writes the head and the frames of an answer and reports whether all
 // of them were written.
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, a Answered, m model, body []byte, resume int) bool {
+func (s *Server) stream(w http.ResponseWriter, r *http.Request, a HistoryEntry, m loadedModel, body []byte, resume int) bool {
 	f := s.faults.Get()
 	id, version := a.RequestID, a.Version
 	if f.WrongID != "" {
@@ -165,26 +167,26 @@
 	var head headLine
 	head.Head.RequestID, head.Head.Version = id, version
 	_ = out.Encode(head)
-	n := Tokens(body)
+	n := FrameCount(body)
 	for i := resume; i < n; i++ {
-		if !s.pause(r) {
+		if !s.waitToken(r) {
 			return false
 		}
 		if f.CutAfter > 0 && i >= f.CutAfter && (resume == 0 || !f.CutOnce) {
 			panic(http.ErrAbortHandler)
 		}
-		if out.Encode(Frame{id, version, i, token(m.digest, body, i)}) != nil || flush.Flush() != nil {
+		if out.Encode(Frame{id, version, i, frameText(m.digest, body, i)}) != nil || flush.Flush() != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// pause waits for one token. It reports false once the caller has gone or the
+// waitToken waits for one token. It reports false once the caller has gone or the
 // engine has failed.
-func (s *Server) pause(r *http.Request) bool {
-	if s.o.TokenDelay > 0 {
-		fault.Wait(r.Context(), s.o.TokenDelay)
+func (s *Server) waitToken(r *http.Request) bool {
+	if s.opts.TokenDelay > 0 {
+		fault.Sleep(r.Context(), s.opts.TokenDelay)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -10,54 +10,54 @@
 
 const mib = 1 << 20
 
-// fenced applies the fencing number of an order and reports whether the order
+// beginOrder applies the fencing number of an order and reports whether the order
 // may be carried out.
-func (s *Server) fenced(w http.ResponseWriter, r *http.Request) (*Order, bool) {
+func (s *Server) beginOrder(w http.ResponseWriter, r *http.Request) (*Order, bool) {
 	n, err := strconv.ParseInt(r.URL.Query().Get("fence"), 10, 64)
 	if err != nil {
 		http.Error(w, "bad fencing number", http.StatusBadRequest)
 		return nil, false
 	}
-	o, ok := s.begin(r.URL.Path, r.URL.Query().Get("version"), n)
+	o, ok := s.recordOrder(r.URL.Path, r.URL.Query().Get("version"), n)
 	if !ok {
 		s.refuseStale(w)
 	}
 	return o, ok
 }
 
-// begin records an order. It reports false for a number that the engine
+// recordOrder records an order. It reports false for a number that the engine
 // refuses.
-func (s *Server) begin(kind, version string, fence int64) (*Order, bool) {
+func (s *Server) recordOrder(kind, version string, fence int64) (*Order, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stale(fence) {
+	if s.isStale(fence) {
 		return nil, false
 	}
 	s.fence = max(s.fence, fence)
-	o := &Order{Kind: kind, Version: version, Fence: fence, Began: s.tick()}
+	o := &Order{Kind: kind, Version: version, Fence: fence, BeganSeq: s.nextEventSeq()}
 	if len(s.orders) < maxHistory {
 		s.orders = append(s.orders, o)
 	}
 	return o, true
 }
 
-// stale reports whether the engine checks numbers and has seen a higher one.
+// isStale reports whether the engine checks numbers and has seen a higher one.
 // The caller holds the lock.
-func (s *Server) stale(fence int64) bool { return s.o.CheckFence && fence < s.fence }
+func (s *Server) isStale(fence int64) bool { return s.opts.CheckFence && fence < s.fence }
 
 func (s *Server) refuseStale(w http.ResponseWriter) {
 	s.counts.Add("stale_order")
 	http.Error(w, "old fencing number", http.StatusPreconditionFailed)
 }
 
-// tick numbers the events of the orders. The caller holds the lock.
-func (s *Server) tick() int {
-	s.ticks++
-	return s.ticks
+// nextEventSeq numbers the events of the orders. The caller holds the lock.
+func (s *Server) nextEventSeq() int {
+	s.eventSeq++
+	return s.eventSeq
 }
 
 func (s *Server) load(w http.ResponseWriter, r *http.Request) {
-	o, ok := s.fenced(w, r)
+	o, ok := s.beginOrder(w, r)
 	if !ok {
 		return
 	}
@@ -68,14 +68,14 @@
 		return
 	}
 	s.mu.Lock()
-	boots, used := s.boots, int64(0)
+	boots, used := s.bootCount, int64(0)
 	for v, m := range s.loaded {
 		if v != q.Get("version") {
 			used += m.bytes
 		}
 	}
 	s.mu.Unlock()
-	if s.o.MemoryBytes > 0 && used+size > s.o.MemoryBytes {
+	if s.opts.MemoryBytes > 0 && used+size > s.opts.MemoryBytes {
 		s.counts.Add("out_of_memory")
 		http.Error(w, "not enough memory", http.StatusInsufficientStorage)
 		return
@@ -87,16 +87,16 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.boots != boots {
+	if s.bootCount != boots {
 		http.Error(w, "engine restarted", http.StatusInternalServerError)
 		return
 	}
-	if s.stale(o.Fence) {
+	if s.isStale(o.Fence) {
 		s.refuseStale(w)
 		return
 	}
-	o.Done = s.tick()
-	s.loaded[q.Get("version")] = model{digest: digest, bytes: n}
+	o.DoneSeq = s.nextEventSeq()
+	s.loaded[q.Get("version")] = loadedModel{digest: digest, bytes: n}
 	s.loadCount++
 	s.served = 0
 }
@@ -109,7 +109,7 @@
 		k, err := r.Body.Read(buf)
 		h.Write(buf[:k])
 		n += int64(k)
-		if d := time.Duration(int64(s.o.LoadPerMiB) * int64(k) / mib); d > 0 {
+		if d := time.Duration(int64(s.opts.LoadPerMiB) * int64(k) / mib); d > 0 {
 			time.Sleep(d)
 		}
 		if err == io.EOF {
@@ -122,12 +122,12 @@
 }
 
 func (s *Server) unload(w http.ResponseWriter, r *http.Request) {
-	o, ok := s.fenced(w, r)
+	o, ok := s.beginOrder(w, r)
 	if !ok {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o.Done = s.tick()
+	o.DoneSeq = s.nextEventSeq()
 	delete(s.loaded, r.URL.Query().Get("version"))
 }
--- a/internal/standin/fault/counts.go
+++ b/internal/standin/fault/counts.go
@@ -16,8 +16,8 @@
 // Add counts one event.
 func (c *Counts) Add(kind string) { c.update(kind, func(n int64) int64 { return n + 1 }) }
 
-// Max raises the count of a kind to n.
-func (c *Counts) Max(kind string, n int64) {
+// RaiseTo raises the count of a kind to n.
+func (c *Counts) RaiseTo(kind string, n int64) {
 	c.update(kind, func(old int64) int64 { return max(old, n) })
 }
 
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -12,28 +12,28 @@
 	"time"
 )
 
-// Switch holds the faults F of one stand-in. Its zero value has none on.
-type Switch[F any] struct {
+// Active holds the faults F of one stand-in. Its zero value has none on.
+type Active[F any] struct {
 	mu sync.Mutex
 	f  F
 }
 
 // Get returns the faults that are switched on.
-func (s *Switch[F]) Get() F {
+func (s *Active[F]) Get() F {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.f
 }
 
 // Set replaces the faults that are switched on.
-func (s *Switch[F]) Set(f F) {
+func (s *Active[F]) Set(f F) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.f = f
 }
 
 // ServeHTTP replaces the faults by those in the request's JSON body.
-func (s *Switch[F]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Active[F]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var f F
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -42,8 +42,8 @@
 	s.Set(f)
 }
 
-// Call is the faults that a call meets before the stand-in handles it.
-type Call struct {
+// CallFaults is the faults that a call meets before the stand-in handles it.
+type CallFaults struct {
 	// Down answers 503.
 	Down bool
 	// Hang gives no answer until the caller gives up.
@@ -53,8 +53,8 @@
 	DelayMillis int
 }
 
-// Pass applies the faults and reports whether the call goes on to its handler.
-func (c Call) Pass(w http.ResponseWriter, r *http.Request) bool {
+// Apply applies the faults and reports whether the call goes on to its handler.
+func (c CallFaults) Apply(w http.ResponseWriter, r *http.Request) bool {
 	if c.DelayMillis > 0 {
 		time.Sleep(time.Duration(c.DelayMillis) * time.Millisecond)
 	}
@@ -71,8 +71,8 @@
 	return true
 }
 
-// Wait waits for d and reports false if ctx ends first.
-func Wait(ctx context.Context, d time.Duration) bool {
+// Sleep waits for d and reports false if ctx ends first.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/standin/origin/link.go
+++ b/internal/standin/origin/link.go
@@ -27,7 +27,7 @@
 	if rate <= 0 {
 		return true
 	}
-	return fault.Wait(ctx, l.reserve(n, rate))
+	return fault.Sleep(ctx, l.reserve(n, rate))
 }
 
 func (l *link) reserve(n int, rate int64) time.Duration {
--- a/internal/standin/origin/origin.go
+++ b/internal/standin/origin/origin.go
@@ -17,8 +17,8 @@
 
 const (
 	requesterHeader = "X-Masticwing-VM"
-	// pieceBytes is the unit of pacing.
-	pieceBytes = 16 << 10
+	// writeBytes is the unit of pacing.
+	writeBytes = 16 << 10
 )
 
 // Version describes one version to make.
@@ -29,8 +29,8 @@
 	Seed       uint64
 }
 
-// Make returns the weights of a version.
-func (v Version) Make() []byte {
+// GenerateWeights returns the weights of a version.
+func (v Version) GenerateWeights() []byte {
 	out := make([]byte, v.Bytes)
 	src := rand.New(rand.NewPCG(v.Seed, uint64(v.Bytes)))
 	for i := 0; i < len(out); i += 8 {
@@ -43,7 +43,9 @@
 }
 
 // Manifest returns the manifest of a version.
-func (v Version) Manifest() manifest.Manifest { return manifest.Split(v.Model, v.Make(), v.ChunkBytes) }
+func (v Version) Manifest() manifest.Manifest {
+	return manifest.Split(v.Model, v.GenerateWeights(), v.ChunkBytes)
+}
 
 // Faults are the failures that POST /faults switches on.
 type Faults struct {
@@ -62,49 +64,49 @@
 // Counts is the answer to GET /counts. Calls and bytes are keyed by "manifest"
 // and "chunk".
 type Counts struct {
-	Calls     map[string]int64            `json:"calls"`
-	Bytes     map[string]int64            `json:"bytes"`
-	Requester map[string]map[string]int64 `json:"bytes_by_requester"`
+	Calls       map[string]int64            `json:"calls"`
+	Bytes       map[string]int64            `json:"bytes"`
+	ByRequester map[string]map[string]int64 `json:"bytes_by_requester"`
 }
 
-type held struct {
-	man     manifest.Manifest
-	weights []byte
-	chunk   int
+type storedVersion struct {
+	man        manifest.Manifest
+	weights    []byte
+	chunkBytes int
 }
 
 // Server is the stand-in's HTTP handler.
 type Server struct {
 	link   link
-	faults fault.Switch[Faults]
+	faults fault.Active[Faults]
 
 	mu       sync.Mutex // guards the fields below
-	versions map[fleet.Version]held
+	versions map[fleet.Version]storedVersion
 	counts   Counts
 }
 
 // New makes the versions. rate limits the link in bytes per second; 0 means no
 // limit.
 func New(rate int64, versions ...Version) *Server {
-	s := &Server{versions: map[fleet.Version]held{}, link: link{rate: rate}}
-	s.counts = Counts{Calls: map[string]int64{}, Bytes: map[string]int64{}, Requester: map[string]map[string]int64{}}
+	s := &Server{versions: map[fleet.Version]storedVersion{}, link: link{rate: rate}}
+	s.counts = Counts{Calls: map[string]int64{}, Bytes: map[string]int64{}, ByRequester: map[string]map[string]int64{}}
 	for _, v := range versions {
-		s.Add(v)
+		s.AddVersion(v)
 	}
 	return s
 }
 
-// Add makes the server offer a version, which it may offer already.
-func (s *Server) Add(v Version) fleet.Version {
-	w := v.Make()
+// AddVersion makes the server offer a version, which it may offer already.
+func (s *Server) AddVersion(v Version) fleet.Version {
+	w := v.GenerateWeights()
 	m := manifest.Split(v.Model, w, v.ChunkBytes)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.versions[m.Version()] = held{m, w, v.ChunkBytes}
+	s.versions[m.Version()] = storedVersion{m, w, v.ChunkBytes}
 	return m.Version()
 }
 
-func (s *Server) version(v string) (held, bool) {
+func (s *Server) version(v string) (storedVersion, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h, ok := s.versions[fleet.Version(v)]
@@ -114,23 +116,23 @@
 // Handler returns the routes of the stand-in.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/versions/{version}/manifest", s.counted("manifest", s.manifest))
-	mux.HandleFunc("GET /v1/versions/{version}/chunks/{n}", s.counted("chunk", s.chunk))
-	mux.HandleFunc("GET /versions", s.list)
-	mux.HandleFunc("POST /versions", s.add)
+	mux.HandleFunc("GET /v1/versions/{version}/manifest", s.instrument("manifest", s.manifest))
+	mux.HandleFunc("GET /v1/versions/{version}/chunks/{n}", s.instrument("chunk", s.chunk))
+	mux.HandleFunc("GET /versions", s.listVersions)
+	mux.HandleFunc("POST /versions", s.postVersion)
 	mux.HandleFunc("GET /counts", s.getCounts)
 	mux.Handle("POST /faults", &s.faults)
 	return mux
 }
 
-// counted counts the calls of a kind and lets them meet the faults.
-func (s *Server) counted(kind string, h http.HandlerFunc) http.HandlerFunc {
+// instrument counts the calls of a kind and lets them meet the faults.
+func (s *Server) instrument(kind string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		s.counts.Calls[kind]++
 		s.mu.Unlock()
 		f := s.faults.Get()
-		if (fault.Call{Down: f.Down, Hang: f.Hang, DelayMillis: f.DelayMillis}).Pass(w, r) {
+		if (fault.CallFaults{Down: f.Down, Hang: f.Hang, DelayMillis: f.DelayMillis}).Apply(w, r) {
 			h(w, r)
 		}
 	}
@@ -168,7 +170,7 @@
 		http.Error(w, "no such chunk", http.StatusNotFound)
 		return
 	}
-	data := v.weights[n*v.chunk : min(len(v.weights), (n+1)*v.chunk)]
+	data := v.weights[n*v.chunkBytes : min(len(v.weights), (n+1)*v.chunkBytes)]
 	if p := s.faults.Get().Corrupt; p > 0 && rand.Float64() < p {
 		data = append([]byte(nil), data...)
 		data[len(data)/2] ^= 1
@@ -180,7 +182,7 @@
 func (s *Server) write(w http.ResponseWriter, r *http.Request, kind string, b []byte) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	for len(b) > 0 {
-		n := min(len(b), pieceBytes)
+		n := min(len(b), writeBytes)
 		if !s.link.wait(r.Context(), n, s.faults.Get().Rate) {
 			return
 		}
@@ -199,10 +201,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Bytes[kind] += int64(n)
-	by := s.counts.Requester[requester]
+	by := s.counts.ByRequester[requester]
 	if by == nil {
 		by = map[string]int64{}
-		s.counts.Requester[requester] = by
+		s.counts.ByRequester[requester] = by
 	}
 	by[kind] += int64(n)
 }
@@ -223,9 +225,9 @@
 	fault.WriteJSON(w, s.counts)
 }
 
-// add offers the version that the body {"model","size","chunk","seed"}
+// postVersion offers the version that the body {"model","size","chunk","seed"}
 // describes and answers {"version"}.
-func (s *Server) add(w http.ResponseWriter, r *http.Request) {
+func (s *Server) postVersion(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		Model, Size, Chunk string
 		Seed               uint64
@@ -237,11 +239,11 @@
 		http.Error(w, "model, size, chunk and seed are needed", http.StatusBadRequest)
 		return
 	}
-	v := s.Add(Version{Model: fleet.Model(in.Model), Bytes: int(size), ChunkBytes: int(chunk), Seed: in.Seed})
+	v := s.AddVersion(Version{Model: fleet.Model(in.Model), Bytes: int(size), ChunkBytes: int(chunk), Seed: in.Seed})
 	fault.WriteJSON(w, map[string]fleet.Version{"version": v})
 }
 
-func (s *Server) list(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) listVersions(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]string{}
--- a/internal/standin/origin/origin_test.go
+++ b/internal/standin/origin/origin_test.go
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	want := int64(v.Bytes + v.ChunkBytes)
-	if c.Calls["chunk"] != 5 || c.Bytes["chunk"] != want || c.Requester["vm1"]["chunk"] != want {
+	if c.Calls["chunk"] != 5 || c.Bytes["chunk"] != want || c.ByRequester["vm1"]["chunk"] != want {
 		t.Errorf("counts %+v, want 5 calls and %d bytes", c, want)
 	}
 }
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -41,37 +41,37 @@
 // Server is the stand-in's HTTP handler.
 type Server struct {
 	store  *store
-	faults fault.Switch[Faults]
+	faults fault.Active[Faults]
 	counts fault.Counts
 
-	mu    sync.Mutex // guards the fields below
-	stale map[string]entry
-	vms   []VM
+	mu       sync.Mutex // guards the fields below
+	previous map[string]entry
+	vms      []VM
 }
 
 // New returns an empty service.
 func New() *Server {
-	return &Server{store: newStore(), stale: map[string]entry{}}
+	return &Server{store: newStore(), previous: map[string]entry{}}
 }
 
 // Handler returns the routes of the stand-in.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/kv/{key...}", s.counted("read", s.read))
-	mux.HandleFunc("PUT /v1/kv/{key...}", s.counted("write", s.write))
-	mux.HandleFunc("DELETE /v1/kv/{key...}", s.counted("delete", s.remove))
-	mux.HandleFunc("POST /v1/leases", s.counted("grant", s.grant))
-	mux.HandleFunc("PUT /v1/leases/{id}", s.counted("keepalive", s.keepAlive))
-	mux.HandleFunc("DELETE /v1/leases/{id}", s.counted("revoke", s.revoke))
-	mux.HandleFunc("GET /v1/vms", s.counted("vms", s.listVMs))
+	mux.HandleFunc("GET /v1/kv/{key...}", s.instrument("read", s.read))
+	mux.HandleFunc("PUT /v1/kv/{key...}", s.instrument("write", s.write))
+	mux.HandleFunc("DELETE /v1/kv/{key...}", s.instrument("delete", s.remove))
+	mux.HandleFunc("POST /v1/leases", s.instrument("grant", s.grant))
+	mux.HandleFunc("PUT /v1/leases/{id}", s.instrument("keepalive", s.keepAlive))
+	mux.HandleFunc("DELETE /v1/leases/{id}", s.instrument("revoke", s.revoke))
+	mux.HandleFunc("GET /v1/vms", s.instrument("vms", s.listVMs))
 	mux.HandleFunc("PUT /vms", s.putVMs)
 	mux.Handle("POST /faults", &s.faults)
 	mux.Handle("GET /counts", &s.counts)
 	return mux
 }
 
-// counted counts the calls of a kind and lets them meet the faults.
-func (s *Server) counted(kind string, h http.HandlerFunc) http.HandlerFunc {
+// instrument counts the calls of a kind and lets them meet the faults.
+func (s *Server) instrument(kind string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if kind == "read" && r.URL.Query().Has("after") {
 			s.counts.Add("watch")
@@ -79,7 +79,7 @@
 			s.counts.Add(kind)
 		}
 		f := s.faults.Get()
-		if (fault.Call{Down: f.Down, Hang: f.Hang, DelayMillis: f.DelayMillis}).Pass(w, r) {
+		if (fault.CallFaults{Down: f.Down, Hang: f.Hang, DelayMillis: f.DelayMillis}).Apply(w, r) {
 			h(w, r)
 		}
 	}
@@ -91,7 +91,7 @@
 	if !q.Has("after") {
 		e, ok, _ := s.store.get(key)
 		if s.faults.Get().StaleReads {
-			e, ok = s.staleEntry(key)
+			e, ok = s.previousEntry(key)
 		}
 		writeEntry(w, e, ok)
 		return
@@ -101,10 +101,10 @@
 	s.watch(w, r, key, after, wait)
 }
 
-func (s *Server) staleEntry(key string) (entry, bool) {
+func (s *Server) previousEntry(key string) (entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, ok := s.stale[key]
+	e, ok := s.previous[key]
 	return e, ok
 }
 
@@ -147,21 +147,21 @@
 	q := r.URL.Query()
 	rev, _ := strconv.ParseInt(q.Get("rev"), 10, 64)
 	old, _, _ := s.store.get(key)
-	got, ok := s.store.swap(key, rev, value, q.Get("lease"))
+	got, ok := s.store.compareAndSwap(key, rev, value, q.Get("lease"))
 	if !ok {
 		http.Error(w, "conflict", http.StatusConflict)
 		return
 	}
 	s.mu.Lock()
-	s.stale[key] = old
+	s.previous[key] = old
 	s.mu.Unlock()
-	if s.loses() {
+	if s.shouldLoseAnswer() {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("X-Rev", strconv.FormatInt(got, 10))
 }
 
-func (s *Server) loses() bool {
+func (s *Server) shouldLoseAnswer() bool {
 	p := s.faults.Get().LoseWriteAnswers
 	return p > 0 && rand.Float64() < p
 }
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -22,21 +22,21 @@
 // store is the state of the service under one lock. change is closed and
 // replaced at each write, which wakes all watches.
 type store struct {
-	mu     sync.Mutex
-	now    func() time.Time
-	rev    int64
-	nextID int64
-	keys   map[string]entry
-	leases map[string]lease
-	change chan struct{}
+	mu      sync.Mutex
+	now     func() time.Time
+	rev     int64
+	nextID  int64
+	keys    map[string]entry
+	leases  map[string]lease
+	changed chan struct{}
 }
 
 func newStore() *store {
 	return &store{
-		now:    time.Now,
-		keys:   map[string]entry{},
-		leases: map[string]lease{},
-		change: make(chan struct{}),
+		now:     time.Now,
+		keys:    map[string]entry{},
+		leases:  map[string]lease{},
+		changed: make(chan struct{}),
 	}
 }
 
@@ -45,12 +45,12 @@
 	now := s.now()
 	for id, l := range s.leases {
 		if now.After(l.expires) {
-			s.dropLeaseLocked(id)
+			s.deleteLeaseLocked(id)
 		}
 	}
 }
 
-func (s *store) dropLeaseLocked(id string) {
+func (s *store) deleteLeaseLocked(id string) {
 	delete(s.leases, id)
 	for k, e := range s.keys {
 		if e.lease == id {
@@ -64,12 +64,12 @@
 	defer s.mu.Unlock()
 	s.expireLocked()
 	e, ok := s.keys[key]
-	return e, ok, s.change
+	return e, ok, s.changed
 }
 
-// swap writes value if the key's revision is rev and the lease, if given, is
+// compareAndSwap writes value if the key's revision is rev and the lease, if given, is
 // live. It returns the new revision.
-func (s *store) swap(key string, rev int64, value []byte, leaseID string) (int64, bool) {
+func (s *store) compareAndSwap(key string, rev int64, value []byte, leaseID string) (int64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLocked()
@@ -81,7 +81,7 @@
 	}
 	s.rev++
 	s.keys[key] = entry{value, s.rev, leaseID}
-	s.wakeLocked()
+	s.notifyLocked()
 	return s.rev, true
 }
 
@@ -93,13 +93,13 @@
 		return false
 	}
 	delete(s.keys, key)
-	s.wakeLocked()
+	s.notifyLocked()
 	return true
 }
 
-func (s *store) wakeLocked() {
-	close(s.change)
-	s.change = make(chan struct{})
+func (s *store) notifyLocked() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (s *store) grant(ttl time.Duration) string {
@@ -126,5 +126,5 @@
 func (s *store) revoke(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropLeaseLocked(id)
+	s.deleteLeaseLocked(id)
 }
--- a/internal/standin/relay/pump.go
+++ b/internal/standin/relay/pump.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	// pieceBytes is the most that is read at once.
-	pieceBytes = 16 << 10
-	// queuedPieces bounds what a delay holds per direction of a connection.
-	queuedPieces = 256
+	// segmentBytes is the most that is read at once.
+	segmentBytes = 16 << 10
+	// queuedSegments bounds what a delay holds per direction of a connection.
+	queuedSegments = 256
 )
 
-// piece is data on its way, due at a time.
-type piece struct {
+// segment is data on its way, due at a time.
+type segment struct {
 	data []byte
 	due  time.Time
 }
 
 // pump carries one direction of a connection until either end closes it. The
 // reader and the writer are apart, so that a delay does not lower the rate.
-func (r *route) pump(p *pair, dir int) {
+func (r *route) pump(p *connPair, dir int) {
 	src, dst := p.caller, p.target
 	if dir == toCaller {
 		src, dst = dst, src
 	}
-	q := make(chan piece, queuedPieces)
+	q := make(chan segment, queuedSegments)
 	var wg conc.WaitGroup
-	wg.Go(func() { r.readPieces(p, src, q) })
-	r.writePieces(p, dst, q, dir)
+	wg.Go(func() { r.readSegments(p, src, q) })
+	r.writeSegments(p, dst, q, dir)
 	wg.Wait()
 }
 
-func (r *route) readPieces(p *pair, src net.Conn, q chan<- piece) {
+func (r *route) readSegments(p *connPair, src net.Conn, q chan<- segment) {
 	defer close(q)
 	for {
-		buf := make([]byte, pieceBytes)
+		buf := make([]byte, segmentBytes)
 		n, err := src.Read(buf)
 		if n > 0 {
 			select {
-			case q <- piece{buf[:n], time.Now().Add(r.delay())}:
-			case <-p.end:
+			case q <- segment{buf[:n], time.Now().Add(r.delay())}:
+			case <-p.done:
 				return
 			}
 		}
@@ -58,13 +58,13 @@
 	}
 }
 
-func (r *route) writePieces(p *pair, dst net.Conn, q <-chan piece, dir int) {
+func (r *route) writeSegments(p *connPair, dst net.Conn, q <-chan segment, dir int) {
 	for pc := range q {
 		due := r.reserve(dir, len(pc.data))
 		if pc.due.After(due) {
 			due = pc.due
 		}
-		if !sleepUntil(p, due) || !r.waitThawed(p) {
+		if !sleepUntil(p, due) || !r.waitUnfrozen(p) {
 			break
 		}
 		r.corrupt(dir, pc.data)
@@ -74,7 +74,7 @@
 			break
 		}
 	}
-	if !r.waitThawed(p) {
+	if !r.waitUnfrozen(p) {
 		return
 	}
 	if t, ok := dst.(*net.TCPConn); ok {
@@ -84,20 +84,20 @@
 	}
 }
 
-// corruptFrom is the least size of a piece that is altered.
-const corruptFrom = 4 << 10
+// minCorruptBytes is the least size of a piece that is altered.
+const minCorruptBytes = 4 << 10
 
 // corrupt alters the middle of a piece if the route's faults say so.
 func (r *route) corrupt(dir int, b []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if dir == toCaller && r.faults.CorruptToCaller && len(b) >= corruptFrom {
+	if dir == toCaller && r.faults.CorruptToCaller && len(b) >= minCorruptBytes {
 		b[len(b)/2] ^= 0xff
-		r.passed.Corrupted++
+		r.traffic.Corrupted++
 	}
 }
 
-func sleepUntil(p *pair, due time.Time) bool {
+func sleepUntil(p *connPair, due time.Time) bool {
 	d := time.Until(due)
 	if d <= 0 {
 		return true
@@ -107,24 +107,24 @@
 	select {
 	case <-t.C:
 		return true
-	case <-p.end:
+	case <-p.done:
 		return false
 	}
 }
 
-// waitThawed blocks while the connection is frozen. It returns false once the
+// waitUnfrozen blocks while the connection is frozen. It returns false once the
 // connection is reset.
-func (r *route) waitThawed(p *pair) bool {
+func (r *route) waitUnfrozen(p *connPair) bool {
 	for {
 		r.mu.Lock()
-		frozen, change := p.silent || r.faults.Freeze == FreezeAll, r.change
+		frozen, change := p.frozen || r.faults.Freeze == FreezeAll, r.faultsChanged
 		r.mu.Unlock()
 		if !frozen {
 			return true
 		}
 		select {
 		case <-change:
-		case <-p.end:
+		case <-p.done:
 			return false
 		}
 	}
@@ -142,22 +142,22 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	if r.faults.BytesPerSecond <= 0 {
-		r.next[dir] = now
+		r.nextSend[dir] = now
 		return now
 	}
-	if r.next[dir].Before(now) {
-		r.next[dir] = now
+	if r.nextSend[dir].Before(now) {
+		r.nextSend[dir] = now
 	}
-	r.next[dir] = r.next[dir].Add(time.Duration(n) * time.Second / time.Duration(r.faults.BytesPerSecond))
-	return r.next[dir]
+	r.nextSend[dir] = r.nextSend[dir].Add(time.Duration(n) * time.Second / time.Duration(r.faults.BytesPerSecond))
+	return r.nextSend[dir]
 }
 
 func (r *route) count(dir, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if dir == toTarget {
-		r.passed.ToTarget += int64(n)
+		r.traffic.ToTarget += int64(n)
 		return
 	}
-	r.passed.ToCaller += int64(n)
+	r.traffic.ToCaller += int64(n)
 }
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -69,7 +69,7 @@
 // AddRoute starts to relay from listen to target.
 func (r *Relay) AddRoute(name, listen, target string) error {
 	rt := newRoute(listen, target)
-	if err := rt.open(); err != nil {
+	if err := rt.startListening(); err != nil {
 		return errors.Wrapf(err, "route %s", name)
 	}
 	r.mu.Lock()
--- a/internal/standin/relay/route.go
+++ b/internal/standin/relay/route.go
@@ -23,30 +23,30 @@
 	mu     sync.Mutex
 	lis    net.Listener
 	faults Faults
-	// change is closed and replaced when the faults change.
-	change chan struct{}
-	conns  map[*pair]struct{}
-	passed Counts
-	// next is the time at which each direction may carry its next byte.
-	next  [2]time.Time
-	ended bool
+	// faultsChanged is closed and replaced when the faults faultsChanged.
+	faultsChanged chan struct{}
+	conns         map[*connPair]struct{}
+	traffic       Counts
+	// nextSend is the time at which each direction may carry its nextSend byte.
+	nextSend [2]time.Time
+	closed   bool
 }
 
-// pair is a caller's connection and the one to the target.
-type pair struct {
+// connPair is a caller's connection and the one to the target.
+type connPair struct {
 	caller, target net.Conn
-	end            chan struct{}
+	done           chan struct{}
 	once           sync.Once
-	// silent is set for good by FreezeOld; guarded by the route's lock.
-	silent bool
+	// frozen is set for good by FreezeOld; guarded by the route's lock.
+	frozen bool
 }
 
 func newRoute(listen, target string) *route {
-	return &route{listen: listen, target: target, change: make(chan struct{}), conns: map[*pair]struct{}{}}
+	return &route{listen: listen, target: target, faultsChanged: make(chan struct{}), conns: map[*connPair]struct{}{}}
 }
 
-// open starts to listen.
-func (r *route) open() error {
+// startListening starts to listen.
+func (r *route) startListening() error {
 	lis, err := net.Listen("tcp", r.listen)
 	if err != nil {
 		return errors.Wrap(err, "listening")
@@ -74,8 +74,8 @@
 		reset(c)
 		return
 	}
-	p := &pair{caller: c, target: t, end: make(chan struct{})}
-	if !r.add(p) {
+	p := &connPair{caller: c, target: t, done: make(chan struct{})}
+	if !r.register(p) {
 		p.reset()
 		return
 	}
@@ -89,14 +89,14 @@
 	delete(r.conns, p)
 }
 
-func (r *route) add(p *pair) bool {
+func (r *route) register(p *connPair) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.ended || r.faults.Cut || p.from(r.faults.CutFrom) {
+	if r.closed || r.faults.Cut || p.isFrom(r.faults.CutFrom) {
 		return false
 	}
 	r.conns[p] = struct{}{}
-	r.passed.Connections++
+	r.traffic.Connections++
 	return true
 }
 
@@ -106,10 +106,10 @@
 	lis, open := r.lis, r.lis != nil
 	r.faults = f
 	for p := range r.conns {
-		p.silent = p.silent || f.Freeze == FreezeOld
+		p.frozen = p.frozen || f.Freeze == FreezeOld
 	}
-	close(r.change)
-	r.change = make(chan struct{})
+	close(r.faultsChanged)
+	r.faultsChanged = make(chan struct{})
 	if f.Cut {
 		r.lis = nil
 	}
@@ -119,7 +119,7 @@
 		if open {
 			return nil
 		}
-		return r.open()
+		return r.startListening()
 	}
 	if open {
 		_ = lis.Close()
@@ -131,7 +131,7 @@
 // resetFrom resets what is open from IP addresses.
 func (r *route) resetFrom(ips []string) {
 	for _, p := range r.pairs() {
-		if p.from(ips) {
+		if p.isFrom(ips) {
 			p.reset()
 		}
 	}
@@ -144,7 +144,7 @@
 }
 
 // pairs returns the open connections.
-func (r *route) pairs() []*pair {
+func (r *route) pairs() []*connPair {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Collect(maps.Keys(r.conns))
@@ -153,12 +153,12 @@
 func (r *route) counts() Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.passed
+	return r.traffic
 }
 
 func (r *route) close() {
 	r.mu.Lock()
-	r.ended = true
+	r.closed = true
 	lis := r.lis
 	r.lis = nil
 	r.mu.Unlock()
@@ -169,16 +169,16 @@
 	r.wg.Wait()
 }
 
-// from reports whether the caller's end of the connection has one of the IP
+// isFrom reports whether the caller's end of the connection has one of the IP
 // addresses.
-func (p *pair) from(ips []string) bool {
+func (p *connPair) isFrom(ips []string) bool {
 	host, _, err := net.SplitHostPort(p.caller.RemoteAddr().String())
 	return err == nil && slices.Contains(ips, host)
 }
 
-func (p *pair) reset() {
+func (p *connPair) reset() {
 	p.once.Do(func() {
-		close(p.end)
+		close(p.done)
 		reset(p.caller)
 		reset(p.target)
 	})
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -22,15 +22,15 @@
 	Refuse bool `json:"refuse"`
 	// Fail answers 500 after the effect.
 	Fail bool `json:"fail"`
-	// Sick makes /healthz fail.
-	Sick bool `json:"sick"`
+	// Unhealthy makes /healthz fail.
+	Unhealthy bool `json:"sick"`
 }
 
 const maxBodyBytes = 8 << 20
 
 // Server is the stand-in's HTTP handler.
 type Server struct {
-	faults fault.Switch[Faults]
+	faults fault.Active[Faults]
 	// counts are keyed by the name of the call, effects by idempotency key.
 	counts, effects fault.Counts
 }
@@ -50,13 +50,13 @@
 }
 
 func (s *Server) healthz(w http.ResponseWriter, _ *http.Request) {
-	if s.faults.Get().Sick {
+	if s.faults.Get().Unhealthy {
 		http.Error(w, "sick", http.StatusServiceUnavailable)
 	}
 }
 
-// Answer returns the answer to a call, a function of its name and body.
-func Answer(name string, body []byte) string { return fmt.Sprintf("%s ok: %s\n", name, body) }
+// ResponseBody returns the answer to a call, a function of its name and body.
+func ResponseBody(name string, body []byte) string { return fmt.Sprintf("%s ok: %s\n", name, body) }
 
 func (s *Server) call(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
@@ -70,10 +70,10 @@
 		http.Error(w, "refused", http.StatusServiceUnavailable)
 		return
 	}
-	if f.DelayMillis > 0 && !fault.Wait(r.Context(), time.Duration(f.DelayMillis)*time.Millisecond) {
+	if f.DelayMillis > 0 && !fault.Sleep(r.Context(), time.Duration(f.DelayMillis)*time.Millisecond) {
 		return
 	}
-	s.effect(r.PathValue("name"), r.Header.Get("Idempotency-Key"))
+	s.recordEffect(r.PathValue("name"), r.Header.Get("Idempotency-Key"))
 	switch {
 	case f.LoseAnswers:
 		panic(http.ErrAbortHandler)
@@ -82,10 +82,10 @@
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	_, _ = io.WriteString(w, Answer(r.PathValue("name"), body))
+	_, _ = io.WriteString(w, ResponseBody(r.PathValue("name"), body))
 }
 
-func (s *Server) effect(name, key string) {
+func (s *Server) recordEffect(name, key string) {
 	s.counts.Add(name)
 	if key != "" {
 		s.effects.Add(key)
--- a/test/bench/spread/procs/live.go
+++ b/test/bench/spread/procs/live.go
@@ -66,9 +66,9 @@
 		body: fmt.Sprintf(`{"prompt":"status of station 4","max_tokens":%d}`, tokens),
 	}
 	for _, v := range []origin.Version{f.old, f.new} {
-		weights, name := v.Make(), digest(v)
+		weights, name := v.GenerateWeights(), digest(v)
 		for i := range tokens {
-			l.expect[name] = append(l.expect[name], engine.Token(weights, []byte(l.body), i))
+			l.expect[name] = append(l.expect[name], engine.FrameText(weights, []byte(l.body), i))
 		}
 	}
 	for _, e := range f.Entries {
--- a/test/proof/check_test.go
+++ b/test/proof/check_test.go
@@ -64,12 +64,12 @@
 		if err := json.Unmarshal(b, &f); err != nil {
 			return errors.Wrap(err, "decoding a line")
 		}
-		if want := engine.DigestToken(digest, []byte(r.req.Body), seq); f.Seq != seq || f.Text != want {
+		if want := engine.FrameTextFromDigest(digest, []byte(r.req.Body), seq); f.Seq != seq || f.Text != want {
 			return errors.Errorf("line %d is %q, want %q", seq, b, want)
 		}
 		seq++
 	}
-	if n := engine.Tokens([]byte(r.req.Body)); seq != n {
+	if n := engine.FrameCount([]byte(r.req.Body)); seq != n {
 		return errors.Errorf("%d lines, want %d", seq, n)
 	}
 	return nil
@@ -82,7 +82,7 @@
 	time.Sleep(200 * time.Millisecond)
 	at := map[string]string{}
 	for _, n := range w.EngineAgents() {
-		var h []engine.Answered
+		var h []engine.HistoryEntry
 		if err := harness.CallJSON(w.t.Context(), http.MethodGet, "http://"+n.TargetAddr+"/history", nil, &h); err != nil {
 			w.t.Errorf("history of %s: %v", n.Name, err)
 		}
--- a/test/proof/order_test.go
+++ b/test/proof/order_test.go
@@ -42,7 +42,7 @@
 	fence := int64(0)
 	w.must(harness.WaitFor(w.ctx, waitBound, "an order for "+version, func() error {
 		for _, o := range w.orders(n) {
-			if o.Version == version && o.Fence > above && (!done || o.Done > 0) {
+			if o.Version == version && o.Fence > above && (!done || o.DoneSeq > 0) {
 				fence = o.Fence
 				return nil
 			}
@@ -60,7 +60,7 @@
 	w.t.Logf("orders of the engine of %s: %+v", n.Name, os)
 	for _, x := range os {
 		for _, y := range os {
-			if y.Fence > x.Fence && (y.Began < x.Began || y.Began < x.Done) {
+			if y.Fence > x.Fence && (y.BeganSeq < x.BeganSeq || y.BeganSeq < x.DoneSeq) {
 				w.t.Errorf("order %+v came or took effect after %+v", x, y)
 			}
 		}
--- a/test/proof/proof_test.go
+++ b/test/proof/proof_test.go
@@ -107,7 +107,7 @@
 		w.must(err)
 		*n = int(b)
 	}
-	b := origin.Version{Model: fleet.Model(w.Spec.Origin.Model), Bytes: size, ChunkBytes: chunk, Seed: uint64(seed)}.Make()
+	b := origin.Version{Model: fleet.Model(w.Spec.Origin.Model), Bytes: size, ChunkBytes: chunk, Seed: uint64(seed)}.GenerateWeights()
 	w.versions[name], w.weights[v] = v, sha256.Sum256(b)
 	return v
 }
--- a/test/spread/deployment_test.go
+++ b/test/spread/deployment_test.go
@@ -166,7 +166,7 @@
 func (d *deployment) checkResponses(v origin.Version, entry *harness.Node) {
 	d.t.Helper()
 	const body = `{"max_tokens":2}`
-	weights := v.Make()
+	weights := v.GenerateWeights()
 	ctx, cancel := context.WithTimeout(d.t.Context(), waitTimeout)
 	defer cancel()
 	for range 10 {
@@ -180,7 +180,7 @@
 			d.t.Fatal(err)
 		}
 		for i, line := range resp.Lines {
-			if want := engine.Token(weights, []byte(body), i); !contains(line, want) {
+			if want := engine.FrameText(weights, []byte(body), i); !contains(line, want) {
 				d.t.Fatalf("line %s is not from version %s", line, resp.Version)
 			}
 		}
