--- a/test/bench/control/inforce.go
+++ b/test/bench/control/inforce.go
@@ -40,13 +40,13 @@
 		}
 		worst = max(worst, time.Since(start).Seconds())
 	}
-	r.bounded("control.in_force_seconds_max", worst, "s", inForceBound)
+	r.printBounded("control.in_force_seconds_max", worst, "s", inForceBound)
 	took, err := f.measureOutage(ctx)
 	if err != nil {
 		return err
 	}
-	r.bounded("control.in_force_after_outage_seconds", took, "s", inForceBound)
-	r.bounded("control.reverts", float64(f.reverts), "count", 0)
+	r.printBounded("control.in_force_after_outage_seconds", took, "s", inForceBound)
+	r.printBounded("control.reverts", float64(f.reverts), "count", 0)
 	return nil
 }
 
--- a/test/bench/control/report.go
+++ b/test/bench/control/report.go
@@ -86,8 +86,8 @@
 // report prints figures and records whether one missed its bound.
 type report struct{ missed bool }
 
-// bounded prints a figure whose bound is the highest allowed value.
-func (r *report) bounded(name string, v float64, unit string, bound float64) {
+// printBounded prints a figure whose bound is the highest allowed value.
+func (r *report) printBounded(name string, v float64, unit string, bound float64) {
 	state := "ok"
 	if v > bound || math.IsNaN(v) {
 		state, r.missed = "MISSED", true
@@ -95,8 +95,8 @@
 	fmt.Printf("%s %.2f %s %g %s\n", name, v, unit, bound, state)
 }
 
-// unbounded prints a figure without a bound.
-func (r *report) unbounded(name string, v float64, unit string) {
+// printUnbounded prints a figure without a bound.
+func (r *report) printUnbounded(name string, v float64, unit string) {
 	fmt.Printf("%s %.4g %s - ok\n", name, v, unit)
 }
 
@@ -104,30 +104,30 @@
 	fmt.Printf("# %d entries, %d agents, %d failure domains\n", s.entries, s.agents, len(domainNames))
 	for _, role := range roles {
 		g, at := s.roles[role], fmt.Sprintf(".%s.%d", role, s.processes())
-		r.bounded("control.cpu_percent"+at, g.cpu, "%", cpuBound)
-		r.bounded("control.rss_mib"+at, g.rss, "MiB", rssBound)
-		r.bounded("control.bytes_per_second"+at, g.bytes, "B/s", bytesBound)
-		r.unbounded("control.rss_max_mib"+at, g.rssMax, "MiB")
-		r.unbounded("control.exchange_bytes_per_second"+at, g.exchange, "B/s")
-		r.unbounded("control.status_bytes_per_second"+at, g.status, "B/s")
-		r.unbounded("control.platform_bytes_per_second"+at, g.platformBytes, "B/s")
-		r.unbounded("control.bytes_per_change"+at, g.bytesPerChange, "B")
-		r.unbounded("control.cpu_ms_per_change"+at, g.cpuPerChange*10, "ms")
+		r.printBounded("control.cpu_percent"+at, g.cpu, "%", cpuBound)
+		r.printBounded("control.rss_mib"+at, g.rss, "MiB", rssBound)
+		r.printBounded("control.bytes_per_second"+at, g.bytes, "B/s", bytesBound)
+		r.printUnbounded("control.rss_max_mib"+at, g.rssMax, "MiB")
+		r.printUnbounded("control.exchange_bytes_per_second"+at, g.exchange, "B/s")
+		r.printUnbounded("control.status_bytes_per_second"+at, g.status, "B/s")
+		r.printUnbounded("control.platform_bytes_per_second"+at, g.platformBytes, "B/s")
+		r.printUnbounded("control.bytes_per_change"+at, g.bytesPerChange, "B")
+		r.printUnbounded("control.cpu_ms_per_change"+at, g.cpuPerChange*10, "ms")
 	}
-	r.unbounded(fmt.Sprintf("control.platform_calls_per_second.%d_%d", s.entries, s.agents), s.calls, "1/s")
+	r.printUnbounded(fmt.Sprintf("control.platform_calls_per_second.%d_%d", s.entries, s.agents), s.calls, "1/s")
 }
 
-// callsSlopeBound, in calls per second and process, allows for the noise of a
-// window: one call per hundred processes.
+// callsSlopeBound allows for the noise of a window: one call in the window per
+// hundred processes.
 const callsSlopeBound = 0.01
 
 // printPlatform prints the slopes of the calls to the platform, whose number must
 // not grow with the processes in a failure domain.
 func (r *report) printPlatform(samples []sample, skewed sample) {
-	r.unbounded(fmt.Sprintf("control.platform_calls_per_second.%d_%d", skewed.entries, skewed.agents), skewed.calls, "1/s")
+	r.printUnbounded(fmt.Sprintf("control.platform_calls_per_second.%d_%d", skewed.entries, skewed.agents), skewed.calls, "1/s")
 	perEntry, perAgent := fitPlane(append(append([]sample(nil), samples...), skewed))
-	r.bounded("control.platform_calls_per_second_per_entry", perEntry, "1/s", callsSlopeBound)
-	r.bounded("control.platform_calls_per_second_per_agent", perAgent, "1/s", callsSlopeBound)
+	r.printBounded("control.platform_calls_per_second_per_entry", perEntry, "1/s", callsSlopeBound)
+	r.printBounded("control.platform_calls_per_second_per_agent", perAgent, "1/s", callsSlopeBound)
 }
 
 // printExtrapolation prints the slopes of the figures per process of the fleet, and
@@ -146,6 +146,6 @@
 		xs, ys = append(xs, float64(s.processes())), append(ys, get(s.roles[role]))
 	}
 	slope, intercept := fitLine(xs, ys)
-	r.unbounded(name+"_slope."+role, slope*1000, unit+"/1000_processes")
-	r.bounded(name+"_design."+role, intercept+slope*float64(designSize.processes()), unit, bound)
+	r.printUnbounded(name+"_slope."+role, slope*1000, unit+"/1000_processes")
+	r.printBounded(name+"_design."+role, intercept+slope*float64(designSize.processes()), unit, bound)
 }
