--- a/cmd/masticwing-gateway/main.go
+++ b/cmd/masticwing-gateway/main.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	idle := idleconns.New(func() time.Duration { return g.RequestLimits().Idle })
+	idle := idleconns.New(func() time.Duration { return g.RequestLimits().IdleTimeout })
 	front := &http.Server{Handler: platform.IngressHandler(g, g.Closing), ReadHeaderTimeout: headerTimeout, ConnState: idle.OnStateChange}
 	checks := &http.Server{Handler: platform.ReadinessHandler(g), ReadHeaderTimeout: headerTimeout}
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -129,7 +129,7 @@
 	if t == nil {
 		return port.CallerLimits{}
 	}
-	return port.CallerLimits{HeaderBytes: t.Limits.HeaderBytes, BodyBytes: t.Limits.BodyBytes, Idle: t.Limits.IdleTimeout}
+	return port.CallerLimits{HeaderBytes: t.Limits.HeaderBytes, BodyBytes: t.Limits.BodyBytes, IdleTimeout: t.Limits.IdleTimeout}
 }
 
 // Closing reports whether to close each connection after its response.
--- a/internal/core/membership/neighbours.go
+++ b/internal/core/membership/neighbours.go
@@ -10,7 +10,7 @@
 const (
 	// SameDomainNeighbours and OtherDomainNeighbours are the numbers of neighbours
 	// of a process in its own failure domain and in other domains. With eight
-	// neighbours in all, 2,790 processes are at most four hops apart.
+	// neighbours in all, 2,790 processes are four hops apart.
 	SameDomainNeighbours  = 6
 	OtherDomainNeighbours = 2
 	// ReadersPerDomain is the number of entries of a failure domain that watch the
--- a/internal/core/rollout/gate.go
+++ b/internal/core/rollout/gate.go
@@ -30,9 +30,9 @@
 // Decision is the result of OrderGate.NextStep.
 type Decision struct {
 	Step Step
-	// Wait is set for HoldOrder.
+	// Wait is set for DeferOrder.
 	Wait time.Duration
-	// Fence is the fencing number of the order. It is set for GiveOrder, as are the
+	// Fence is the fencing number of the order. It is set for SendOrder, as are the
 	// fields below.
 	Fence int64
 	// ValidUntil is the time until which the order may be sent. It is computed from
@@ -114,7 +114,7 @@
 // unreachable, an order may be sent once every lease of this VM has lapsed. Its
 // fencing number is then the engine's plus one. If the engine reports a higher
 // number than this agent's last one, another agent has taken over, and this agent
-// sends no more orders.
+// sends no order without the lease.
 func (g *OrderGate) NextStep(now time.Time) Decision {
 	retryWait := retryInterval - now.Sub(g.lastFailure)
 	switch {
--- a/internal/port/forward.go
+++ b/internal/port/forward.go
@@ -81,8 +81,8 @@
 // CallerLimits are the limits of a caller's request and connection.
 type CallerLimits struct {
 	HeaderBytes, BodyBytes int
-	// Idle is the time for which an idle connection is kept.
-	Idle time.Duration
+	// IdleTimeout is the time for which an idle connection is kept.
+	IdleTimeout time.Duration
 }
 
 // Forward is a request to be sent to a target.
