--- a/internal/standin/command/command.go
+++ b/internal/standin/command/command.go
@@ -1,5 +1,5 @@
-// Package command is the command line shared by the stand-ins: an address to
-// listen on and a stop on SIGTERM.
+// Package command implements the command line that the stand-ins share: the
+// addresses to listen on and the shutdown on SIGTERM.
 package command
 
 import (
@@ -17,13 +17,14 @@
 	"github.com/urfave/cli/v3"
 )
 
-// ListenFlag is the flag for the addresses.
+// ListenFlag is the flag with the addresses to listen on.
 var ListenFlag = &cli.StringSliceFlag{
 	Name: "listen", Required: true, Usage: "`IP:PORT` to serve on; repeat it for several stand-ins in one process",
 }
 
-// Run runs the command line of a stand-in and exits the process on failure.
-// handler is called once per address, so that each has a state of its own.
+// Run runs a stand-in with the command line in os.Args and exits the process on
+// failure. handler is called once per address, so that each address has its own
+// state.
 func Run(name, usage string, flags []cli.Flag, handler func(*cli.Command) (http.Handler, error)) {
 	cmd := &cli.Command{
 		Name:  name,
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,6 +1,7 @@
-// Package engine stands in for a model engine in tests and demos. Its answers
-// are a function of the request body and of the loaded weights, so that a test
-// can tell which version produced an answer and that all of it was loaded.
+// Package engine stands in for a model engine in tests and demos. The frames it
+// generates depend only on the request body and the loaded weights, so that a
+// test can tell which version produced an answer and whether all of its weights
+// were loaded.
 package engine
 
 import (
@@ -13,48 +14,50 @@
 	"github.com/masticwing/masticwing/internal/standin/fault"
 )
 
-// Options are the properties of the engine.
+// Options configure the engine.
 type Options struct {
-	// CheckFence refuses orders with a fencing number lower than the highest
-	// one seen.
+	// CheckFence makes the engine refuse orders with a fencing number lower than
+	// the highest one seen.
 	CheckFence bool
-	// CheckIdentity states the identity as the entity tag of the status and
-	// refuses requests that name another one as their precondition.
+	// CheckIdentity makes the engine return its identity as the entity tag of
+	// the status and refuse requests whose If-Match names another identity.
 	CheckIdentity bool
-	// MaxRequests is the load that a warm engine bears; ColdRequests is that of
-	// a cold one. Each request that a cold engine finishes lets it bear one
-	// more. Over its limit it answers 500 to everything until it is restarted.
+	// MaxRequests is the number of concurrent requests that a warm engine can
+	// run, ColdRequests that of a cold one. The limit of a cold engine grows by
+	// one with each request it completes. Above its limit the engine fails: it
+	// responds with 500 to every call until it is restarted.
 	MaxRequests, ColdRequests int
-	// TokenDelay is the time for one token.
+	// TokenDelay is the time to generate one token.
 	TokenDelay time.Duration
 	// LoadPerMiB is the time to load one MiB of weights.
 	LoadPerMiB time.Duration
-	// MemoryBytes bounds the weights that are loaded at one time; 0 is no bound.
+	// MemoryBytes limits the total size of the loaded weights; 0 means no limit.
 	MemoryBytes int64
 }
 
-// Faults are the failures that a test can switch on with POST /faults.
+// Faults are the failures that a test can set with POST /faults.
 type Faults struct {
-	// WrongVersion is named in answers instead of the version that produced them.
+	// WrongVersion replaces the version in answers.
 	WrongVersion string `json:"wrong_version"`
-	// WrongID is named in answers instead of the request's id.
+	// WrongID replaces the request id in answers.
 	WrongID string `json:"wrong_id"`
-	// CutAfter ends the connection after that many frames, if positive.
+	// CutAfter, if positive, closes the connection after that many frames.
 	CutAfter int `json:"cut_after"`
-	// CutOnce leaves resumed answers alone.
+	// CutOnce exempts resumed answers from CutAfter.
 	CutOnce bool `json:"cut_once"`
 }
 
-// HistoryEntry is one line of the history.
+// HistoryEntry is the record of one answer.
 type HistoryEntry struct {
 	RequestID string `json:"request_id"`
 	Version   string `json:"version"`
-	// Complete is false for an answer that was cut or canceled.
+	// Complete is false for an answer that was canceled or ended early.
 	Complete bool `json:"whole"`
 }
 
-// Order is one order that the engine has taken. Began and Done number these
-// events of all orders; Done is 0 for an order without an effect.
+// Order is the record of an order that the engine has accepted. BeganSeq and
+// DoneSeq are sequence numbers of its start and completion among the events of
+// all orders; DoneSeq is 0 for an order without an effect.
 type Order struct {
 	Kind     string `json:"kind"`
 	Version  string `json:"version"`
@@ -63,7 +66,7 @@
 	DoneSeq  int    `json:"done"`
 }
 
-// maxHistory bounds the record of answers, and that of orders.
+// maxHistory bounds the number of recorded answers and of recorded orders.
 const maxHistory = 100_000
 
 type loadedModel struct {
@@ -75,7 +78,7 @@
 type Server struct {
 	opts Options
 
-	// startedAt tells the boot identities of two processes apart.
+	// startedAt makes the boot id unique among processes.
 	startedAt time.Time
 
 	faults fault.Active[Faults]
@@ -105,7 +108,7 @@
 	return &Server{opts: o, startedAt: time.Now(), bootCount: 1, loaded: map[string]loadedModel{}}
 }
 
-// Handler returns the routes of the stand-in.
+// Handler returns the HTTP routes of the stand-in.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", s.instrument("status", s.status))
@@ -155,15 +158,18 @@
 	fault.WriteJSON(w, st)
 }
 
-// bootID is called under the lock.
+// bootID returns the boot id of the current start of the engine. The caller
+// holds the lock.
 func (s *Server) bootID() string { return fmt.Sprintf("%x-%d", s.startedAt.UnixNano(), s.bootCount) }
 
-// entityTag is the entity entityTag of the identity. It is called under the lock.
+// entityTag returns the identity, boot id and load count, as an entity tag. The
+// caller holds the lock.
 func (s *Server) entityTag() string {
 	return fmt.Sprintf(`"%s/%d"`, s.bootID(), s.loadCount)
 }
 
-// restart is a new process of the engine: no weights, no failure.
+// restart simulates a restart of the engine, which loses its weights and clears
+// its failure.
 func (s *Server) restart(http.ResponseWriter, *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,7 +178,7 @@
 	s.loaded = map[string]loadedModel{}
 }
 
-// dropCaches drops the caches and keeps the weights.
+// dropCaches makes the engine cold without unloading its weights.
 func (s *Server) dropCaches(http.ResponseWriter, *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -37,14 +37,14 @@
 	} `json:"end"`
 }
 
-// FrameText returns the text of frame seq of the answer that the given weights
-// produce for a request body.
+// FrameText returns the text of frame seq in the answer of an engine with these
+// weights to a request body.
 func FrameText(weights, body []byte, seq int) string {
 	return frameText(sha256.Sum256(weights), body, seq)
 }
 
-// FrameTextFromDigest is Token for weights of which the SHA-256 digest is known, so that
-// a test that checks many frames hashes the weights once.
+// FrameTextFromDigest is FrameText for the SHA-256 digest of the weights, so that
+// a test that checks many frames hashes the weights only once.
 func FrameTextFromDigest(digest [sha256.Size]byte, body []byte, seq int) string {
 	return frameText(digest, body, seq)
 }
@@ -57,8 +57,8 @@
 	return fmt.Sprintf("%x", h.Sum(nil)[:8])
 }
 
-// FrameCount returns the number of frames of the answer to body: its max_tokens
-// if it is a JSON object with one, otherwise 8.
+// FrameCount returns the number of frames in the answer to a request body: its
+// max_tokens if it is a JSON object with a positive one, otherwise 8.
 func FrameCount(body []byte) int {
 	var req struct {
 		MaxTokens int `json:"max_tokens"`
@@ -69,8 +69,9 @@
 	return req.MaxTokens
 }
 
-// startRequest counts a request in, or makes the engine fail over its limit. expect is
-// the identity that the request names, or empty.
+// startRequest admits a request and updates the counts. It returns the loaded
+// weights and a status code, which is 200 for an admitted request. expect is the
+// engine identity that the request requires, or empty.
 func (s *Server) startRequest(w http.ResponseWriter, version, expect string) (loadedModel, int) {
 	m, inFlight, code := s.admit(w, version, expect)
 	switch code {
@@ -103,18 +104,18 @@
 	return m, s.inFlight, http.StatusOK
 }
 
-func (s *Server) finishRequest(a HistoryEntry) {
-	if !a.Complete {
+func (s *Server) finishRequest(entry HistoryEntry) {
+	if !entry.Complete {
 		s.counts.Add("canceled")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
-	if a.Complete {
+	if entry.Complete {
 		s.served++
 	}
 	if len(s.history) < maxHistory {
-		s.history = append(s.history, a)
+		s.history = append(s.history, entry)
 	}
 }
 
@@ -124,27 +125,26 @@
 		http.Error(w, "bad body", http.StatusBadRequest)
 		return
 	}
-	a := HistoryEntry{RequestID: r.Header.Get("X-Request-Id"), Version: r.Header.Get("X-Model-Version")}
-	m, code := s.startRequest(w, a.Version, r.Header.Get("If-Match"))
+	entry := HistoryEntry{RequestID: r.Header.Get("X-Request-Id"), Version: r.Header.Get("X-Model-Version")}
+	m, code := s.startRequest(w, entry.Version, r.Header.Get("If-Match"))
 	if code != http.StatusOK {
 		http.Error(w, "engine has changed, has failed, or has not loaded the version", code)
 		return
 	}
-	left := false
+	finished := false
 	defer func() {
-		if !left {
-			s.finishRequest(a)
+		if !finished {
+			s.finishRequest(entry)
 		}
 	}()
 	resume, _ := strconv.Atoi(r.Header.Get("X-Resume-Frames"))
-	if a.Complete = s.stream(w, r, a, m, body, resume); !a.Complete {
+	if entry.Complete = s.stream(w, r, entry, m, body, resume); !entry.Complete {
 		return
 	}
-	// An engine frees what a request holds before it says that the answer has
-	// ended. Were the request still counted then, its caller's next one could
-	// count as one too many.
-	s.finishRequest(a)
-	left = true
+	// The engine frees the slot of the request before it sends the end of the
+	// answer. Otherwise the caller's next request could exceed the limit.
+	s.finishRequest(entry)
+	finished = true
 	var end endLine
 	end.End.Frames = FrameCount(body)
 	_ = json.NewEncoder(w).Encode(end)
@@ -152,9 +152,9 @@
 
 // stream writes the head and the frames of an answer and reports whether all
 // of them were written.
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, a HistoryEntry, m loadedModel, body []byte, resume int) bool {
+func (s *Server) stream(w http.ResponseWriter, r *http.Request, entry HistoryEntry, m loadedModel, body []byte, resume int) bool {
 	f := s.faults.Get()
-	id, version := a.RequestID, a.Version
+	id, version := entry.RequestID, entry.Version
 	if f.WrongID != "" {
 		id = f.WrongID
 	}
@@ -182,8 +182,8 @@
 	return true
 }
 
-// waitToken waits for one token. It reports false once the caller has gone or the
-// engine has failed.
+// waitToken waits for the time of one token. It returns false if the caller has
+// disconnected or the engine has failed.
 func (s *Server) waitToken(r *http.Request) bool {
 	if s.opts.TokenDelay > 0 {
 		fault.Sleep(r.Context(), s.opts.TokenDelay)
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -10,23 +10,23 @@
 
 const mib = 1 << 20
 
-// beginOrder applies the fencing number of an order and reports whether the order
-// may be carried out.
+// beginOrder checks the fencing number of an order and records the order. It
+// returns false after it has written an error response.
 func (s *Server) beginOrder(w http.ResponseWriter, r *http.Request) (*Order, bool) {
 	n, err := strconv.ParseInt(r.URL.Query().Get("fence"), 10, 64)
 	if err != nil {
 		http.Error(w, "bad fencing number", http.StatusBadRequest)
 		return nil, false
 	}
-	o, ok := s.recordOrder(r.URL.Path, r.URL.Query().Get("version"), n)
+	order, ok := s.recordOrder(r.URL.Path, r.URL.Query().Get("version"), n)
 	if !ok {
 		s.refuseStale(w)
 	}
-	return o, ok
+	return order, ok
 }
 
-// recordOrder records an order. It reports false for a number that the engine
-// refuses.
+// recordOrder records an order and its fencing number. It returns false if the
+// engine refuses the number.
 func (s *Server) recordOrder(kind, version string, fence int64) (*Order, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,15 +34,15 @@
 		return nil, false
 	}
 	s.fence = max(s.fence, fence)
-	o := &Order{Kind: kind, Version: version, Fence: fence, BeganSeq: s.nextEventSeq()}
+	order := &Order{Kind: kind, Version: version, Fence: fence, BeganSeq: s.nextEventSeq()}
 	if len(s.orders) < maxHistory {
-		s.orders = append(s.orders, o)
+		s.orders = append(s.orders, order)
 	}
-	return o, true
+	return order, true
 }
 
-// isStale reports whether the engine checks numbers and has seen a higher one.
-// The caller holds the lock.
+// isStale reports whether the engine checks fencing numbers and has seen a
+// higher one. The caller holds the lock.
 func (s *Server) isStale(fence int64) bool { return s.opts.CheckFence && fence < s.fence }
 
 func (s *Server) refuseStale(w http.ResponseWriter) {
@@ -50,14 +50,15 @@
 	http.Error(w, "old fencing number", http.StatusPreconditionFailed)
 }
 
-// nextEventSeq numbers the events of the orders. The caller holds the lock.
+// nextEventSeq returns the next sequence number for the events of orders. The
+// caller holds the lock.
 func (s *Server) nextEventSeq() int {
 	s.eventSeq++
 	return s.eventSeq
 }
 
 func (s *Server) load(w http.ResponseWriter, r *http.Request) {
-	o, ok := s.beginOrder(w, r)
+	order, ok := s.beginOrder(w, r)
 	if !ok {
 		return
 	}
@@ -91,17 +92,18 @@
 		http.Error(w, "engine restarted", http.StatusInternalServerError)
 		return
 	}
-	if s.isStale(o.Fence) {
+	if s.isStale(order.Fence) {
 		s.refuseStale(w)
 		return
 	}
-	o.DoneSeq = s.nextEventSeq()
+	order.DoneSeq = s.nextEventSeq()
 	s.loaded[q.Get("version")] = loadedModel{digest: digest, bytes: n}
 	s.loadCount++
 	s.served = 0
 }
 
-// readWeights reads the weights at the engine's own speed.
+// readWeights reads the request body at the engine's load speed and returns its
+// digest and size.
 func (s *Server) readWeights(r *http.Request) (digest [sha256.Size]byte, n int64, err error) {
 	h := sha256.New()
 	buf := make([]byte, 64<<10)
@@ -122,12 +124,12 @@
 }
 
 func (s *Server) unload(w http.ResponseWriter, r *http.Request) {
-	o, ok := s.beginOrder(w, r)
+	order, ok := s.beginOrder(w, r)
 	if !ok {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o.DoneSeq = s.nextEventSeq()
+	order.DoneSeq = s.nextEventSeq()
 	delete(s.loaded, r.URL.Query().Get("version"))
 }
--- a/internal/standin/fault/counts.go
+++ b/internal/standin/fault/counts.go
@@ -7,16 +7,16 @@
 	"sync"
 )
 
-// Counts counts events by kind. Its zero value is empty.
+// Counts counts events by kind. The zero value is ready to use.
 type Counts struct {
 	mu sync.Mutex
 	n  map[string]int64
 }
 
-// Add counts one event.
+// Add increments the count of a kind.
 func (c *Counts) Add(kind string) { c.update(kind, func(n int64) int64 { return n + 1 }) }
 
-// RaiseTo raises the count of a kind to n.
+// RaiseTo sets the count of a kind to n if it is lower.
 func (c *Counts) RaiseTo(kind string, n int64) {
 	c.update(kind, func(old int64) int64 { return max(old, n) })
 }
@@ -30,7 +30,7 @@
 	c.n[kind] = f(c.n[kind])
 }
 
-// ServeHTTP answers with the counts as a JSON object.
+// ServeHTTP writes the counts as a JSON object.
 func (c *Counts) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	out := map[string]int64{}
 	c.mu.Lock()
@@ -39,7 +39,7 @@
 	WriteJSON(w, out)
 }
 
-// WriteJSON answers with v as JSON.
+// WriteJSON writes v as the JSON body of a response.
 func WriteJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -1,6 +1,6 @@
-// Package fault holds what the HTTP stand-ins share: the faults that a test
-// switches on with POST /faults, the counts that GET /counts returns, and the
-// faults that any call can meet.
+// Package fault holds the fault injection that the HTTP stand-ins share: the
+// faults that a test sets with POST /faults, the counts that GET /counts
+// returns, and the faults that are common to all calls.
 package fault
 
 import (
@@ -12,27 +12,28 @@
 	"time"
 )
 
-// Active holds the faults F of one stand-in. Its zero value has none on.
+// Active holds the faults F that are set for one stand-in. The zero value has
+// no faults.
 type Active[F any] struct {
 	mu sync.Mutex
 	f  F
 }
 
-// Get returns the faults that are switched on.
+// Get returns the current faults.
 func (s *Active[F]) Get() F {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.f
 }
 
-// Set replaces the faults that are switched on.
+// Set replaces the current faults.
 func (s *Active[F]) Set(f F) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.f = f
 }
 
-// ServeHTTP replaces the faults by those in the request's JSON body.
+// ServeHTTP replaces the faults with those in the request's JSON body.
 func (s *Active[F]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var f F
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
@@ -44,22 +45,22 @@
 
 // CallFaults is the faults that a call meets before the stand-in handles it.
 type CallFaults struct {
-	// Down answers 503.
+	// Down makes the call fail with status 503.
 	Down bool
-	// Hang gives no answer until the caller gives up.
+	// Hang sends no response until the caller closes the connection.
 	Hang bool
-	// DelayMillis delays the call. A call whose caller gives up meanwhile is
-	// still handled, as if its answer had been lost.
+	// DelayMillis delays the call. If the caller disconnects during the delay,
+	// the call is still handled, as if its response had been lost.
 	DelayMillis int
 }
 
-// Apply applies the faults and reports whether the call goes on to its handler.
+// Apply applies the faults to a call and reports whether its handler should run.
 func (c CallFaults) Apply(w http.ResponseWriter, r *http.Request) bool {
 	if c.DelayMillis > 0 {
 		time.Sleep(time.Duration(c.DelayMillis) * time.Millisecond)
 	}
 	if c.Hang {
-		// net/http notices that a caller has gone only after the body was read.
+		// net/http detects a closed connection only after the body has been read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		return false
@@ -71,7 +72,7 @@
 	return true
 }
 
-// Sleep waits for d and reports false if ctx ends first.
+// Sleep waits for d and returns false if ctx is canceled first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/standin/origin/bytes.go
+++ b/internal/standin/origin/bytes.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// ParseBytes parses a size such as "16MiB", "256KiB" or "1000".
+// ParseBytes parses a size in bytes such as "16MiB", "256KiB" or "1000".
 func ParseBytes(s string) (int64, error) {
 	unit := int64(1)
 	for suffix, n := range map[string]int64{"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30} {
--- a/internal/standin/origin/link.go
+++ b/internal/standin/origin/link.go
@@ -8,17 +8,17 @@
 	"github.com/masticwing/masticwing/internal/standin/fault"
 )
 
-// link gives out the time at which bytes may be sent, in the order of the
-// calls.
+// link limits the total send rate in bytes per second. Callers are served in the
+// order of their calls.
 type link struct {
 	rate int64
 
 	mu   sync.Mutex
-	next time.Time
+	next time.Time // end of the transmission of all reserved bytes
 }
 
-// wait waits until n bytes may be sent at the link's rate, or at override if it
-// is positive. It returns false if ctx ends first.
+// wait waits until n bytes may be sent at the link's rate, or at the rate
+// override if that is positive. It returns false if ctx is canceled first.
 func (l *link) wait(ctx context.Context, n int, override int64) bool {
 	rate := l.rate
 	if override > 0 {
--- a/internal/standin/origin/origin.go
+++ b/internal/standin/origin/origin.go
@@ -1,5 +1,5 @@
-// Package origin is a stand-in for the origin of weights. It makes versions
-// from seeds, paces its link in total, and counts what it gives.
+// Package origin is a stand-in for the origin of weights. It generates versions
+// from seeds, limits its total send rate, and counts the bytes it sends.
 package origin
 
 import (
@@ -17,11 +17,12 @@
 
 const (
 	requesterHeader = "X-Masticwing-VM"
-	// writeBytes is the unit of pacing.
+	// writeBytes is the most that is written between two waits for the link's
+	// rate.
 	writeBytes = 16 << 10
 )
 
-// Version describes one version to make.
+// Version describes a version of a model, whose weights are generated from Seed.
 type Version struct {
 	Model      fleet.Model
 	Bytes      int
@@ -29,7 +30,7 @@
 	Seed       uint64
 }
 
-// GenerateWeights returns the weights of a version.
+// GenerateWeights returns the weights of the version: Bytes pseudorandom bytes.
 func (v Version) GenerateWeights() []byte {
 	out := make([]byte, v.Bytes)
 	src := rand.New(rand.NewPCG(v.Seed, uint64(v.Bytes)))
@@ -42,27 +43,27 @@
 	return out
 }
 
-// Manifest returns the manifest of a version.
+// Manifest generates the weights and returns their manifest.
 func (v Version) Manifest() manifest.Manifest {
 	return manifest.Split(v.Model, v.GenerateWeights(), v.ChunkBytes)
 }
 
-// Faults are the failures that POST /faults switches on.
+// Faults are the failures that a test can set with POST /faults.
 type Faults struct {
-	// Down answers every call with 503.
+	// Down makes every call fail with status 503.
 	Down bool `json:"down"`
-	// Hang leaves every call without an answer until its caller gives up.
+	// Hang sends no response to any call until the caller closes the connection.
 	Hang bool `json:"hang"`
-	// DelayMillis delays every answer.
+	// DelayMillis delays every response.
 	DelayMillis int `json:"delay_ms"`
-	// Corrupt is the share of chunks that carry a wrong byte.
+	// Corrupt is the probability that a chunk is sent with a wrong byte.
 	Corrupt float64 `json:"corrupt"`
-	// Rate replaces the rate of the link if it is positive.
+	// Rate, if positive, replaces the rate of the link, in bytes per second.
 	Rate int64 `json:"rate"`
 }
 
-// Counts is the answer to GET /counts. Calls and bytes are keyed by "manifest"
-// and "chunk".
+// Counts is the response to GET /counts. Calls and Bytes are keyed by the kind
+// of call, "manifest" or "chunk"; ByRequester has the bytes per VM and kind.
 type Counts struct {
 	Calls       map[string]int64            `json:"calls"`
 	Bytes       map[string]int64            `json:"bytes"`
@@ -85,8 +86,8 @@
 	counts   Counts
 }
 
-// New makes the versions. rate limits the link in bytes per second; 0 means no
-// limit.
+// New returns a server that offers the versions. rate limits the link in bytes
+// per second; 0 means no limit.
 func New(rate int64, versions ...Version) *Server {
 	s := &Server{versions: map[fleet.Version]storedVersion{}, link: link{rate: rate}}
 	s.counts = Counts{Calls: map[string]int64{}, Bytes: map[string]int64{}, ByRequester: map[string]map[string]int64{}}
@@ -96,7 +97,8 @@
 	return s
 }
 
-// AddVersion makes the server offer a version, which it may offer already.
+// AddVersion makes the server offer a version and returns its digest. Adding a
+// version again has no effect.
 func (s *Server) AddVersion(v Version) fleet.Version {
 	w := v.GenerateWeights()
 	m := manifest.Split(v.Model, w, v.ChunkBytes)
@@ -113,7 +115,7 @@
 	return h, ok
 }
 
-// Handler returns the routes of the stand-in.
+// Handler returns the HTTP routes of the stand-in.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/versions/{version}/manifest", s.instrument("manifest", s.manifest))
@@ -125,7 +127,7 @@
 	return mux
 }
 
-// instrument counts the calls of a kind and lets them meet the faults.
+// instrument wraps a handler: it counts the calls by kind and applies the faults.
 func (s *Server) instrument(kind string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
@@ -178,7 +180,7 @@
 	s.write(w, r, "chunk", data)
 }
 
-// write sends b at the pace of the link and counts what was sent.
+// write sends b at the rate of the link and counts the bytes sent.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, kind string, b []byte) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	for len(b) > 0 {
@@ -201,22 +203,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Bytes[kind] += int64(n)
-	by := s.counts.ByRequester[requester]
-	if by == nil {
-		by = map[string]int64{}
-		s.counts.ByRequester[requester] = by
+	byKind := s.counts.ByRequester[requester]
+	if byKind == nil {
+		byKind = map[string]int64{}
+		s.counts.ByRequester[requester] = byKind
 	}
-	by[kind] += int64(n)
+	byKind[kind] += int64(n)
 }
 
-// TotalBytes returns the bytes sent so far.
+// TotalBytes returns the number of bytes sent so far, manifests and chunks.
 func (s *Server) TotalBytes() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts.Bytes["manifest"] + s.counts.Bytes["chunk"]
 }
 
-// SetFaults replaces the failures that are switched on.
+// SetFaults replaces the current faults.
 func (s *Server) SetFaults(f Faults) { s.faults.Set(f) }
 
 func (s *Server) getCounts(w http.ResponseWriter, _ *http.Request) {
@@ -225,8 +227,8 @@
 	fault.WriteJSON(w, s.counts)
 }
 
-// postVersion offers the version that the body {"model","size","chunk","seed"}
-// describes and answers {"version"}.
+// postVersion adds the version that the request body
+// {"model","size","chunk","seed"} describes and responds with {"version"}.
 func (s *Server) postVersion(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		Model, Size, Chunk string
--- a/internal/standin/origin/origin_test.go
+++ b/internal/standin/origin/origin_test.go
@@ -30,10 +30,10 @@
 	return b
 }
 
-// TestServesCountsAndCorrupts guards against figures of tests and benches that
-// rest on a stand-in that miscounts, does not pace its link, or does not
-// corrupt what it should.
-func TestServesCountsAndCorrupts(t *testing.T) {
+// TestRateCountsAndCorruption guards against an origin that does not limit its
+// rate, miscounts bytes or ignores the Corrupt fault. The results of other tests
+// and of benchmarks depend on these.
+func TestRateCountsAndCorruption(t *testing.T) {
 	v := Version{Model: "m", Bytes: 100_000, ChunkBytes: 32 << 10, Seed: 3}
 	s := httptest.NewServer(New(200_000, v).Handler())
 	defer s.Close()
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -13,25 +13,25 @@
 	"github.com/masticwing/masticwing/internal/standin/fault"
 )
 
-// maxValueBytes is the service's limit of a value.
+// maxValueBytes is the size limit of a value in the key-value service.
 const maxValueBytes = 1 << 20
 
-// Faults are the failures that a test can switch on with POST /faults.
+// Faults are the failures that a test can set with POST /faults.
 type Faults struct {
-	// Down answers every call with 503.
+	// Down makes every call fail with status 503.
 	Down bool `json:"down"`
-	// Hang leaves every call without an answer until its caller gives up.
+	// Hang sends no response to any call until the caller closes the connection.
 	Hang bool `json:"hang"`
-	// DelayMillis delays every answer.
+	// DelayMillis delays every response.
 	DelayMillis int `json:"delay_ms"`
-	// LoseWriteAnswers is the probability that a write takes effect and its
-	// answer is lost.
+	// LoseWriteAnswers is the probability that a write takes effect but its
+	// response is lost.
 	LoseWriteAnswers float64 `json:"lose_write_answers"`
-	// StaleReads answers reads from the state before the newest write of a key.
+	// StaleReads makes reads return the value before the last write of the key.
 	StaleReads bool `json:"stale_reads"`
 }
 
-// VM is one line of the list of VMs.
+// VM is an element of the list of VMs.
 type VM struct {
 	Name   string `json:"name"`
 	Domain string `json:"domain"`
@@ -49,12 +49,12 @@
 	vms      []VM
 }
 
-// New returns an empty service.
+// New returns a stand-in without keys and VMs.
 func New() *Server {
 	return &Server{store: newStore(), previous: map[string]entry{}}
 }
 
-// Handler returns the routes of the stand-in.
+// Handler returns the HTTP routes of the stand-in.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/kv/{key...}", s.instrument("read", s.read))
@@ -70,7 +70,7 @@
 	return mux
 }
 
-// instrument counts the calls of a kind and lets them meet the faults.
+// instrument wraps a handler: it counts the calls by kind and applies the faults.
 func (s *Server) instrument(kind string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if kind == "read" && r.URL.Query().Has("after") {
--- a/internal/standin/platform/server_test.go
+++ b/internal/standin/platform/server_test.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// TestHangEndsWithCaller guards against a handler that hangs on after its caller
-// has gone, so that the server cannot be closed: the body of a write was left
-// unread, and then net/http does not notice that the connection was closed.
-func TestHangEndsWithCaller(t *testing.T) {
+// TestHangEndsOnDisconnect guards against a Hang fault that blocks its handler
+// after the caller has disconnected, so that the server cannot be closed. That
+// happens if the body of a write is left unread, since net/http then does not
+// detect the closed connection.
+func TestHangEndsOnDisconnect(t *testing.T) {
 	s := New()
 	s.faults.Set(Faults{Hang: true})
 	ended := make(chan struct{}, 1)
@@ -29,12 +30,12 @@
 	}
 	if resp, err := http.DefaultClient.Do(req); err == nil {
 		_ = resp.Body.Close()
-		t.Fatal("a service that hangs answered")
+		t.Fatal("received a response despite the Hang fault")
 	}
 	select {
 	case <-ended:
 		srv.Close()
 	case <-time.After(10 * time.Second):
-		t.Fatal("the handler hangs on after its caller has gone")
+		t.Fatal("the handler still blocks after its caller has disconnected")
 	}
 }
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -1,5 +1,5 @@
 // Package platform is a stand-in for the platform's key-value service and its
-// list of VMs. It is used by tests, benches and the demo only.
+// list of VMs. Only tests, benchmarks and the demo use it.
 package platform
 
 import (
@@ -19,8 +19,8 @@
 	expires time.Time
 }
 
-// store is the state of the service under one lock. change is closed and
-// replaced at each write, which wakes all watches.
+// store is the state of the key-value service, guarded by one lock. changed is
+// closed and replaced at each write, which wakes all watches.
 type store struct {
 	mu      sync.Mutex
 	now     func() time.Time
@@ -40,7 +40,7 @@
 	}
 }
 
-// expireLocked removes lapsed leases and their keys.
+// expireLocked removes expired leases and their keys.
 func (s *store) expireLocked() {
 	now := s.now()
 	for id, l := range s.leases {
@@ -67,8 +67,8 @@
 	return e, ok, s.changed
 }
 
-// compareAndSwap writes value if the key's revision is rev and the lease, if given, is
-// live. It returns the new revision.
+// compareAndSwap writes value if the key's revision is rev and the lease, if one
+// is given, has not expired. It returns the new revision.
 func (s *store) compareAndSwap(key string, rev int64, value []byte, leaseID string) (int64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 	if s.keys[key].rev != rev {
 		return s.keys[key].rev, false
 	}
-	if _, live := s.leases[leaseID]; leaseID != "" && !live {
+	if _, valid := s.leases[leaseID]; leaseID != "" && !valid {
 		return rev, false
 	}
 	s.rev++
--- a/internal/standin/relay/pump.go
+++ b/internal/standin/relay/pump.go
@@ -7,27 +7,28 @@
 	"github.com/sourcegraph/conc"
 )
 
-// The directions of a route.
+// Directions of a route.
 const (
 	toTarget = iota
 	toCaller
 )
 
 const (
-	// segmentBytes is the most that is read at once.
+	// segmentBytes is the most that one read returns.
 	segmentBytes = 16 << 10
-	// queuedSegments bounds what a delay holds per direction of a connection.
+	// queuedSegments bounds the delayed segments per direction of a connection.
 	queuedSegments = 256
 )
 
-// segment is data on its way, due at a time.
+// segment is data in transit that may not be delivered before due.
 type segment struct {
 	data []byte
 	due  time.Time
 }
 
-// pump carries one direction of a connection until either end closes it. The
-// reader and the writer are apart, so that a delay does not lower the rate.
+// pump copies one direction of a connection until either end closes it. The
+// reader and the writer run concurrently, so that a delay does not lower the
+// rate.
 func (r *route) pump(p *connPair, dir int) {
 	src, dst := p.caller, p.target
 	if dir == toCaller {
@@ -68,7 +69,8 @@
 			break
 		}
 		r.corrupt(dir, pc.data)
-		// Counted first, so that a byte that arrived is in the counts.
+		// Counted before the write, so that the counts include every byte that
+		// has arrived.
 		r.count(dir, len(pc.data))
 		if _, err := dst.Write(pc.data); err != nil {
 			break
@@ -80,14 +82,15 @@
 	if t, ok := dst.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
 	}
-	for range q { // lets the reader end once its connection is closed
+	for range q { // unblocks the reader until its connection is closed
 	}
 }
 
-// minCorruptBytes is the least size of a piece that is altered.
+// minCorruptBytes is the size of the smallest segment that is corrupted.
 const minCorruptBytes = 4 << 10
 
-// corrupt alters the middle of a piece if the route's faults say so.
+// corrupt inverts the middle byte of a segment if the route has the fault
+// CorruptToCaller.
 func (r *route) corrupt(dir int, b []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,7 +115,7 @@
 	}
 }
 
-// waitUnfrozen blocks while the connection is frozen. It returns false once the
+// waitUnfrozen blocks while the connection is frozen. It returns false if the
 // connection is reset.
 func (r *route) waitUnfrozen(p *connPair) bool {
 	for {
@@ -136,7 +139,8 @@
 	return time.Duration(r.faults.DelayMillis) * time.Millisecond
 }
 
-// reserve takes n bytes of the direction's rate and returns when they are due.
+// reserve reserves n bytes of the direction's rate and returns the time at which
+// they may be sent.
 func (r *route) reserve(dir, n int) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -13,18 +13,19 @@
 	"github.com/pkg/errors"
 )
 
-// Freeze says which connections of a route carry nothing.
+// Freeze selects the connections of a route that stay open but carry no data.
 type Freeze string
 
-// The values of Freeze.
+// Values of Freeze.
 const (
-	// FreezeNone carries everything.
+	// FreezeNone freezes no connection.
 	FreezeNone Freeze = ""
-	// FreezeOld silences the connections that are open when it is set, for
-	// good: they stay silent after the fault is cleared, as if something on
-	// the way had lost track of them. New ones work.
+	// FreezeOld freezes the connections that are open when the fault is set.
+	// They stay frozen after the fault is cleared, as if a device on the path
+	// had lost their state. New connections work.
 	FreezeOld Freeze = "old"
-	// FreezeAll silences all connections, new ones too, until it is cleared.
+	// FreezeAll freezes all connections, including new ones, until the fault is
+	// cleared.
 	FreezeAll Freeze = "all"
 )
 
@@ -32,32 +33,32 @@
 type Faults struct {
 	// Cut resets open connections and refuses new ones.
 	Cut bool `json:"cut"`
-	// CutFrom resets the open connections that come from these IP addresses and
-	// refuses new ones, so that a route is cut for some of its callers only.
+	// CutFrom does the same, but only for callers with these IP addresses.
 	CutFrom []string `json:"cut_from"`
-	// Freeze leaves connections open that carry nothing.
+	// Freeze keeps connections open without carrying data.
 	Freeze Freeze `json:"freeze"`
-	// DelayMillis delays the bytes of each direction.
+	// DelayMillis delays the data in each direction.
 	DelayMillis int `json:"delay_ms"`
-	// CorruptToCaller alters one byte in each full piece of data that is sent to
-	// the caller, as a sender with damaged memory or a broken link does. Short
-	// pieces, which carry calls and their framing, are left alone.
+	// CorruptToCaller inverts one byte in each large segment sent to the caller,
+	// as a sender with faulty memory or a faulty link does. Short segments, which
+	// carry calls and their framing, are not changed.
 	CorruptToCaller bool `json:"corrupt_to_caller"`
-	// BytesPerSecond limits each direction of the route; 0 is no limit.
+	// BytesPerSecond limits the rate of each direction of the route, over all
+	// its connections; 0 means no limit.
 	BytesPerSecond int64 `json:"bytes_per_second"`
 }
 
 // Counts is the traffic of one route.
 type Counts struct {
 	Connections int64 `json:"connections"`
-	// ToTarget and ToCaller count the bytes passed on in each direction.
+	// ToTarget and ToCaller count the bytes relayed in each direction.
 	ToTarget int64 `json:"to_target"`
 	ToCaller int64 `json:"to_caller"`
-	// Corrupted counts the pieces that were altered.
+	// Corrupted counts the segments that were corrupted.
 	Corrupted int64 `json:"corrupted"`
 }
 
-// Relay is a set of routes.
+// Relay is a set of named routes.
 type Relay struct {
 	mu     sync.Mutex
 	routes map[string]*route
@@ -66,7 +67,8 @@
 // New returns a relay without routes.
 func New() *Relay { return &Relay{routes: map[string]*route{}} }
 
-// AddRoute starts to relay from listen to target.
+// AddRoute adds a route that relays connections from the address listen to the
+// address target.
 func (r *Relay) AddRoute(name, listen, target string) error {
 	rt := newRoute(listen, target)
 	if err := rt.startListening(); err != nil {
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// AddRoutes adds routes of the form "name=listen/target".
+// AddRoutes adds routes given in the form "name=listen/target".
 func (r *Relay) AddRoutes(specs []string) error {
 	for _, s := range specs {
 		name, rest, ok := strings.Cut(s, "=")
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// Counts returns the traffic per route.
+// Counts returns the traffic of each route by its name.
 func (r *Relay) Counts() map[string]Counts {
 	out := map[string]Counts{}
 	for _, n := range r.names() {
@@ -126,7 +128,7 @@
 	return out
 }
 
-// Close ends all routes and their connections.
+// Close closes all listeners and resets all connections.
 func (r *Relay) Close() {
 	for _, n := range r.names() {
 		if rt, ok := r.route(n); ok {
@@ -153,7 +155,7 @@
 	return out
 }
 
-// Handler returns the admin endpoints.
+// Handler returns the HTTP routes that add routes, set faults and return counts.
 func (r *Relay) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /routes/{name}", r.putRoute)
--- a/internal/standin/relay/relay_test.go
+++ b/internal/standin/relay/relay_test.go
@@ -11,10 +11,12 @@
 	"github.com/sourcegraph/conc"
 )
 
-const quiet = 150 * time.Millisecond
+// silenceTimeout is the time without data after which a connection counts as
+// frozen.
+const silenceTimeout = 150 * time.Millisecond
 
-// startEcho returns a relay with one route to a server that echoes, and the
-// route's address.
+// startEcho returns a relay with one route to an echo server, and the listening
+// address of the route.
 func startEcho(t *testing.T) (*Relay, string) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,7 +47,7 @@
 	})
 	rt, _ := r.route("echo")
 	addr := rt.lis.Addr().String()
-	rt.listen = addr // a cut and a return keep the port
+	rt.listen = addr // keeps the port when a cut route opens again
 	return r, addr
 }
 
@@ -59,14 +61,14 @@
 	return c
 }
 
-func set(t *testing.T, r *Relay, f Faults) {
+func setFaults(t *testing.T, r *Relay, f Faults) {
 	t.Helper()
 	if err := r.SetFaults("", f); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// echo sends msg and waits for it to come back.
+// echo sends msg and waits until the server has echoed it.
 func echo(c net.Conn, msg string, within time.Duration) error {
 	if _, err := c.Write([]byte(msg)); err != nil {
 		return err
@@ -86,32 +88,32 @@
 	return nil
 }
 
-func silent(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// TestCut guards against a cut route that still takes connections or leaves
-// old ones open.
+// TestCut guards against a cut route that accepts connections or leaves old ones
+// open.
 func TestCut(t *testing.T) {
 	r, addr := startEcho(t)
 	old := dial(t, addr)
 	if err := echo(old, "ping", time.Second); err != nil {
 		t.Fatal(err)
 	}
-	set(t, r, Faults{Cut: true})
-	if err := expect(old, "x", time.Second); err == nil || silent(err) {
+	setFaults(t, r, Faults{Cut: true})
+	if err := expect(old, "x", time.Second); err == nil || isTimeout(err) {
 		t.Errorf("an open connection outlived the cut: %v", err)
 	}
 	if c, err := net.Dial("tcp", addr); err == nil {
 		_ = c.Close()
 		t.Error("a cut route accepts connections")
 	}
-	set(t, r, Faults{})
+	setFaults(t, r, Faults{})
 	if err := echo(dial(t, addr), "ping", time.Second); err != nil {
 		t.Errorf("after the cut: %v", err)
 	}
 }
 
-// TestCutFrom guards against a cut of some callers that reaches others, and
-// against one that leaves open connections alone.
+// TestCutFrom guards against a cut of some callers that also affects others or
+// leaves their open connections in place.
 func TestCutFrom(t *testing.T) {
 	r, addr := startEcho(t)
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 2)}}
@@ -121,68 +123,68 @@
 	}
 	defer func() { _ = other.Close() }()
 	c := dial(t, addr)
-	set(t, r, Faults{CutFrom: []string{"127.0.0.2"}})
-	if err := echo(other, "a", time.Second); err == nil || silent(err) {
+	setFaults(t, r, Faults{CutFrom: []string{"127.0.0.2"}})
+	if err := echo(other, "a", time.Second); err == nil || isTimeout(err) {
 		t.Errorf("open connection from the cut address: %v", err)
 	}
 	if err := echo(c, "b", time.Second); err != nil {
 		t.Errorf("connection from another address: %v", err)
 	}
 	if again, err := d.Dial("tcp", addr); err == nil {
-		if err := echo(again, "c", time.Second); err == nil || silent(err) {
+		if err := echo(again, "c", time.Second); err == nil || isTimeout(err) {
 			t.Errorf("new connection from the cut address: %v", err)
 		}
 		_ = again.Close()
 	}
 }
 
-// TestFreezeOld guards against a fault that also stops new connections or that
-// gives way when it is cleared.
+// TestFreezeOld guards against a FreezeOld that also freezes new connections, or
+// whose frozen connections work again after the fault is cleared.
 func TestFreezeOld(t *testing.T) {
 	r, addr := startEcho(t)
 	old := dial(t, addr)
 	if err := echo(old, "ping", time.Second); err != nil {
 		t.Fatal(err)
 	}
-	set(t, r, Faults{Freeze: FreezeOld})
-	if err := echo(old, "ping", quiet); !silent(err) {
-		t.Errorf("the old connection: %v, want silence", err)
+	setFaults(t, r, Faults{Freeze: FreezeOld})
+	if err := echo(old, "ping", silenceTimeout); !isTimeout(err) {
+		t.Errorf("the old connection: %v, want a timeout", err)
 	}
 	if err := echo(dial(t, addr), "ping", time.Second); err != nil {
 		t.Errorf("a new connection: %v", err)
 	}
-	set(t, r, Faults{})
-	if err := expect(old, "ping", quiet); !silent(err) {
-		t.Errorf("the old connection after the fault: %v, want silence", err)
+	setFaults(t, r, Faults{})
+	if err := expect(old, "ping", silenceTimeout); !isTimeout(err) {
+		t.Errorf("the old connection after the fault: %v, want a timeout", err)
 	}
 }
 
-// TestFreezeAll guards against new connections that work, and against bytes
-// lost when the route thaws.
+// TestFreezeAll guards against new connections that are not frozen, and against
+// data lost when the fault is cleared.
 func TestFreezeAll(t *testing.T) {
 	r, addr := startEcho(t)
 	old := dial(t, addr)
-	set(t, r, Faults{Freeze: FreezeAll})
+	setFaults(t, r, Faults{Freeze: FreezeAll})
 	fresh := dial(t, addr)
 	for _, c := range []net.Conn{old, fresh} {
-		if err := echo(c, "ping", quiet); !silent(err) {
-			t.Errorf("a frozen connection: %v, want silence", err)
+		if err := echo(c, "ping", silenceTimeout); !isTimeout(err) {
+			t.Errorf("a frozen connection: %v, want a timeout", err)
 		}
 	}
-	set(t, r, Faults{})
+	setFaults(t, r, Faults{})
 	for _, c := range []net.Conn{old, fresh} {
 		if err := expect(c, "ping", time.Second); err != nil {
-			t.Errorf("after the thaw: %v", err)
+			t.Errorf("after the freeze: %v", err)
 		}
 	}
 }
 
-// TestDelay guards against a delay that is not applied to both directions, and
-// against one that lowers the rate of a long transfer.
+// TestDelay guards against a delay that is missing in one direction, and against
+// one that lowers the rate of a long transfer.
 func TestDelay(t *testing.T) {
 	r, addr := startEcho(t)
 	const delay = 100 * time.Millisecond
-	set(t, r, Faults{DelayMillis: int(delay.Milliseconds())})
+	setFaults(t, r, Faults{DelayMillis: int(delay.Milliseconds())})
 	c := dial(t, addr)
 	start := time.Now()
 	if err := echo(c, string(make([]byte, 1<<20)), 5*time.Second); err != nil {
@@ -198,7 +200,7 @@
 func TestRateAndCounts(t *testing.T) {
 	r, addr := startEcho(t)
 	const rate, size = 1 << 20, 128 << 10
-	set(t, r, Faults{BytesPerSecond: rate})
+	setFaults(t, r, Faults{BytesPerSecond: rate})
 	start := time.Now()
 	var wg conc.WaitGroup
 	for range 2 {
@@ -218,12 +220,13 @@
 	}
 }
 
-// TestCorrupt guards against damaged data that a test believes to be sent and
-// is not, and against damage to short pieces or in the other direction.
+// TestCorrupt guards against a CorruptToCaller that corrupts nothing, so that a
+// test which relies on it proves nothing, and against one that corrupts short
+// segments or the other direction.
 func TestCorrupt(t *testing.T) {
 	r, addr := startEcho(t)
 	c := dial(t, addr)
-	set(t, r, Faults{CorruptToCaller: true})
+	setFaults(t, r, Faults{CorruptToCaller: true})
 	if err := echo(c, "short", time.Second); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/relay/route.go
+++ b/internal/standin/relay/route.go
@@ -11,11 +11,11 @@
 	"github.com/sourcegraph/conc"
 )
 
-// dialTimeout bounds the connection to a route's target.
+// dialTimeout bounds the time to connect to a route's target.
 const dialTimeout = 2 * time.Second
 
-// route relays the connections of one listening address to one target. Its
-// lock is the only one held at a time, and no I/O happens under it.
+// route relays the connections to one listening address to one target. No other
+// lock is taken and no I/O is done while its lock is held.
 type route struct {
 	listen, target string
 	wg             conc.WaitGroup
@@ -32,12 +32,12 @@
 	closed   bool
 }
 
-// connPair is a caller's connection and the one to the target.
+// connPair is a caller's connection and the relay's connection to the target.
 type connPair struct {
 	caller, target net.Conn
 	done           chan struct{}
 	once           sync.Once
-	// frozen is set for good by FreezeOld; guarded by the route's lock.
+	// frozen is set by FreezeOld and never cleared; guarded by the route's lock.
 	frozen bool
 }
 
@@ -45,7 +45,7 @@
 	return &route{listen: listen, target: target, faultsChanged: make(chan struct{}), conns: map[*connPair]struct{}{}}
 }
 
-// startListening starts to listen.
+// startListening opens the listener and accepts connections in the background.
 func (r *route) startListening() error {
 	lis, err := net.Listen("tcp", r.listen)
 	if err != nil {
@@ -100,7 +100,8 @@
 	return true
 }
 
-// setFaults applies f. A cut closes the listener and resets what is open.
+// setFaults replaces the faults. Cut closes the listener and resets the open
+// connections; without Cut, the listener is opened again if it was closed.
 func (r *route) setFaults(f Faults) error {
 	r.mu.Lock()
 	lis, open := r.lis, r.lis != nil
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// resetFrom resets what is open from IP addresses.
+// resetFrom resets the open connections of callers with one of the IP addresses.
 func (r *route) resetFrom(ips []string) {
 	for _, p := range r.pairs() {
 		if p.isFrom(ips) {
@@ -143,7 +144,7 @@
 	}
 }
 
-// pairs returns the open connections.
+// pairs returns a copy of the set of open connections.
 func (r *route) pairs() []*connPair {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,8 +170,7 @@
 	r.wg.Wait()
 }
 
-// isFrom reports whether the caller's end of the connection has one of the IP
-// addresses.
+// isFrom reports whether the caller has one of the IP addresses.
 func (p *connPair) isFrom(ips []string) bool {
 	host, _, err := net.SplitHostPort(p.caller.RemoteAddr().String())
 	return err == nil && slices.Contains(ips, host)
@@ -184,8 +184,8 @@
 	})
 }
 
-// reset closes c. Unsent bytes are dropped and the peer sees a reset if the
-// connection was not already closed in both directions.
+// reset closes c and drops unsent bytes. The peer receives a TCP reset unless
+// the connection was already closed in both directions.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,6 +1,6 @@
 // Package service stands in for a plain service in tests and demos. It counts
-// the effects of each idempotency key, so that a test can tell whether a call
-// ran more than once.
+// how often each idempotency key takes effect, so that a test can tell whether a
+// call ran more than once.
 package service
 
 import (
@@ -12,17 +12,17 @@
 	"github.com/masticwing/masticwing/internal/standin/fault"
 )
 
-// Faults are the failures that a test can switch on with POST /faults.
+// Faults are the failures that a test can set with POST /faults.
 type Faults struct {
 	// DelayMillis delays the effect of every call.
 	DelayMillis int `json:"delay_ms"`
-	// LoseAnswers ends the connection after the effect.
+	// LoseAnswers closes the connection after the effect, without a response.
 	LoseAnswers bool `json:"lose_answers"`
-	// Refuse answers 503 with X-Not-Run before any effect.
+	// Refuse responds with 503 and X-Not-Run, without any effect.
 	Refuse bool `json:"refuse"`
-	// Fail answers 500 after the effect.
+	// Fail responds with 500 after the effect.
 	Fail bool `json:"fail"`
-	// Unhealthy makes /healthz fail.
+	// Unhealthy makes /healthz respond with 503.
 	Unhealthy bool `json:"sick"`
 }
 
@@ -31,14 +31,14 @@
 // Server is the stand-in's HTTP handler.
 type Server struct {
 	faults fault.Active[Faults]
-	// counts are keyed by the name of the call, effects by idempotency key.
+	// counts is keyed by the name of the call, effects by idempotency key.
 	counts, effects fault.Counts
 }
 
-// New returns a service without effects.
+// New returns a service that has not run any call.
 func New() *Server { return &Server{} }
 
-// Handler returns the routes of the stand-in.
+// Handler returns the HTTP routes of the stand-in.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", s.healthz)
@@ -55,7 +55,8 @@
 	}
 }
 
-// ResponseBody returns the answer to a call, a function of its name and body.
+// ResponseBody returns the body of the response to a call. It depends only on
+// the name and the request body.
 func ResponseBody(name string, body []byte) string { return fmt.Sprintf("%s ok: %s\n", name, body) }
 
 func (s *Server) call(w http.ResponseWriter, r *http.Request) {
