--- a/test/proof/check_test.go
+++ b/test/proof/check_test.go
@@ -64,12 +64,12 @@
 		if err := json.Unmarshal(b, &f); err != nil {
 			return errors.Wrap(err, "decoding a line")
 		}
-		if want := engine.DigestToken(digest, []byte(r.req.Body), seq); f.Seq != seq || f.Text != want {
+		if want := engine.FrameTextFromDigest(digest, []byte(r.req.Body), seq); f.Seq != seq || f.Text != want {
 			return errors.Errorf("line %d is %q, want %q", seq, b, want)
 		}
 		seq++
 	}
-	if n := engine.Tokens([]byte(r.req.Body)); seq != n {
+	if n := engine.FrameCount([]byte(r.req.Body)); seq != n {
 		return errors.Errorf("%d lines, want %d", seq, n)
 	}
 	return nil
@@ -82,7 +82,7 @@
 	time.Sleep(200 * time.Millisecond)
 	at := map[string]string{}
 	for _, n := range dt.EngineAgents() {
-		var h []engine.Answered
+		var h []engine.HistoryEntry
 		if err := harness.CallJSON(dt.t.Context(), http.MethodGet, "http://"+n.TargetAddr+"/history", nil, &h); err != nil {
 			dt.t.Errorf("history of %s: %v", n.Name, err)
 		}
--- a/test/proof/proof_test.go
+++ b/test/proof/proof_test.go
@@ -107,7 +107,7 @@
 		dt.must(err)
 		*n = int(b)
 	}
-	b := origin.Version{Model: fleet.Model(dt.Spec.Origin.Model), Bytes: size, ChunkBytes: chunk, Seed: uint64(seed)}.Make()
+	b := origin.Version{Model: fleet.Model(dt.Spec.Origin.Model), Bytes: size, ChunkBytes: chunk, Seed: uint64(seed)}.GenerateWeights()
 	dt.versions[name], dt.weights[v] = v, sha256.Sum256(b)
 	return v
 }
