--- a/test/proof/cold_test.go
+++ b/test/proof/cold_engine_test.go
@@ -8,14 +8,14 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-// manyCallers keep every engine above the load that a cold one bears, and leave
-// room for one engine less. With 16, the engines were full while one of them was
-// cold, and a request could be refused as target_full.
+// heavyLoadCallers is the number of callers per entry that keeps every engine above the
+// limit of a cold engine, while the other engines can still take the load of one that is
+// cold. With 16 callers the engines were full while one was cold, and a request could be
+// refused as target_full.
 const heavyLoadCallers = 10
 
-// TestColdRestart guards against a target that has just started and gets more
-// load than it can handle: engines restart without their weights, one after
-// the other and under load.
+// TestColdRestart guards against more load on a target that has just started than it can
+// handle. Under load, the engines restart without their weights, one after the other.
 func TestColdRestart(t *testing.T) {
 	dt := deploy(t, nil)
 	dt.startLoadWithCallers(heavyLoadCallers)
@@ -28,17 +28,17 @@
 	dt.sleep(time.Second)
 	dt.finish()
 	dt.checkNoOverload()
-	dt.checkAllAnswered(func(r requestRecord) bool { return r.isGenerate() && len(r.answer.Lines) == 0 })
+	dt.checkNoFailures(func(r requestRecord) bool { return r.isGenerate() && len(r.response.Lines) == 0 })
 }
 
-// TestCachesLost guards against an engine that loses its caches, keeps its
-// weights, and goes on to get the load of a warm one.
+// TestCachesLost guards against sending the load of a warm engine to one that has lost its
+// caches and kept its weights.
 func TestCachesLost(t *testing.T) {
 	dt := deploy(t, nil)
 	dt.startLoadWithCallers(heavyLoadCallers)
 	dt.sleep(time.Second)
 	for _, n := range dt.EngineAgents() {
-		dt.logStep("engine of " + n.Name + " becomes cold")
+		dt.logStep("engine of " + n.Name + " loses its caches")
 		dt.must(harness.CallJSON(dt.ctx, http.MethodPost, "http://"+n.TargetAddr+"/cold", nil, nil))
 		dt.sleep(time.Second)
 	}
@@ -46,9 +46,9 @@
 	dt.checkNoOverload()
 }
 
-// TestCachesLostBeforeLoad guards against an engine that lost its caches while
-// it was idle, and gets the load of a warm one when requests arrive. No request
-// may run in between, since each one that it finishes makes it bear one more.
+// TestCachesLostBeforeLoad guards against sending the load of a warm engine to one that has
+// lost its caches while it was idle. No request may run between the loss and the load, since
+// each request that a cold engine completes raises its limit by one.
 func TestCachesLostBeforeLoad(t *testing.T) {
 	dt := deploy(t, nil)
 	dt.startLoadWithCallers(heavyLoadCallers)
@@ -57,16 +57,16 @@
 	for _, n := range dt.EngineAgents() {
 		dt.must(harness.CallJSON(dt.ctx, http.MethodPost, "http://"+n.TargetAddr+"/cold", nil, nil))
 	}
-	dt.logStep("all engines are cold")
-	dt.sleep(time.Second) // the agents probe their engines meanwhile
+	dt.logStep("all engines have lost their caches")
+	dt.sleep(time.Second) // the agents query their engines in this time
 	dt.startLoadWithCallers(heavyLoadCallers)
 	dt.sleep(2 * time.Second)
 	dt.finish()
 	dt.checkNoOverload()
-	dt.checkAllAnswered(func(r requestRecord) bool { return r.isGenerate() })
+	dt.checkNoFailures(func(r requestRecord) bool { return r.isGenerate() })
 }
 
-// noOverload fails the test if an engine got more requests than it bears.
+// checkNoOverload fails the test if an engine got more requests at once than it could handle.
 func (dt *deploymentTest) checkNoOverload() {
 	dt.t.Helper()
 	for _, n := range dt.EngineAgents() {
--- a/test/proof/cordon_test.go
+++ b/test/proof/cordon_test.go
@@ -10,10 +10,11 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-// watchFor is how long a target that may get no new work is watched.
+// observationTime is how long checkNoNewRequests observes targets.
 const observationTime = 2 * time.Second
 
-// work returns how many requests the targets of a failure domain have got.
+// requestCount returns the number of requests that the targets of a failure domain have
+// received.
 func (dt *deploymentTest) requestCount(domain string) int64 {
 	dt.t.Helper()
 	var n int64
@@ -25,7 +26,8 @@
 	return n
 }
 
-// idle fails the test if the targets of a failure domain get new work.
+// checkNoNewRequests fails the test if the targets of a failure domain receive requests
+// within observationTime.
 func (dt *deploymentTest) checkNoNewRequests(domain string) {
 	dt.t.Helper()
 	before := dt.requestCount(domain)
@@ -35,11 +37,11 @@
 	}
 }
 
-// working waits until the targets of a failure domain get work.
+// waitForRequests waits until the targets of a failure domain receive a request.
 func (dt *deploymentTest) waitForRequests(bound time.Duration, domain string) {
 	dt.t.Helper()
 	before := dt.requestCount(domain)
-	dt.must(harness.WaitFor(dt.ctx, bound, "work in "+domain, func() error {
+	dt.must(harness.WaitFor(dt.ctx, bound, "a request in domain "+domain, func() error {
 		if dt.requestCount(domain) == before {
 			return errors.New("no new request")
 		}
@@ -47,17 +49,17 @@
 	}))
 }
 
-// allAnswered fails the test unless each request that passes the filter has its
-// whole answer.
-func (dt *deploymentTest) checkAllAnswered(filter func(requestRecord) bool) {
+// checkNoFailures fails the test unless each request that passes the filter got its complete
+// response.
+func (dt *deploymentTest) checkNoFailures(filter func(requestRecord) bool) {
 	dt.t.Helper()
-	dt.reportViolations("requests without an answer", dt.unanswered(0, dt.elapsed(), filter))
+	dt.reportViolations("failed requests", dt.failedRequests(0, dt.elapsed(), filter))
 }
 
 func anyRecord(requestRecord) bool { return true }
 
-// TestCordonUnderLoad guards against new work in a cordoned failure domain, and
-// against requests that are cut or lost when it leaves and returns.
+// TestCordonUnderLoad guards against new requests in a cordoned failure domain, and against
+// requests that fail when the domain is cordoned or uncordoned.
 func TestCordonUnderLoad(t *testing.T) {
 	dt := deploy(t, nil)
 	dt.startLoad()
@@ -69,78 +71,77 @@
 		dt.sleep(cordonBound)
 		dt.checkNoNewRequests(domain)
 		dt.must(dt.Uncordon(dt.ctx, domain))
-		dt.logStep("returned " + domain)
+		dt.logStep("uncordoned " + domain)
 		dt.waitForRequests(configBound, domain)
 	}
 	dt.sleep(500 * time.Millisecond)
 	dt.finish()
-	dt.checkAllAnswered(anyRecord)
+	dt.checkNoFailures(anyRecord)
 }
 
-// TestCordonWhileEntryIsCutOff guards against an entry that sends work to a
-// cordoned failure domain because it cannot reach the platform: it has to learn
-// of the cordon from its peers.
+// TestCordonWhileEntryIsCutOff guards against an entry that sends requests to a cordoned
+// failure domain because it cannot reach the platform. The entry has to learn of the cordon
+// from its peers.
 func TestCordonWhileEntryIsCutOff(t *testing.T) {
 	dt := deploy(t, func(s *harness.Spec) { s.RelayedLinks = []harness.Link{harness.LinkPlatform} })
-	cut := dt.Entries[1]
+	cutOff := dt.Entries[1]
 	dt.startLoad()
-	dt.must(dt.SetLinkFaults(dt.ctx, harness.LinkPlatform, relay.Faults{Cut: true}, cut))
-	dt.logStep(cut.Name + " is cut off from the platform")
+	dt.must(dt.SetLinkFaults(dt.ctx, harness.LinkPlatform, relay.Faults{Cut: true}, cutOff))
+	dt.logStep(cutOff.Name + " is cut off from the platform")
 	dt.sleep(time.Second)
-	rev, err := dt.revision(cut)
+	rev, err := dt.revision(cutOff)
 	dt.must(err)
 	dt.must(dt.Cordon(dt.ctx, "a"))
 	dt.logStep("cordoned a")
-	dt.waitForRevision(cordonBound, rev+1, cut)
-	dt.logStep(cut.Name + " knows of the cordon")
+	dt.waitForRevision(cordonBound, rev+1, cutOff)
+	dt.logStep(cutOff.Name + " has the cordon")
 	dt.sleep(cordonBound)
 	dt.checkNoNewRequests("a")
 	dt.must(dt.Uncordon(dt.ctx, "a"))
 	dt.waitForRequests(configBound, "a")
 	dt.finish()
-	dt.checkAllAnswered(anyRecord)
+	dt.checkNoFailures(anyRecord)
 }
 
-// cutOffFor is how long a failure domain is cut off. It is longer than the time
-// after which processes give up on a silent peer.
+// partitionTime is how long TestDomainCutOff observes a partition. It is longer than the
+// time after which processes give up a silent connection.
 const partitionTime = 4 * time.Second
 
-// TestDomainCutOff guards against a failure domain that stops serving its own
-// callers when it loses the platform and the other failure domains, against
-// keyed calls that run there without a record, and against one that keeps an
-// old revision after it is healed.
+// TestDomainCutOff cuts a failure domain off from the platform, the origin and the other
+// domains. It guards against a domain that then stops serving its own callers, that runs
+// keyed calls without a record, or that keeps an old revision after the partition ends.
 func TestDomainCutOff(t *testing.T) {
 	dt := deploy(t, func(s *harness.Spec) {
 		s.RelayedLinks = []harness.Link{harness.LinkPlatform, harness.LinkOrigin, harness.LinkRPC}
 	})
 	v1, inB := dt.versions["v1"], func(r requestRecord) bool { return r.entry == "b-e1" && r.isGenerate() }
 	v2 := dt.publish("v2", 2)
-	old, err := dt.revision(dt.Entries[1])
+	oldRevision, err := dt.revision(dt.Entries[1])
 	dt.must(err)
 	dt.startLoad()
 	dt.sleep(500 * time.Millisecond)
 	dt.must(dt.CutDomain(dt.ctx, "b", true))
-	dt.logStep("b is cut off")
+	dt.logStep("domain b is cut off")
 	dt.declareVersion("v2")
-	dt.waitForRevision(configBound, old+1, dt.NodesInDomain("a")...)
+	dt.waitForRevision(configBound, oldRevision+1, dt.NodesInDomain("a")...)
 	dt.sleep(silentBound)
 	from := dt.elapsed()
 	dt.sleep(partitionTime)
 	to := dt.elapsed()
 	dt.must(dt.CutDomain(dt.ctx, "b", false))
-	dt.logStep("b is healed")
-	dt.waitForRevision(configBound, old+1, dt.NodesInDomain("b")...)
-	dt.logStep("the newest revision is in force in b")
+	dt.logStep("domain b is connected again")
+	dt.waitForRevision(configBound, oldRevision+1, dt.NodesInDomain("b")...)
+	dt.logStep("the latest revision is in force in domain b")
 	dt.must(dt.WaitVersion(dt.ctx, waitBound, v2))
 	dt.finish()
-	dt.reportViolations("requests at the cut off entry without an answer", dt.unanswered(from, to, inB))
+	dt.reportViolations("failed requests at the entry that was cut off", dt.failedRequests(from, to, inB))
 	dt.checkServedVersion(from, to, "b-e1", v1)
 	dt.checkKeyedCallsRefused(from, to, "b-e1")
 	dt.checkVersionsServed(v1, v2)
 }
 
-// onlyFrom fails the test unless an entry has answered in a time, and all from
-// one version.
+// checkServedVersion fails the test unless an entry answered generate requests that began
+// between from and to, all of them from the given version.
 func (dt *deploymentTest) checkServedVersion(from, to time.Duration, entry, version string) {
 	dt.t.Helper()
 	n := 0
@@ -148,30 +149,30 @@
 		if r.entry != entry || !r.isGenerate() || r.startedAt < from || r.startedAt >= to || r.outcome != ran {
 			continue
 		}
-		if n++; r.answer.Version != version {
-			dt.t.Errorf("%s, cut off, answered from version %s", entry, r.answer.Version)
+		if n++; r.response.Version != version {
+			dt.t.Errorf("%s answered from version %s while it was cut off", entry, r.response.Version)
 		}
 	}
-	if dt.t.Logf("%d answers at %s while it was cut off", n, entry); n == 0 {
+	if dt.t.Logf("%d responses from %s while it was cut off", n, entry); n == 0 {
 		dt.t.Errorf("%s answered nothing while it was cut off", entry)
 	}
 }
 
-// keyedRefused fails the test unless an entry refused all new keyed calls as
-// not run in a time.
+// checkKeyedCallsRefused fails the test unless an entry got new keyed calls between from and
+// to and refused all of them as not run. Retries of calls from before are not counted.
 func (dt *deploymentTest) checkKeyedCallsRefused(from, to time.Duration, entry string) {
 	dt.t.Helper()
 	n := 0
-	first := map[string]time.Duration{}
+	firstSent := map[string]time.Duration{}
 	for _, r := range dt.allRecords() {
-		if _, again := first[r.req.Key]; !again {
-			first[r.req.Key] = r.startedAt
+		if _, seen := firstSent[r.req.Key]; !seen {
+			firstSent[r.req.Key] = r.startedAt
 		}
-		if r.req.Key == "" || r.entry != entry || r.startedAt < from || r.endedAt >= to || first[r.req.Key] < from {
+		if r.req.Key == "" || r.entry != entry || r.startedAt < from || r.endedAt >= to || firstSent[r.req.Key] < from {
 			continue
 		}
 		if n++; r.outcome != notRun {
-			dt.t.Errorf("a keyed call at %s, cut off: %s", entry, r.describe())
+			dt.t.Errorf("a keyed call at %s while it was cut off: %s", entry, r.describe())
 		}
 	}
 	if dt.t.Logf("%d keyed calls at %s while it was cut off", n, entry); n == 0 {
--- a/test/proof/proof_test.go
+++ b/test/proof/deployment_test.go
@@ -1,6 +1,7 @@
-// Package proof runs a small deployment of real processes under failures and
-// checks what must always hold, from histories that callers, engines, services
-// and daemons recorded. docs/proofs.md lists which guarantee each test proves.
+// Package proof runs a small deployment of real processes, injects failures and
+// checks the guarantees of the system against the histories that callers, engines,
+// services and daemons recorded. docs/proofs.md lists which test covers which
+// guarantee.
 package proof
 
 import (
@@ -21,40 +22,42 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-// Bounds of the design page.
+// Time limits stated in the design page.
 const (
 	configBound = 7 * time.Second
 	cordonBound = 3 * time.Second
-	// silentBound is the time after which a silent connection is given up.
+	// silentBound is the time after which a process gives up a connection on which it
+	// receives nothing.
 	silentBound = 2 * time.Second
-	// waitBound bounds waits for which the page has no bound, such as a spread.
+	// waitBound limits waits for which the page states no limit, such as that for the
+	// distribution of a version.
 	waitBound = 30 * time.Second
 )
 
-var seedFlag = flag.Uint64("seed", 0, "seed of the random choices; 0 draws one")
+var seedFlag = flag.Uint64("seed", 0, "seed of the random choices; 0 selects a random seed")
 
 func TestMain(m *testing.M) { os.Exit(harness.Main(m)) }
 
-// world is a deployment with the histories of one test.
+// deploymentTest is one test: its deployment, its callers and the recorded histories.
 type deploymentTest struct {
 	*harness.Deployment
-	t   *testing.T
-	ctx context.Context
-	rnd *rand.Rand
+	t      *testing.T
+	ctx    context.Context
+	random *rand.Rand
 	history
-	revs revisionChecker
+	revisions revisionChecker
 
-	versions      map[string]string            // digest by name
-	weights       map[string][sha256.Size]byte // digest of the weights by version
+	versions      map[string]string            // version digest by name
+	weights       map[string][sha256.Size]byte // digest of the weights by version digest
 	loadGenerator *loadGenerator
 	monitor       conc.WaitGroup
 	stop          context.CancelFunc
-	restartLocks  map[*harness.Node]*sync.Mutex // held while a node is restarted
+	restartLocks  map[*harness.Node]*sync.Mutex // held while the daemon of the node is started
 }
 
 // deploy starts 2 failure domains in 2 regions with an entry, two engines and
-// a service each, and waits until version v1 is served. The histories are
-// checked when the test ends.
+// a service each, and waits until version v1 is served. change may modify the
+// specification first. The test has to call finish, which checks the histories.
 func deploy(t *testing.T, change func(*harness.Spec)) *deploymentTest {
 	t.Helper()
 	seed := *seedFlag
@@ -77,7 +80,7 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	dt := &deploymentTest{
-		t: t, ctx: ctx, stop: stop, rnd: rand.New(rand.NewPCG(seed, 1)), versions: map[string]string{},
+		t: t, ctx: ctx, stop: stop, random: rand.New(rand.NewPCG(seed, 1)), versions: map[string]string{},
 		weights: map[string][sha256.Size]byte{}, restartLocks: map[*harness.Node]*sync.Mutex{},
 	}
 	var err error
@@ -96,7 +99,8 @@
 	}
 }
 
-// publish makes the origin offer a version and returns its digest.
+// publish makes the origin offer a version with random weights from seed and returns its
+// digest.
 func (dt *deploymentTest) publish(name string, seed int) string {
 	dt.t.Helper()
 	v, err := dt.Publish(dt.ctx, seed)
@@ -112,13 +116,14 @@
 	return v
 }
 
-// declare puts a version in force.
+// declareVersion applies a declaration with the version of the given name.
 func (dt *deploymentTest) declareVersion(name string) {
 	dt.t.Helper()
 	dt.must(dt.Apply(dt.ctx, dt.Spec.RenderDeclaration(dt.versions, name)))
 }
 
-// agents returns the agents of a failure domain with or without an engine.
+// agents returns the agents of a failure domain: those of engines if engine is true, else
+// those of plain services.
 func (dt *deploymentTest) agents(domain string, engine bool) []*harness.Node {
 	var out []*harness.Node
 	for _, n := range dt.NodesInDomain(domain) {
@@ -129,33 +134,33 @@
 	return out
 }
 
-// restart starts the daemon of a node that has ended and waits until it is
-// ready.
+// startDaemonAndWait starts the daemon of a node again after it has exited and waits until
+// it is ready.
 func (dt *deploymentTest) startDaemonAndWait(n *harness.Node) {
 	dt.t.Helper()
 	dt.startDaemon(n)
 	dt.must(harness.WaitReady(dt.ctx, waitBound, n.Proc, n.Admin))
 }
 
-// run starts the daemon of a node that has ended and does not wait. Its
-// revision is followed anew, since the old process took its own with it.
+// startDaemon starts the daemon of a node again after it has exited and does not wait. The
+// new process may begin with an older revision, so the last one observed is forgotten.
 func (dt *deploymentTest) startDaemon(n *harness.Node) {
 	dt.t.Helper()
 	dt.restartLocks[n].Lock()
 	defer dt.restartLocks[n].Unlock()
 	dt.must(dt.SpawnNode(n))
-	dt.revs.forget(n.Name)
+	dt.revisions.forget(n.Name)
 }
 
-// kill ends the daemon of a node without warning.
+// killDaemon ends the daemon of a node with SIGKILL.
 func (dt *deploymentTest) killDaemon(n *harness.Node) {
 	dt.t.Helper()
 	dt.must(n.Proc.Kill())
 }
 
-// note logs what the test does with the time since its start.
-func (dt *deploymentTest) logStep(what string) {
-	dt.t.Logf("%6.2fs %s", time.Since(dt.startedAt).Seconds(), what)
+// logStep logs a step of the test with the time since the start of the test.
+func (dt *deploymentTest) logStep(step string) {
+	dt.t.Logf("%6.2fs %s", time.Since(dt.startedAt).Seconds(), step)
 }
 
 func (dt *deploymentTest) sleep(d time.Duration) {
@@ -167,21 +172,21 @@
 	}
 }
 
-// faults sets the faults of the stand-in at addr.
-func (dt *deploymentTest) setFaults(addr string, f any) {
+// setFaults sets the faults of the stand-in at addr.
+func (dt *deploymentTest) setFaults(addr string, faults any) {
 	dt.t.Helper()
-	dt.must(harness.SetFaults(dt.ctx, addr, f))
+	dt.must(harness.SetFaults(dt.ctx, addr, faults))
 }
 
-// finish ends the load and checks the histories.
+// finish stops the load and the revision monitor and checks the histories.
 func (dt *deploymentTest) finish() {
 	dt.t.Helper()
 	if dt.loadGenerator != nil {
 		dt.loadGenerator.stop()
 	}
-	dt.logStep("the load has ended")
+	dt.logStep("load stopped")
 	dt.stop()
 	dt.monitor.Wait()
 	dt.checkHistories()
-	dt.logStep("the histories are checked")
+	dt.logStep("histories checked")
 }
--- a/test/proof/check_test.go
+++ b/test/proof/history_check_test.go
@@ -13,53 +13,53 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-// maxShown bounds the faults of one kind that a failed check prints.
+// maxShown limits how many violations of one kind a failed check prints.
 const maxShown = 5
 
-// check compares the histories. It is strict: nothing in it depends on which
-// failures the test switched on.
+// checkHistories checks the guarantees that hold in every test. It makes no exception for
+// the failures that a test injects.
 func (dt *deploymentTest) checkHistories() {
 	dt.t.Helper()
 	ranAt := dt.enginesByRequest()
-	var broken, untrue []string
+	var invalidResponses, falseVerdicts []string
 	counts := map[string]int{}
 	for _, r := range dt.allRecords() {
 		counts[r.outcome]++
 		if r.outcome == ran && r.isGenerate() {
-			if err := dt.checkAnswer(r); err != nil {
-				broken = append(broken, r.describe()+": "+err.Error())
+			if err := dt.checkResponse(r); err != nil {
+				invalidResponses = append(invalidResponses, r.describe()+": "+err.Error())
 			}
 		}
-		if id := r.answer.RequestID; r.outcome == notRun && r.isGenerate() && id != "" && ranAt[id] != "" {
-			untrue = append(untrue, r.describe()+" ran at "+ranAt[id])
+		if id := r.response.RequestID; r.outcome == notRun && r.isGenerate() && id != "" && ranAt[id] != "" {
+			falseVerdicts = append(falseVerdicts, r.describe()+" ran at "+ranAt[id])
 		}
 	}
 	dt.t.Logf("%d requests: %v", len(dt.allRecords()), counts)
-	dt.reportViolations("answers that are not whole, own and from one declared version", broken)
-	dt.reportViolations("requests reported as not run that ran", untrue)
-	dt.reportViolations("revisions that went back", dt.revs.violations)
+	dt.reportViolations("responses that are incomplete, of another request or not from a single published version", invalidResponses)
+	dt.reportViolations("requests that ran, but were reported as not run", falseVerdicts)
+	dt.reportViolations("decreases of the revision of a process", dt.revisions.violations)
 	dt.checkKeyedCalls()
 }
 
-func (dt *deploymentTest) reportViolations(what string, faults []string) {
+func (dt *deploymentTest) reportViolations(kind string, violations []string) {
 	dt.t.Helper()
-	if len(faults) > 0 {
-		dt.t.Errorf("%d %s; the first: %q", len(faults), what, faults[:min(maxShown, len(faults))])
+	if len(violations) > 0 {
+		dt.t.Errorf("%d %s; the first ones: %q", len(violations), kind, violations[:min(maxShown, len(violations))])
 	}
 }
 
-// own returns an error unless the answer is whole and its text is what one
-// declared and complete version makes of this request's body.
-func (dt *deploymentTest) checkAnswer(r requestRecord) error {
+// checkResponse returns an error unless the response is complete and its text is the one that a
+// single published version gives for the body of this request.
+func (dt *deploymentTest) checkResponse(r requestRecord) error {
 	if err := r.checkComplete(); err != nil {
 		return err
 	}
-	digest, ok := dt.weights[r.answer.Version]
+	digest, ok := dt.weights[r.response.Version]
 	if !ok {
-		return errors.Errorf("version %q was never declared", r.answer.Version)
+		return errors.Errorf("version %q was never published", r.response.Version)
 	}
 	seq := 0
-	for _, b := range r.answer.Lines {
+	for _, b := range r.response.Lines {
 		var f engine.Frame
 		if err := json.Unmarshal(b, &f); err != nil {
 			return errors.Wrap(err, "decoding a line")
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// engineHistory returns where each request ran. Requests that still run at an
-// engine end within moments after the load has ended.
+// enginesByRequest returns the name of the node where each request ran. It first waits for
+// requests that are still running in an engine after the load has stopped.
 func (dt *deploymentTest) enginesByRequest() map[string]string {
 	dt.t.Helper()
 	time.Sleep(200 * time.Millisecond)
@@ -93,7 +93,7 @@
 	return at
 }
 
-// effects returns how often each key took effect at the services.
+// effectCounts returns how often the call of each key took effect, summed over the services.
 func (dt *deploymentTest) effectCounts() map[string]int64 {
 	dt.t.Helper()
 	all := map[string]int64{}
@@ -112,18 +112,20 @@
 	return all
 }
 
-// told is what the caller of a keyed call was told, or a count of its effects.
-type told struct {
-	outcome string
-	fresh   bool
-	count   int64 // -1 for a call
+// callResult is the output of an operation on a key: the result that a caller received, or
+// the number of effects that the services counted at the end.
+type callResult struct {
+	outcome     string
+	notReplayed bool
+	effectCount int64 // -1 for the result that a caller received
 }
 
-// possible is the set of states that a key may be in: not taken effect, taken
-// effect, or both if nobody knows.
-type possible struct{ not, took bool }
+// keyStates is the set of states that a key may be in: its call has not taken effect, or it
+// has. Both are set if the caller does not know.
+type keyStates struct{ unapplied, applied bool }
 
-// onceModel is a key whose call takes effect at most once.
+// atMostOnceModel is the sequential specification of a key whose call takes effect at most
+// once.
 var atMostOnceModel = porcupine.Model{
 	Partition: func(h []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[any][]porcupine.Operation{}
@@ -136,30 +138,31 @@
 		}
 		return out
 	},
-	Init: func() any { return possible{not: true} },
+	Init: func() any { return keyStates{unapplied: true} },
 	Step: func(state, _, output any) (bool, any) {
-		s, out := state.(possible), output.(told)
+		s, out := state.(keyStates), output.(callResult)
 		switch {
-		case out.count >= 0:
-			s = possible{s.not && out.count == 0, s.took && out.count == 1}
+		case out.effectCount >= 0:
+			s = keyStates{s.unapplied && out.effectCount == 0, s.applied && out.effectCount == 1}
 		case out.outcome == notRun:
-		case out.outcome == ran && out.fresh:
-			s = possible{false, s.not}
+		case out.outcome == ran && out.notReplayed:
+			s = keyStates{false, s.unapplied}
 		case out.outcome == ran:
-			s = possible{false, s.took}
-		default: // it may have run, before or after its caller was told
-			s.took = s.took || s.not
+			s = keyStates{false, s.applied}
+		default: // the call may have run, or may still run after its caller got the result
+			s.applied = s.applied || s.unapplied
 		}
-		return s != possible{}, s
+		return s != keyStates{}, s
 	},
 }
 
-// checkKeys checks the keyed calls against the services' own counts.
+// checkKeyedCalls checks the results of the keyed calls against the effects that the
+// services counted.
 func (dt *deploymentTest) checkKeyedCalls() {
 	dt.t.Helper()
 	effectCounts, keys := dt.effectCounts(), map[string]bool{}
 	var ops []porcupine.Operation
-	var twice []string
+	var repeatedKeys []string
 	for _, r := range dt.allRecords() {
 		if r.req.Key == "" || r.outcome == notSent {
 			continue
@@ -169,20 +172,20 @@
 		if r.outcome == mayHaveRun {
 			op.Return = math.MaxInt64 - 2
 		}
-		fresh := r.answer.Error == nil && r.answer.Header.Get("X-Masticwing-Replayed") == ""
-		op.Output = told{outcome: r.outcome, fresh: fresh, count: -1}
+		notReplayed := r.response.Error == nil && r.response.Header.Get("X-Masticwing-Replayed") == ""
+		op.Output = callResult{outcome: r.outcome, notReplayed: notReplayed, effectCount: -1}
 		ops = append(ops, op)
 	}
 	for k := range keys {
 		if effectCounts[k] > 1 {
-			twice = append(twice, k)
+			repeatedKeys = append(repeatedKeys, k)
 		}
 		ops = append(ops, porcupine.Operation{
-			Input: k, Call: math.MaxInt64 - 1, Return: math.MaxInt64, Output: told{count: effectCounts[k]},
+			Input: k, Call: math.MaxInt64 - 1, Return: math.MaxInt64, Output: callResult{effectCount: effectCounts[k]},
 		})
 	}
 	dt.t.Logf("%d keys, %d operations, %d keys with an effect", len(keys), len(ops), len(effectCounts))
-	dt.reportViolations("keys with more than one effect", twice)
+	dt.reportViolations("keys with more than one effect", repeatedKeys)
 	if res := porcupine.CheckOperationsTimeout(atMostOnceModel, ops, time.Minute); res != porcupine.Ok {
 		dt.t.Errorf("the history of keyed calls is not linearizable (%v)", res)
 	}
--- a/test/proof/load_test.go
+++ b/test/proof/load_test.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// callersPerEntry is the load of most tests; one of the callers sends keyed calls.
+	// callersPerEntry is the number of callers at each entry in most tests. One of them
+	// sends keyed calls.
 	callersPerEntry = 4
 	requestInterval = 10 * time.Millisecond
 	requestTimeout  = 5 * time.Second
-	// repeats bounds how often a caller repeats one keyed call.
+	// maxAttempts limits how often a caller sends one keyed call.
 	maxAttempts = 4
 )
 
-// load sends requests to all entries until it is stopped. At each entry, one
-// of the callers places keyed calls and repeats them through any entry.
+// loadGenerator sends requests to all entries until it is stopped. One of the callers at
+// each entry sends keyed calls and retries them through a random entry.
 type loadGenerator struct {
 	dt       *deploymentTest
 	callers  []*harness.Caller // by index of the entry
@@ -34,7 +35,7 @@
 
 func (dt *deploymentTest) startLoad() { dt.startLoadWithCallers(callersPerEntry) }
 
-// startLoadOf starts a number of callers at each entry.
+// startLoadWithCallers starts the load with the given number of callers at each entry.
 func (dt *deploymentTest) startLoadWithCallers(callers int) {
 	l := &loadGenerator{dt: dt}
 	l.ctx, l.cancel = context.WithCancel(dt.ctx)
@@ -44,25 +45,25 @@
 	}
 	for i := range dt.Entries {
 		for c := range callers {
-			id := i*callers + c
-			rnd := rand.New(rand.NewPCG(dt.rnd.Uint64(), uint64(id)))
-			l.wg.Go(func() { l.runCaller(id, i, c == 0, rnd) })
+			caller := i*callers + c
+			random := rand.New(rand.NewPCG(dt.random.Uint64(), uint64(caller)))
+			l.wg.Go(func() { l.runCaller(caller, i, c == 0, random) })
 		}
 	}
 }
 
-// stop ends the callers after their current request.
+// stop stops the callers and waits for the end of their current requests.
 func (l *loadGenerator) stop() {
 	l.cancel()
 	l.wg.Wait()
 }
 
-func (l *loadGenerator) runCaller(id, entry int, keyed bool, rnd *rand.Rand) {
+func (l *loadGenerator) runCaller(caller, entry int, keyed bool, random *rand.Rand) {
 	for l.ctx.Err() == nil {
 		if keyed {
-			l.sendKeyedCall(id, entry, rnd)
+			l.sendKeyedCall(caller, entry, random)
 		} else {
-			l.send(id, entry, l.newGenerateRequest())
+			l.send(caller, entry, l.newGenerateRequest())
 		}
 		l.waitInterval()
 	}
@@ -75,11 +76,12 @@
 	}
 }
 
-func (l *loadGenerator) send(id, entry int, r harness.Request) requestRecord {
-	return l.dt.send(l.dt, id, l.dt.Entries[entry], l.callers[entry], r)
+func (l *loadGenerator) send(caller, entry int, r harness.Request) requestRecord {
+	return l.dt.send(l.dt, caller, l.dt.Entries[entry], l.callers[entry], r)
 }
 
-// prompt returns a request whose body, and with it its answer, is its own.
+// newGenerateRequest returns a request with a unique body, so that no other request has the
+// same response.
 func (l *loadGenerator) newGenerateRequest() harness.Request {
 	n := l.sequence.Add(1)
 	return harness.Request{
@@ -88,17 +90,18 @@
 	}
 }
 
-// order places one keyed call and repeats it, mostly until it ran.
-func (l *loadGenerator) sendKeyedCall(id, entry int, rnd *rand.Rand) {
+// sendKeyedCall sends one keyed call and retries it. After each response that the call has
+// run, it stops with a probability of one half.
+func (l *loadGenerator) sendKeyedCall(caller, entry int, random *rand.Rand) {
 	r := harness.Request{
 		Path: harness.CallPath(harness.Service, "log"), Customer: harness.Customer, Class: "order",
 		Key: harness.NewKey(), Timeout: requestTimeout, Body: fmt.Sprintf(`{"order":%d}`, l.sequence.Add(1)),
 	}
 	for range maxAttempts {
-		if l.send(id, entry, r).outcome == ran && rnd.IntN(2) == 0 || l.ctx.Err() != nil {
+		if l.send(caller, entry, r).outcome == ran && random.IntN(2) == 0 || l.ctx.Err() != nil {
 			return
 		}
-		entry = rnd.IntN(len(l.callers))
+		entry = random.IntN(len(l.callers))
 		l.waitInterval()
 	}
 }
--- a/test/proof/restart_test.go
+++ b/test/proof/restart_test.go
@@ -12,8 +12,8 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-// newestRevision makes two changes and returns the revision that is then in
-// force everywhere.
+// advanceRevision applies two changes, waits until all processes have the resulting revision
+// and returns it.
 func (dt *deploymentTest) advanceRevision() uint64 {
 	dt.t.Helper()
 	dt.must(dt.Cordon(dt.ctx, "b"))
@@ -23,7 +23,8 @@
 	return rev
 }
 
-// restartAll ends daemons together and starts them again.
+// restartAll kills the daemons of all given nodes, then starts them again and waits until
+// they are ready.
 func (dt *deploymentTest) restartAll(nodes []*harness.Node) {
 	dt.t.Helper()
 	for _, n := range nodes {
@@ -38,9 +39,9 @@
 	}
 }
 
-// TestRestartWithoutPlatform guards against a process that starts while the
-// platform is down and serves nothing, or an older configuration, although a
-// peer holds the newest one.
+// TestRestartWithoutPlatform guards against a process that starts while the platform is down
+// and does not serve, or serves with an older configuration, although a peer has the latest
+// one.
 func TestRestartWithoutPlatform(t *testing.T) {
 	dt := deploy(t, nil)
 	rev := dt.advanceRevision()
@@ -62,7 +63,8 @@
 	dt.finish()
 }
 
-// answeredSince fails the test unless generate requests were answered.
+// checkAnsweredSince fails the test unless a generate request that began after from was
+// answered.
 func (dt *deploymentTest) checkAnsweredSince(from time.Duration) {
 	dt.t.Helper()
 	n := 0
@@ -71,14 +73,14 @@
 			n++
 		}
 	}
-	if dt.t.Logf("%d answers since %v", n, from); n == 0 {
+	if dt.t.Logf("%d responses since %v", n, from); n == 0 {
 		dt.t.Errorf("no request was answered since %v", from)
 	}
 }
 
-// TestStaleStart guards against a process that starts with what an old read of
-// the platform says although a peer holds a newer configuration.
-func TestStaleStart(t *testing.T) {
+// TestStartAfterStaleRead guards against a process that becomes ready with an outdated
+// configuration from a stale read of the platform although a peer has a newer one.
+func TestStartAfterStaleRead(t *testing.T) {
 	dt := deploy(t, nil)
 	rev := dt.advanceRevision()
 	dt.setFaults(dt.PlatformAddr, platform.Faults{StaleReads: true})
@@ -93,10 +95,10 @@
 	dt.finish()
 }
 
-// TestNobodyKnows guards against processes that serve without a configuration
-// when the platform is down and no peer is left, or do not say why they serve
-// nothing.
-func TestNobodyKnows(t *testing.T) {
+// TestStartWithoutPlatformAndPeers restarts all processes while the platform is down, so that
+// none of them can get a configuration. It guards against processes that serve nevertheless,
+// or that do not report the reason why they are not ready.
+func TestStartWithoutPlatformAndPeers(t *testing.T) {
 	dt := deploy(t, nil)
 	rev := dt.advanceRevision()
 	dt.setFaults(dt.PlatformAddr, platform.Faults{Down: true})
@@ -107,14 +109,14 @@
 		dt.startDaemon(n)
 	}
 	dt.logStep("all daemons restart with the platform down")
-	// The start-up rule of the page waits 2 s for the platform.
+	// The start-up rule of the design page waits 2 s for the platform.
 	dt.sleep(2*time.Second + time.Second)
 	for _, n := range dt.Nodes() {
 		status, text, err := harness.GetReadyz(dt.ctx, n.Admin)
 		dt.must(err)
 		dt.t.Logf("%s: %d %s", n.Name, status, strings.TrimSpace(text))
 		if status != http.StatusServiceUnavailable || !strings.Contains(text, "platform") {
-			t.Errorf("/readyz of %s does not name the reason: %d %q", n.Name, status, text)
+			t.Errorf("/readyz of %s does not state the reason: %d %q", n.Name, status, text)
 		}
 	}
 	from := dt.elapsed()
@@ -123,9 +125,9 @@
 	dt.loadGenerator.stop()
 	dt.checkOutcomes(func(r requestRecord) bool { return r.startedAt >= from }, notRun)
 	dt.setFaults(dt.PlatformAddr, platform.Faults{})
-	dt.logStep("platform is back")
+	dt.logStep("platform is up")
 	dt.waitForRevision(configBound, rev, dt.Nodes()...)
-	dt.must(harness.WaitFor(dt.ctx, waitBound, "an answer", func() error {
+	dt.must(harness.WaitFor(dt.ctx, waitBound, "a response", func() error {
 		r := dt.loadGenerator.send(0, 0, dt.loadGenerator.newGenerateRequest())
 		return errors.Wrap(r.checkComplete(), "generate")
 	}))
--- a/test/proof/stop_test.go
+++ b/test/proof/shutdown_test.go
@@ -8,11 +8,11 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-// stopTimeout bounds a graceful shutdown: the drain time by default and the
-// last writes of the ledger.
+// shutdownTimeout limits a graceful shutdown, which takes the default drain timeout and the
+// final writes of the ledger.
 const shutdownTimeout = 40 * time.Second
 
-// stopNode stops a daemon with SIGTERM and fails the test unless it exits with
+// shutDown stops the daemon of a node with SIGTERM and fails the test unless it exits with
 // code 0.
 func (dt *deploymentTest) shutDown(n *harness.Node) {
 	dt.t.Helper()
@@ -20,15 +20,15 @@
 	code, err := n.Proc.Stop(shutdownTimeout)
 	dt.must(err)
 	if code != 0 {
-		dt.t.Errorf("%s ended with code %d", n.Name, code)
+		dt.t.Errorf("%s exited with code %d", n.Name, code)
 	}
-	dt.logStep(n.Name + " has ended")
+	dt.logStep(n.Name + " has exited")
 }
 
-// TestPlannedStop guards against requests that are cut or lost when agents and
-// entries stop by SIGTERM. A caller whose entry stops is told not-run, or finds
-// the address closed, and can go to another entry.
-func TestPlannedStop(t *testing.T) {
+// TestGracefulShutdown guards against requests that fail when agents and entries shut down on
+// SIGTERM. Only a request to the entry that shuts down may be refused as not run, or fail to
+// connect, since its caller can use another entry.
+func TestGracefulShutdown(t *testing.T) {
 	dt := deploy(t, nil)
 	dt.startLoad()
 	dt.sleep(500 * time.Millisecond)
@@ -39,21 +39,22 @@
 		dt.sleep(500 * time.Millisecond)
 	}
 	dt.finish()
-	// An entry that has just started refuses requests until /readyz sends the
-	// load balancer to it.
-	dt.checkAllAnswered(func(r requestRecord) bool {
+	// An entry that has just started refuses requests until /readyz reports it as ready to
+	// the load balancer.
+	dt.checkNoFailures(func(r requestRecord) bool {
 		return r.outcome != notSent && !r.refusedWithCode("shutting_down") && !r.refusedWithCode("no_configuration")
 	})
 }
 
-// refusedBy reports whether the request was refused as not run with a code.
+// refusedWithCode reports whether the request was refused as not run with the given error
+// code.
 func (r *requestRecord) refusedWithCode(code string) bool {
-	return r.outcome == notRun && r.answer.Error != nil && r.answer.Error.Code == code
+	return r.outcome == notRun && r.response.Error != nil && r.response.Error.Code == code
 }
 
-// TestKilledAgents guards against requests that get a wrong verdict, or none,
-// when agents end without warning. Repeatable requests of which no byte has
-// been sent are answered by another agent.
+// TestKilledAgents guards against requests that get a wrong verdict, or none, when agents are
+// killed. Another agent has to answer a retryable request if no byte of its response has been
+// sent.
 func TestKilledAgents(t *testing.T) {
 	dt := deploy(t, nil)
 	dt.startLoad()
@@ -66,12 +67,12 @@
 		dt.must(dt.WaitVersion(dt.ctx, waitBound, dt.versions["v1"]))
 	}
 	dt.finish()
-	dt.checkAllAnswered(func(r requestRecord) bool { return r.isGenerate() && len(r.answer.Lines) == 0 })
+	dt.checkNoFailures(func(r requestRecord) bool { return r.isGenerate() && len(r.response.Lines) == 0 })
 	dt.checkOutcomes(func(r requestRecord) bool { return r.isGenerate() }, ran, mayHaveRun)
 }
 
-// TestSilentConnections guards against requests that hang on connections that
-// are open and carry nothing, while new connections work.
+// TestSilentConnections guards against requests that hang on open connections on which no
+// data arrives, while new connections work.
 func TestSilentConnections(t *testing.T) {
 	dt := deploy(t, func(s *harness.Spec) { s.RelayedLinks = []harness.Link{harness.LinkRPC} })
 	dt.startLoad()
@@ -86,8 +87,8 @@
 	dt.sleep(time.Second)
 	to := dt.elapsed()
 	dt.finish()
-	dt.checkAllAnswered(func(r requestRecord) bool { return r.isGenerate() && len(r.answer.Lines) == 0 })
-	dt.reportViolations("requests without an answer after the silence", dt.unanswered(from, to, anyRecord))
+	dt.checkNoFailures(func(r requestRecord) bool { return r.isGenerate() && len(r.response.Lines) == 0 })
+	dt.reportViolations("failed requests after the silent connections were given up", dt.failedRequests(from, to, anyRecord))
 	slowest := time.Duration(0)
 	for _, r := range dt.allRecords() {
 		slowest = max(slowest, r.endedAt-r.startedAt)
@@ -98,19 +99,19 @@
 	}
 }
 
-// onlyVerdicts fails the test if a request that passes the filter has another
-// outcome.
+// checkOutcomes fails the test if a request that passes the filter has an outcome other than
+// those given.
 func (dt *deploymentTest) checkOutcomes(filter func(requestRecord) bool, outcomes ...string) {
 	dt.t.Helper()
 	allowed := map[string]bool{}
 	for _, o := range outcomes {
 		allowed[o] = true
 	}
-	var bad []string
+	var descriptions []string
 	for _, r := range dt.allRecords() {
 		if filter(r) && !allowed[r.outcome] {
-			bad = append(bad, r.describe())
+			descriptions = append(descriptions, r.describe())
 		}
 	}
-	dt.reportViolations("requests with an unexpected verdict", bad)
+	dt.reportViolations("requests with an unexpected verdict", descriptions)
 }
