--- a/test/proof/load_order_test.go
+++ b/test/proof/load_order_test.go
@@ -44,7 +44,7 @@
 	fence := int64(0)
 	dt.must(harness.WaitFor(dt.ctx, waitBound, "an order for "+version, func() error {
 		for _, o := range dt.engineOrders(n) {
-			if o.Version == version && o.Fence > above && (!done || o.Done > 0) {
+			if o.Version == version && o.Fence > above && (!done || o.DoneSeq > 0) {
 				fence = o.Fence
 				return nil
 			}
@@ -62,7 +62,7 @@
 	dt.t.Logf("orders of the engine of %s: %+v", n.Name, orders)
 	for _, x := range orders {
 		for _, y := range orders {
-			if y.Fence > x.Fence && (y.Began < x.Began || y.Began < x.Done) {
+			if y.Fence > x.Fence && (y.BeganSeq < x.BeganSeq || y.BeganSeq < x.DoneSeq) {
 				dt.t.Errorf("order %+v began or took effect after the start of %+v", x, y)
 			}
 		}
--- a/test/proof/silent_connection_test.go
+++ b/test/proof/silent_connection_test.go
@@ -36,10 +36,10 @@
 	}
 }
 
-// TestSilentAgentConnections makes the connections to an agent silent during a call. It guards against a
-// call that then waits until its deadline or is reported as not run, and against a later call
-// that is sent on the silent connection. The call is keyed, so that no other agent
-// answers it in between.
+// TestSilentAgentConnections makes the connections to an agent silent during a call. It
+// guards against a call that then waits until its deadline or is reported as not run, and
+// against a later call that is sent on the silent connection. The call is keyed, so that no
+// other agent answers it in between.
 func TestSilentAgentConnections(t *testing.T) {
 	dt := deploy(t, func(s *harness.Spec) {
 		s.RelayedLinks = []harness.Link{harness.LinkRPC}
