--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,6 +1,7 @@
-// Package engine stands in for a model engine in tests and demos. Its answers
-// are a function of the request body and of the loaded weights, so that a test
-// can tell which version produced an answer and that all of it was loaded.
+// Package engine stands in for a model engine in tests and demos. The frames it
+// generates depend only on the request body and the loaded weights, so that a
+// test can tell which version produced an answer and whether all of its weights
+// were loaded.
 package engine
 
 import (
@@ -13,85 +14,87 @@
 	"github.com/masticwing/masticwing/internal/standin/fault"
 )
 
-// Options are the properties of the engine.
+// Options configure the engine.
 type Options struct {
-	// CheckFence refuses orders with a fencing number lower than the highest
-	// one seen.
+	// CheckFence makes the engine refuse orders with a fencing number lower than
+	// the highest one seen.
 	CheckFence bool
-	// CheckIdentity states the identity as the entity tag of the status and
-	// refuses requests that name another one as their precondition.
+	// CheckIdentity makes the engine return its identity as the entity tag of
+	// the status and refuse requests whose If-Match names another identity.
 	CheckIdentity bool
-	// MaxRequests is the load that a warm engine bears; ColdRequests is that of
-	// a cold one. Each request that a cold engine finishes lets it bear one
-	// more. Over its limit it answers 500 to everything until it is restarted.
+	// MaxRequests is the number of concurrent requests that a warm engine can
+	// run, ColdRequests that of a cold one. The limit of a cold engine grows by
+	// one with each request it completes. Above its limit the engine fails: it
+	// responds with 500 to every call until it is restarted.
 	MaxRequests, ColdRequests int
-	// TokenDelay is the time for one token.
+	// TokenDelay is the time to generate one token.
 	TokenDelay time.Duration
 	// LoadPerMiB is the time to load one MiB of weights.
 	LoadPerMiB time.Duration
-	// MemoryBytes bounds the weights that are loaded at one time; 0 is no bound.
+	// MemoryBytes limits the total size of the loaded weights; 0 means no limit.
 	MemoryBytes int64
 }
 
-// Faults are the failures that a test can switch on with POST /faults.
+// Faults are the failures that a test can set with POST /faults.
 type Faults struct {
-	// WrongVersion is named in answers instead of the version that produced them.
+	// WrongVersion replaces the version in answers.
 	WrongVersion string `json:"wrong_version"`
-	// WrongID is named in answers instead of the request's id.
+	// WrongID replaces the request id in answers.
 	WrongID string `json:"wrong_id"`
-	// CutAfter ends the connection after that many frames, if positive.
+	// CutAfter, if positive, closes the connection after that many frames.
 	CutAfter int `json:"cut_after"`
-	// CutOnce leaves resumed answers alone.
+	// CutOnce exempts resumed answers from CutAfter.
 	CutOnce bool `json:"cut_once"`
 }
 
-// Answered is one line of the history.
-type Answered struct {
+// HistoryEntry is the record of one answer.
+type HistoryEntry struct {
 	RequestID string `json:"request_id"`
 	Version   string `json:"version"`
-	// Whole is false for an answer that was cut or canceled.
-	Whole bool `json:"whole"`
+	// Complete is false for an answer that was canceled or ended early.
+	Complete bool `json:"whole"`
 }
 
-// Order is one order that the engine has taken. Began and Done number these
-// events of all orders; Done is 0 for an order without an effect.
+// Order is the record of an order that the engine has accepted. BeganSeq and
+// DoneSeq are sequence numbers of its start and completion among the events of
+// all orders; DoneSeq is 0 for an order without an effect.
 type Order struct {
-	Kind    string `json:"kind"`
-	Version string `json:"version"`
-	Fence   int64  `json:"fence"`
-	Began   int    `json:"began"`
-	Done    int    `json:"done"`
+	Kind     string `json:"kind"`
+	Version  string `json:"version"`
+	Fence    int64  `json:"fence"`
+	BeganSeq int    `json:"began"`
+	DoneSeq  int    `json:"done"`
 }
 
-// maxHistory bounds the record of answers, and that of orders.
+// maxHistory bounds the number of recorded answers and of recorded orders.
 const maxHistory = 100_000
 
-type model struct {
+type loadedModel struct {
 	digest [sha256.Size]byte
 	bytes  int64
 }
 
 // Server is the stand-in's HTTP handler.
 type Server struct {
-	o Options
+	opts Options
 
-	// started tells the boot identities of two processes apart.
-	started time.Time
+	// startedAt makes the boot id unique among processes.
+	startedAt time.Time
 
-	faults fault.Switch[Faults]
+	faults fault.Active[Faults]
 	counts fault.Counts
 
 	mu        sync.Mutex // guards the fields below
-	boots     int
+	bootCount int
 	loadCount int64
 	fence     int64
-	loaded    map[string]model
+	loaded    map[string]loadedModel
 	inFlight  int
 	served    int
 	failed    bool
-	history   []Answered
+	history   []HistoryEntry
 	orders    []*Order
-	ticks     int
+	eventSeq  int
 }
 
 // New returns an engine without weights.
@@ -102,18 +105,18 @@
 	if o.ColdRequests <= 0 {
 		o.ColdRequests = o.MaxRequests
 	}
-	return &Server{o: o, started: time.Now(), boots: 1, loaded: map[string]model{}}
+	return &Server{opts: o, startedAt: time.Now(), bootCount: 1, loaded: map[string]loadedModel{}}
 }
 
-// Handler returns the routes of the stand-in.
+// Handler returns the HTTP routes of the stand-in.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/status", s.counted("status", s.status))
-	mux.HandleFunc("POST /v1/load", s.counted("load", s.load))
-	mux.HandleFunc("POST /v1/unload", s.counted("unload", s.unload))
-	mux.HandleFunc("POST /v1/generate", s.counted("generate", s.generate))
+	mux.HandleFunc("GET /v1/status", s.instrument("status", s.status))
+	mux.HandleFunc("POST /v1/load", s.instrument("load", s.load))
+	mux.HandleFunc("POST /v1/unload", s.instrument("unload", s.unload))
+	mux.HandleFunc("POST /v1/generate", s.instrument("generate", s.generate))
 	mux.HandleFunc("POST /restart", s.restart)
-	mux.HandleFunc("POST /cold", s.cold)
+	mux.HandleFunc("POST /cold", s.dropCaches)
 	mux.Handle("POST /faults", &s.faults)
 	mux.Handle("GET /counts", &s.counts)
 	mux.HandleFunc("GET /history", s.getHistory)
@@ -121,7 +124,7 @@
 	return mux
 }
 
-func (s *Server) counted(kind string, h http.HandlerFunc) http.HandlerFunc {
+func (s *Server) instrument(kind string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.counts.Add(kind)
 		s.mu.Lock()
@@ -148,32 +151,35 @@
 	for v := range s.loaded {
 		st.Loaded = append(st.Loaded, v)
 	}
-	if s.o.CheckIdentity {
-		w.Header().Set("ETag", s.tag())
+	if s.opts.CheckIdentity {
+		w.Header().Set("ETag", s.entityTag())
 	}
 	s.mu.Unlock()
 	fault.WriteJSON(w, st)
 }
 
-// bootID is called under the lock.
-func (s *Server) bootID() string { return fmt.Sprintf("%x-%d", s.started.UnixNano(), s.boots) }
+// bootID returns the boot id of the current start of the engine. The caller
+// holds the lock.
+func (s *Server) bootID() string { return fmt.Sprintf("%x-%d", s.startedAt.UnixNano(), s.bootCount) }
 
-// tag is the entity tag of the identity. It is called under the lock.
-func (s *Server) tag() string {
+// entityTag returns the identity, boot id and load count, as an entity tag. The
+// caller holds the lock.
+func (s *Server) entityTag() string {
 	return fmt.Sprintf(`"%s/%d"`, s.bootID(), s.loadCount)
 }
 
-// restart is a new process of the engine: no weights, no failure.
+// restart simulates a restart of the engine, which loses its weights and clears
+// its failure.
 func (s *Server) restart(http.ResponseWriter, *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.boots++
+	s.bootCount++
 	s.loadCount, s.served, s.failed, s.fence = 0, 0, false, 0
-	s.loaded = map[string]model{}
+	s.loaded = map[string]loadedModel{}
 }
 
-// cold drops the caches and keeps the weights.
-func (s *Server) cold(http.ResponseWriter, *http.Request) {
+// dropCaches makes the engine cold without unloading its weights.
+func (s *Server) dropCaches(http.ResponseWriter, *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loadCount++
@@ -182,7 +188,7 @@
 
 func (s *Server) getHistory(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	h := append([]Answered{}, s.history...)
+	h := append([]HistoryEntry{}, s.history...)
 	s.mu.Unlock()
 	fault.WriteJSON(w, h)
 }
--- a/internal/standin/origin/origin.go
+++ b/internal/standin/origin/origin.go
@@ -1,5 +1,5 @@
-// Package origin is a stand-in for the origin of weights. It makes versions
-// from seeds, paces its link in total, and counts what it gives.
+// Package origin is a stand-in for the origin of weights. It generates versions
+// from seeds, limits its total send rate, and counts the bytes it sends.
 package origin
 
 import (
@@ -17,11 +17,12 @@
 
 const (
 	requesterHeader = "X-Masticwing-VM"
-	// pieceBytes is the unit of pacing.
-	pieceBytes = 16 << 10
+	// writeBytes is the most that is written between two waits for the link's
+	// rate.
+	writeBytes = 16 << 10
 )
 
-// Version describes one version to make.
+// Version describes a version of a model, whose weights are generated from Seed.
 type Version struct {
 	Model      fleet.Model
 	Bytes      int
@@ -29,8 +30,8 @@
 	Seed       uint64
 }
 
-// Make returns the weights of a version.
-func (v Version) Make() []byte {
+// GenerateWeights returns the weights of the version: Bytes pseudorandom bytes.
+func (v Version) GenerateWeights() []byte {
 	out := make([]byte, v.Bytes)
 	src := rand.New(rand.NewPCG(v.Seed, uint64(v.Bytes)))
 	for i := 0; i < len(out); i += 8 {
@@ -42,95 +43,98 @@
 	return out
 }
 
-// Manifest returns the manifest of a version.
-func (v Version) Manifest() manifest.Manifest { return manifest.Split(v.Model, v.Make(), v.ChunkBytes) }
+// Manifest generates the weights and returns their manifest.
+func (v Version) Manifest() manifest.Manifest {
+	return manifest.Split(v.Model, v.GenerateWeights(), v.ChunkBytes)
+}
 
-// Faults are the failures that POST /faults switches on.
+// Faults are the failures that a test can set with POST /faults.
 type Faults struct {
-	// Down answers every call with 503.
+	// Down makes every call fail with status 503.
 	Down bool `json:"down"`
-	// Hang leaves every call without an answer until its caller gives up.
+	// Hang sends no response to any call until the caller closes the connection.
 	Hang bool `json:"hang"`
-	// DelayMillis delays every answer.
+	// DelayMillis delays every response.
 	DelayMillis int `json:"delay_ms"`
-	// Corrupt is the share of chunks that carry a wrong byte.
+	// Corrupt is the probability that a chunk is sent with a wrong byte.
 	Corrupt float64 `json:"corrupt"`
-	// Rate replaces the rate of the link if it is positive.
+	// Rate, if positive, replaces the rate of the link, in bytes per second.
 	Rate int64 `json:"rate"`
 }
 
-// Counts is the answer to GET /counts. Calls and bytes are keyed by "manifest"
-// and "chunk".
+// Counts is the response to GET /counts. Calls and Bytes are keyed by the kind
+// of call, "manifest" or "chunk"; ByRequester has the bytes per VM and kind.
 type Counts struct {
-	Calls     map[string]int64            `json:"calls"`
-	Bytes     map[string]int64            `json:"bytes"`
-	Requester map[string]map[string]int64 `json:"bytes_by_requester"`
+	Calls       map[string]int64            `json:"calls"`
+	Bytes       map[string]int64            `json:"bytes"`
+	ByRequester map[string]map[string]int64 `json:"bytes_by_requester"`
 }
 
-type held struct {
-	man     manifest.Manifest
-	weights []byte
-	chunk   int
+type storedVersion struct {
+	man        manifest.Manifest
+	weights    []byte
+	chunkBytes int
 }
 
 // Server is the stand-in's HTTP handler.
 type Server struct {
 	link   link
-	faults fault.Switch[Faults]
+	faults fault.Active[Faults]
 
 	mu       sync.Mutex // guards the fields below
-	versions map[fleet.Version]held
+	versions map[fleet.Version]storedVersion
 	counts   Counts
 }
 
-// New makes the versions. rate limits the link in bytes per second; 0 means no
-// limit.
+// New returns a server that offers the versions. rate limits the link in bytes
+// per second; 0 means no limit.
 func New(rate int64, versions ...Version) *Server {
-	s := &Server{versions: map[fleet.Version]held{}, link: link{rate: rate}}
-	s.counts = Counts{Calls: map[string]int64{}, Bytes: map[string]int64{}, Requester: map[string]map[string]int64{}}
+	s := &Server{versions: map[fleet.Version]storedVersion{}, link: link{rate: rate}}
+	s.counts = Counts{Calls: map[string]int64{}, Bytes: map[string]int64{}, ByRequester: map[string]map[string]int64{}}
 	for _, v := range versions {
-		s.Add(v)
+		s.AddVersion(v)
 	}
 	return s
 }
 
-// Add makes the server offer a version, which it may offer already.
-func (s *Server) Add(v Version) fleet.Version {
-	w := v.Make()
+// AddVersion makes the server offer a version and returns its digest. Adding a
+// version again has no effect.
+func (s *Server) AddVersion(v Version) fleet.Version {
+	w := v.GenerateWeights()
 	m := manifest.Split(v.Model, w, v.ChunkBytes)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.versions[m.Version()] = held{m, w, v.ChunkBytes}
+	s.versions[m.Version()] = storedVersion{m, w, v.ChunkBytes}
 	return m.Version()
 }
 
-func (s *Server) version(v string) (held, bool) {
+func (s *Server) version(v string) (storedVersion, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h, ok := s.versions[fleet.Version(v)]
 	return h, ok
 }
 
-// Handler returns the routes of the stand-in.
+// Handler returns the HTTP routes of the stand-in.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/versions/{version}/manifest", s.counted("manifest", s.manifest))
-	mux.HandleFunc("GET /v1/versions/{version}/chunks/{n}", s.counted("chunk", s.chunk))
-	mux.HandleFunc("GET /versions", s.list)
-	mux.HandleFunc("POST /versions", s.add)
+	mux.HandleFunc("GET /v1/versions/{version}/manifest", s.instrument("manifest", s.manifest))
+	mux.HandleFunc("GET /v1/versions/{version}/chunks/{n}", s.instrument("chunk", s.chunk))
+	mux.HandleFunc("GET /versions", s.listVersions)
+	mux.HandleFunc("POST /versions", s.postVersion)
 	mux.HandleFunc("GET /counts", s.getCounts)
 	mux.Handle("POST /faults", &s.faults)
 	return mux
 }
 
-// counted counts the calls of a kind and lets them meet the faults.
-func (s *Server) counted(kind string, h http.HandlerFunc) http.HandlerFunc {
+// instrument wraps a handler: it counts the calls by kind and applies the faults.
+func (s *Server) instrument(kind string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		s.counts.Calls[kind]++
 		s.mu.Unlock()
 		f := s.faults.Get()
-		if (fault.Call{Down: f.Down, Hang: f.Hang, DelayMillis: f.DelayMillis}).Pass(w, r) {
+		if (fault.CallFaults{Down: f.Down, Hang: f.Hang, DelayMillis: f.DelayMillis}).Apply(w, r) {
 			h(w, r)
 		}
 	}
@@ -168,7 +172,7 @@
 		http.Error(w, "no such chunk", http.StatusNotFound)
 		return
 	}
-	data := v.weights[n*v.chunk : min(len(v.weights), (n+1)*v.chunk)]
+	data := v.weights[n*v.chunkBytes : min(len(v.weights), (n+1)*v.chunkBytes)]
 	if p := s.faults.Get().Corrupt; p > 0 && rand.Float64() < p {
 		data = append([]byte(nil), data...)
 		data[len(data)/2] ^= 1
@@ -176,11 +180,11 @@
 	s.write(w, r, "chunk", data)
 }
 
-// write sends b at the pace of the link and counts what was sent.
+// write sends b at the rate of the link and counts the bytes sent.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, kind string, b []byte) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	for len(b) > 0 {
-		n := min(len(b), pieceBytes)
+		n := min(len(b), writeBytes)
 		if !s.link.wait(r.Context(), n, s.faults.Get().Rate) {
 			return
 		}
@@ -199,22 +203,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Bytes[kind] += int64(n)
-	by := s.counts.Requester[requester]
-	if by == nil {
-		by = map[string]int64{}
-		s.counts.Requester[requester] = by
+	byKind := s.counts.ByRequester[requester]
+	if byKind == nil {
+		byKind = map[string]int64{}
+		s.counts.ByRequester[requester] = byKind
 	}
-	by[kind] += int64(n)
+	byKind[kind] += int64(n)
 }
 
-// TotalBytes returns the bytes sent so far.
+// TotalBytes returns the number of bytes sent so far, manifests and chunks.
 func (s *Server) TotalBytes() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts.Bytes["manifest"] + s.counts.Bytes["chunk"]
 }
 
-// SetFaults replaces the failures that are switched on.
+// SetFaults replaces the current faults.
 func (s *Server) SetFaults(f Faults) { s.faults.Set(f) }
 
 func (s *Server) getCounts(w http.ResponseWriter, _ *http.Request) {
@@ -223,9 +227,9 @@
 	fault.WriteJSON(w, s.counts)
 }
 
-// add offers the version that the body {"model","size","chunk","seed"}
-// describes and answers {"version"}.
-func (s *Server) add(w http.ResponseWriter, r *http.Request) {
+// postVersion adds the version that the request body
+// {"model","size","chunk","seed"} describes and responds with {"version"}.
+func (s *Server) postVersion(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		Model, Size, Chunk string
 		Seed               uint64
@@ -237,11 +241,11 @@
 		http.Error(w, "model, size, chunk and seed are needed", http.StatusBadRequest)
 		return
 	}
-	v := s.Add(Version{Model: fleet.Model(in.Model), Bytes: int(size), ChunkBytes: int(chunk), Seed: in.Seed})
+	v := s.AddVersion(Version{Model: fleet.Model(in.Model), Bytes: int(size), ChunkBytes: int(chunk), Seed: in.Seed})
 	fault.WriteJSON(w, map[string]fleet.Version{"version": v})
 }
 
-func (s *Server) list(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) listVersions(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]string{}
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -1,5 +1,5 @@
 // Package platform is a stand-in for the platform's key-value service and its
-// list of VMs. It is used by tests, benches and the demo only.
+// list of VMs. Only tests, benchmarks and the demo use it.
 package platform
 
 import (
@@ -19,38 +19,38 @@
 	expires time.Time
 }
 
-// store is the state of the service under one lock. change is closed and
-// replaced at each write, which wakes all watches.
+// store is the state of the key-value service, guarded by one lock. changed is
+// closed and replaced at each write, which wakes all watches.
 type store struct {
-	mu     sync.Mutex
-	now    func() time.Time
-	rev    int64
-	nextID int64
-	keys   map[string]entry
-	leases map[string]lease
-	change chan struct{}
+	mu      sync.Mutex
+	now     func() time.Time
+	rev     int64
+	nextID  int64
+	keys    map[string]entry
+	leases  map[string]lease
+	changed chan struct{}
 }
 
 func newStore() *store {
 	return &store{
-		now:    time.Now,
-		keys:   map[string]entry{},
-		leases: map[string]lease{},
-		change: make(chan struct{}),
+		now:     time.Now,
+		keys:    map[string]entry{},
+		leases:  map[string]lease{},
+		changed: make(chan struct{}),
 	}
 }
 
-// expireLocked removes lapsed leases and their keys.
+// expireLocked removes expired leases and their keys.
 func (s *store) expireLocked() {
 	now := s.now()
 	for id, l := range s.leases {
 		if now.After(l.expires) {
-			s.dropLeaseLocked(id)
+			s.deleteLeaseLocked(id)
 		}
 	}
 }
 
-func (s *store) dropLeaseLocked(id string) {
+func (s *store) deleteLeaseLocked(id string) {
 	delete(s.leases, id)
 	for k, e := range s.keys {
 		if e.lease == id {
@@ -64,24 +64,24 @@
 	defer s.mu.Unlock()
 	s.expireLocked()
 	e, ok := s.keys[key]
-	return e, ok, s.change
+	return e, ok, s.changed
 }
 
-// swap writes value if the key's revision is rev and the lease, if given, is
-// live. It returns the new revision.
-func (s *store) swap(key string, rev int64, value []byte, leaseID string) (int64, bool) {
+// compareAndSwap writes value if the key's revision is rev and the lease, if one
+// is given, has not expired. It returns the new revision.
+func (s *store) compareAndSwap(key string, rev int64, value []byte, leaseID string) (int64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLocked()
 	if s.keys[key].rev != rev {
 		return s.keys[key].rev, false
 	}
-	if _, live := s.leases[leaseID]; leaseID != "" && !live {
+	if _, valid := s.leases[leaseID]; leaseID != "" && !valid {
 		return rev, false
 	}
 	s.rev++
 	s.keys[key] = entry{value, s.rev, leaseID}
-	s.wakeLocked()
+	s.notifyLocked()
 	return s.rev, true
 }
 
@@ -93,13 +93,13 @@
 		return false
 	}
 	delete(s.keys, key)
-	s.wakeLocked()
+	s.notifyLocked()
 	return true
 }
 
-func (s *store) wakeLocked() {
-	close(s.change)
-	s.change = make(chan struct{})
+func (s *store) notifyLocked() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 func (s *store) grant(ttl time.Duration) string {
@@ -126,5 +126,5 @@
 func (s *store) revoke(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropLeaseLocked(id)
+	s.deleteLeaseLocked(id)
 }
