--- a/internal/adapter/kvhttp/kvhttp.go
+++ b/internal/adapter/kvhttp/kvhttp.go
@@ -69,14 +69,14 @@
 	client *Client
 }
 
-func (c countingConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
+func (c countingConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
 	c.client.bytesIn.Add(int64(n))
 	return n, err
 }
 
-func (c countingConn) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
+func (c countingConn) Write(p []byte) (int, error) {
+	n, err := c.Conn.Write(p)
 	c.client.bytesOut.Add(int64(n))
 	return n, err
 }
--- a/internal/adapter/ledgerdoc/ledgerdoc_test.go
+++ b/internal/adapter/ledgerdoc/ledgerdoc_test.go
@@ -13,17 +13,17 @@
 // TestFullDocument guards against records that are lost in the encoding, and
 // against a full document that exceeds the platform's limit of 1 MiB per value.
 func TestFullDocument(t *testing.T) {
-	rec := ledger.Records{}
+	records := ledger.Records{}
 	for i := range ledger.MaxRecords {
 		var k ledger.KeyHash
 		binary.BigEndian.PutUint64(k[:], uint64(i))
-		rec[k] = ledger.Record{Attempt: ledger.NewAttempt(uint64(i), 1), State: ledger.State(1 + i%3)}
+		records[k] = ledger.Record{Attempt: ledger.NewAttempt(uint64(i), 1), State: ledger.State(1 + i%3)}
 	}
-	b, err := Encode(rec)
+	b, err := Encode(records)
 	if err != nil || len(b) > 1<<20 {
 		t.Fatalf("%d bytes, %v", len(b), err)
 	}
-	if got, err := Decode(b); err != nil || !maps.Equal(got, rec) {
+	if got, err := Decode(b); err != nil || !maps.Equal(got, records) {
 		t.Fatalf("decoded %d records, %v", len(got), err)
 	}
 }
@@ -36,11 +36,11 @@
 	f.Add(append(append([]byte{}, good...), good...))
 	f.Add(good[:len(good)-1])
 	f.Fuzz(func(t *testing.T, b []byte) {
-		rec, err := Decode(b)
+		records, err := Decode(b)
 		if err != nil && !errors.Is(err, ErrMalformed) {
 			t.Fatal(err)
 		}
-		for _, r := range rec {
+		for _, r := range records {
 			if r.State < ledger.Started || r.State > ledger.Aborted {
 				t.Fatalf("state %d accepted", r.State)
 			}
--- a/internal/adapter/logfile/logfile_test.go
+++ b/internal/adapter/logfile/logfile_test.go
@@ -15,11 +15,11 @@
 {"time":"2026-01-02T08:56:59.000Z","id":"vm-2","message":"started"}
 {"time":"yesterday","id":"vm-3","message":"started"}
 `
-	ls, err := Read(strings.NewReader(text))
-	if err != nil || len(ls) != 2 {
-		t.Fatalf("%d lines, %v", len(ls), err)
+	lines, err := Read(strings.NewReader(text))
+	if err != nil || len(lines) != 2 {
+		t.Fatalf("%d lines, %v", len(lines), err)
 	}
-	l := ls[0]
+	l := lines[0]
 	if l.Process != "vm-1" || l.Role != "masticwing-loader" || l.Message != "regained the engine" || l.Time.UnixMilli() != 1767344218016 {
 		t.Errorf("line %+v", l)
 	}
--- a/internal/adapter/settings/settings.go
+++ b/internal/adapter/settings/settings.go
@@ -101,7 +101,7 @@
 	for _, sec := range f.Sections() {
 		keys, ok := sections[sec.Name()]
 		if !ok && (sec.Name() != ini.DefaultSection || len(sec.Keys()) > 0) {
-			out = append(out, Fault{path, sec.Name(), "", "", "known sections only"})
+			out = append(out, Fault{path, sec.Name(), "", "", "a known section"})
 			continue
 		}
 		for _, k := range sec.KeyStrings() {
