--- a/internal/app/gateway/attempt.go
+++ b/internal/app/gateway/attempt.go
@@ -48,7 +48,7 @@
 // bufferedResponse is a target's complete response.
 type bufferedResponse struct {
 	choice placement.Choice
-	ans    *port.ForwardResponse
+	resp   *port.ForwardResponse
 	body   []byte
 }
 
@@ -118,7 +118,7 @@
 		err = verdict.Wrap(err, err.Verdict, verdict.CodeDeadline, "deadline passed")
 	}
 	if f := c.fallback; f != nil && !c.relay.headSent {
-		_ = c.deliver(f.choice, f.ans, f.body)
+		_ = c.deliver(f.choice, f.resp, f.body)
 		return
 	}
 	if c.relay.headSent {
@@ -142,19 +142,19 @@
 	}
 	sendCtx, watch := c.startStallWatch(ctx)
 	defer watch.stop()
-	ans, err := c.g.deps.Targets.Forward(sendCtx, choice.Address, f)
+	resp, err := c.g.deps.Targets.Forward(sendCtx, choice.Address, f)
 	if err != nil {
 		return c.recordSendFailure(ctx, choice, verdict.FromError(err))
 	}
-	defer func() { _ = ans.Body.Close() }()
+	defer func() { _ = resp.Body.Close() }()
 	c.runs++
-	if ans.Load != nil {
-		c.recordLoad(choice, ans.Load)
+	if resp.Load != nil {
+		c.recordLoad(choice, resp.Load)
 	}
-	if c.route.Kind == routes.Streaming && ans.Status/100 == 2 {
-		return c.relayStream(ctx, choice, ans, watch)
+	if c.route.Kind == routes.Streaming && resp.Status/100 == 2 {
+		return c.relayStream(ctx, choice, resp, watch)
 	}
-	return c.relayBuffered(ctx, choice, ans)
+	return c.relayBuffered(ctx, choice, resp)
 }
 
 // resumeAfter returns the id of the last event that the caller has received, or an empty
@@ -201,37 +201,37 @@
 
 // relayBuffered reads the complete response before it delivers any of it, so that the
 // request can be retried if the response breaks off.
-func (c *call) relayBuffered(ctx context.Context, choice placement.Choice, ans *port.ForwardResponse) *verdict.Error {
-	body, err := io.ReadAll(io.LimitReader(ans.Body, maxBufferedBytes+1))
+func (c *call) relayBuffered(ctx context.Context, choice placement.Choice, resp *port.ForwardResponse) *verdict.Error {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes+1))
 	if err == nil && len(body) > maxBufferedBytes {
 		err = errors.Errorf("response is longer than %d bytes", maxBufferedBytes)
 	}
 	if err != nil {
 		return c.recordBrokenResponse(ctx, choice, err)
 	}
-	if ans.Status/100 == 5 && c.route.Kind == routes.Safe {
+	if resp.Status/100 == 5 && c.route.Kind == routes.Safe {
 		// Keep the target's error; it is delivered if no other target succeeds.
-		c.fallback = &bufferedResponse{choice, ans, body}
-		return verdict.New(verdict.Ran, verdict.CodeTargetError, "target answered with status %d", ans.Status)
+		c.fallback = &bufferedResponse{choice, resp, body}
+		return verdict.New(verdict.Ran, verdict.CodeTargetError, "target answered with status %d", resp.Status)
 	}
-	return c.deliver(choice, ans, body)
+	return c.deliver(choice, resp, body)
 }
 
 // deliver sends a complete response to the caller and logs the request. It always returns
 // nil.
-func (c *call) deliver(choice placement.Choice, ans *port.ForwardResponse, body []byte) *verdict.Error {
+func (c *call) deliver(choice placement.Choice, resp *port.ForwardResponse, body []byte) *verdict.Error {
 	c.g.targets.RecordSuccess(choice.Instance)
-	c.relay.headSent, c.relay.status = true, ans.Status
-	h := port.ResponseHead{Status: ans.Status, Header: ans.Header, Length: int64(len(body))}
+	c.relay.headSent, c.relay.status = true, resp.Status
+	h := port.ResponseHead{Status: resp.Status, Header: resp.Header, Length: int64(len(body))}
 	err := c.out.Head(h)
 	if err == nil && len(body) > 0 {
 		err = c.out.Data(body)
 	}
 	if err != nil {
-		c.logRequest("caller left", verdict.Wrap(err, verdict.Ran, verdict.CodeCanceled, "answer could not be delivered"), ans.Status)
+		c.logRequest("caller left", verdict.Wrap(err, verdict.Ran, verdict.CodeCanceled, "answer could not be delivered"), resp.Status)
 		return nil
 	}
-	c.logRequest("served", nil, ans.Status)
+	c.logRequest("served", nil, resp.Status)
 	return nil
 }
 
@@ -253,15 +253,15 @@
 
 // relayStream sends the events of a stream to the caller as they arrive. It sends only
 // complete events, so that the stream can resume at another target.
-func (c *call) relayStream(ctx context.Context, choice placement.Choice, ans *port.ForwardResponse, watch *stallWatch) *verdict.Error {
+func (c *call) relayStream(ctx context.Context, choice placement.Choice, resp *port.ForwardResponse, watch *stallWatch) *verdict.Error {
 	c.relay.events.DiscardPartial()
 	first, eventsBefore := true, c.relay.events.EventCount()
 	buf := make([]byte, streamReadBytes)
 	for {
-		n, err := ans.Body.Read(buf)
+		n, err := resp.Body.Read(buf)
 		if n > 0 {
 			watch.reset()
-			if e := c.relayEvents(ans, buf[:n]); e != nil {
+			if e := c.relayEvents(resp, buf[:n]); e != nil {
 				return e
 			}
 			if first && c.relay.events.EventCount() > eventsBefore {
@@ -271,7 +271,7 @@
 			}
 		}
 		if errors.Is(err, io.EOF) && c.relay.events.PartialBytes() == 0 {
-			return c.finishStream(choice, ans)
+			return c.finishStream(choice, resp)
 		}
 		if err != nil {
 			return c.recordBrokenResponse(ctx, choice, err)
@@ -280,7 +280,7 @@
 }
 
 // relayEvents sends the events that b completes.
-func (c *call) relayEvents(ans *port.ForwardResponse, b []byte) *verdict.Error {
+func (c *call) relayEvents(resp *port.ForwardResponse, b []byte) *verdict.Error {
 	complete, ok := c.relay.events.Push(b)
 	if !ok {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeBrokenAnswer, "event is longer than %d bytes", eventstream.MaxEventBytes)
@@ -289,7 +289,7 @@
 		return nil
 	}
 	c.relay.recordEvents(c.g.deps.Clock.Now(), c.in.ReceivedAt)
-	err := c.sendStreamHead(ans)
+	err := c.sendStreamHead(resp)
 	if err == nil {
 		err = c.out.Data(complete)
 	}
@@ -301,20 +301,20 @@
 
 // sendStreamHead sends the head of a stream unless it was already sent. A stream that
 // resumes at another target keeps the first target's head.
-func (c *call) sendStreamHead(ans *port.ForwardResponse) error {
+func (c *call) sendStreamHead(resp *port.ForwardResponse) error {
 	if c.relay.headSent {
 		return nil
 	}
-	c.relay.headSent, c.relay.status = true, ans.Status
+	c.relay.headSent, c.relay.status = true, resp.Status
 	c.g.deps.Metrics.Seconds("gateway_first_event_seconds", c.relay.firstEventAfter)
-	return c.out.Head(port.ResponseHead{Status: ans.Status, Header: ans.Header, Length: -1, Stream: true})
+	return c.out.Head(port.ResponseHead{Status: resp.Status, Header: resp.Header, Length: -1, Stream: true})
 }
 
-func (c *call) finishStream(choice placement.Choice, ans *port.ForwardResponse) *verdict.Error {
-	if err := c.sendStreamHead(ans); err != nil {
+func (c *call) finishStream(choice placement.Choice, resp *port.ForwardResponse) *verdict.Error {
+	if err := c.sendStreamHead(resp); err != nil {
 		return verdict.Wrap(err, verdict.Ran, verdict.CodeCanceled, "caller left")
 	}
 	c.g.targets.RecordSuccess(choice.Instance)
-	c.logRequest("served", nil, ans.Status)
+	c.logRequest("served", nil, resp.Status)
 	return nil
 }
--- a/internal/app/gateway/feed_test.go
+++ b/internal/app/gateway/feed_test.go
@@ -60,7 +60,7 @@
 	if d := gw.untilNextConfirm(); d != confirmInterval-time.Second {
 		t.Errorf("next check in %v, want %v", d, confirmInterval-time.Second)
 	}
-	_, _ = gw.hub.Feed(context.Background(), port.FeedRequest{Prefix: "op/"})
+	_, _ = gw.feedServer.Feed(context.Background(), port.FeedRequest{Prefix: "op/"})
 	if d := gw.untilNextConfirm(); d != readerConfirmInterval-time.Second {
 		t.Errorf("next check of a gateway with followers in %v, want %v", d, readerConfirmInterval-time.Second)
 	}
@@ -70,7 +70,7 @@
 // contains, and against missing the removal of a cordon, which no conflict contains.
 func TestConflictUpdatesView(t *testing.T) {
 	gw := newTestGateway(t, route)
-	gw.facts["op/config"] = port.ConfigItem{Config: routes.Config{Version: 2, Routes: []routes.Route{route}}}
+	gw.decodedItems["op/config"] = port.ConfigItem{Config: routes.Config{Version: 2, Routes: []routes.Route{route}}}
 	expect := []port.Precondition{{Key: "op/config", Revision: 1}}
 	item := port.StoreItem{Key: "op/config", Revision: 7}
 	gw.handleConflict(expect, &port.ConflictError{Current: []port.StoreItem{item}})
@@ -126,7 +126,7 @@
 		if c.confirmedAgo > 0 {
 			gw.confirmedAt.Store(int64(gw.clock.SinceBoot() - c.confirmedAgo))
 		}
-		gw.facts["op/weights"] = port.WeightsItem{Model: "m", Number: 2}
+		gw.decodedItems["op/weights"] = port.WeightsItem{Model: "m", Number: 2}
 		gw.applyOperatorKeys(follow.Event{Reset: true, Changes: []port.StoreChange{{StoreItem: port.StoreItem{Key: "op/weights", Revision: 9}}}})
 		now := gw.clock.Now()
 		d := gw.view.declarations.Load()
--- a/internal/app/gateway/follow.go
+++ b/internal/app/gateway/follow.go
@@ -36,8 +36,8 @@
 	// keys before it replies. Each reply also confirms this gateway's view of them.
 	feedWaitOperator = 400 * time.Millisecond
 	// feedWaitTargets is the same for targets. It bounds the time until an unresponsive
-	// reader is detected. A leaving target must get no new requests after 2 s, within
-	// which a gateway that lost its reader also has to ask the other readers and the
+	// reader is detected. A leaving target must get no new requests after 2 s. Within
+	// that time, a gateway that lost its reader also asks the other readers and the
 	// store.
 	feedWaitTargets = 400 * time.Millisecond
 	// storeWaitTargets bounds the wait for changes of targets at the store. An
@@ -66,11 +66,12 @@
 	return follow.New(g.source, prefix, watchTimeout, delay, g.deps.Clock, g.deps.Log)
 }
 
-// publishThenApply registers the follower's prefix in the hub and returns a function that
+// publishThenApply registers the follower's prefix at the feed server and returns a function that
 // publishes an event there and then calls apply. Publishing comes first because other
-// processes adopt the confirmations of this one: they must not get an event later.
+// processes adopt the confirmations of this one, and they must not adopt a confirmation
+// before they can read the changes that it covers.
 func (g *Gateway) publishThenApply(f *follow.Follower, apply func(follow.Event)) func(follow.Event) {
-	publish, markSeen := g.hub.AddPrefix(f.Prefix, func() bool { return !g.closing.Load() && g.source.FromStore(f.Prefix) })
+	publish, markSeen := g.feedServer.AddPrefix(f.Prefix, func() bool { return !g.closing.Load() && g.source.FromStore(f.Prefix) })
 	f.OnRevision = func(at int64) {
 		markSeen(at)
 		if f == g.operatorFollower {
@@ -93,7 +94,7 @@
 				return errors.Wrap(err, "listening on the internal address")
 			}
 			defer func() { _ = lis.Close() }()
-			srv, err := rpc.NewServer(rpc.Handlers{Feed: g.hub})
+			srv, err := rpc.NewServer(rpc.Handlers{Feed: g.feedServer})
 			if err != nil {
 				return err
 			}
@@ -136,7 +137,7 @@
 // negative.
 func (g *Gateway) untilNextConfirm() time.Duration {
 	interval := confirmInterval
-	if g.hub.HasFollowers() {
+	if g.feedServer.HasFollowers() {
 		interval = readerConfirmInterval
 	}
 	return interval - g.viewAge()
@@ -145,8 +146,8 @@
 // adoptReaderConfirmation adopts the confirmation of the gateway that this one follows,
 // if it is newer than its own.
 func (g *Gateway) adoptReaderConfirmation() {
-	at, fed := g.source.FromReader(g.operatorFollower.Prefix)
-	if old := g.confirmedAt.Load(); fed && int64(at) > old {
+	at, fromReader := g.source.FromReader(g.operatorFollower.Prefix)
+	if old := g.confirmedAt.Load(); fromReader && int64(at) > old {
 		g.confirmedAt.CompareAndSwap(old, int64(at))
 	}
 }
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -49,7 +49,7 @@
 	refusing         atomic.Bool
 	active           *inflight.Counter
 	source           *feed.Source
-	hub              *feed.Server
+	feedServer       *feed.Server
 	operatorFollower *follow.Follower
 	// applyOperatorKeys publishes changes of the operator keys, which are the store's keys
 	// that operators write, to other processes and applies them to the view.
@@ -76,7 +76,7 @@
 		ps.Targets:  {Wait: feedWaitTargets, MaxStoreWait: storeWaitTargets},
 		ps.Members:  {Wait: feedWaitMembers, MaxStoreWait: storeWaitMembers},
 	})
-	g.hub = feed.NewServer(d.Clock, g.viewAge)
+	g.feedServer = feed.NewServer(d.Clock, g.viewAge)
 	g.operatorFollower = g.newFollower(ps.Operator, operatorBatchDelay)
 	g.applyOperatorKeys = g.publishThenApply(g.operatorFollower, func(e follow.Event) {
 		at := d.Clock.SinceBoot()
@@ -104,8 +104,8 @@
 	wg.Go(func() { g.confirmLoop(ctx) })
 	wg.Go(func() { g.receiveLoadReports(ctx) })
 	wg.Go(func() { g.gaugeLoop(ctx) })
-	e := registration.Registrar{Store: g.deps.Store, Prefix: ps.Members, Self: g.settings.storedMember(), Clock: g.deps.Clock, Log: g.deps.Log}
-	wg.Go(func() { e.Run(ctx) })
+	registrar := registration.Registrar{Store: g.deps.Store, Prefix: ps.Members, Self: g.settings.storedMember(), Clock: g.deps.Clock, Log: g.deps.Log}
+	wg.Go(func() { registrar.Run(ctx) })
 }
 
 // Ready reports whether the gateway accepts connections, or why not. It implements
--- a/internal/app/gateway/gauges.go
+++ b/internal/app/gateway/gauges.go
@@ -24,7 +24,7 @@
 	m.Gauge("gateway_requests_in_progress", float64(g.active.Count()))
 	m.Gauge("gateway_processes", g.view.processes())
 	following := 0.0
-	if _, fed := g.source.FromReader(g.operatorFollower.Prefix); fed {
+	if _, fromReader := g.source.FromReader(g.operatorFollower.Prefix); fromReader {
 		following = 1
 	}
 	m.Gauge("gateway_follows_reader", following)
--- a/internal/app/gateway/harness_test.go
+++ b/internal/app/gateway/harness_test.go
@@ -20,15 +20,15 @@
 	"github.com/masticwing/masticwing/internal/port"
 )
 
-// facts is a port.ItemDecoder that returns the fact stored under an item's key. A nil
-// fact makes the item unreadable.
-type facts map[string]port.DecodedItem
+// decodedItems is a port.ItemDecoder that returns the decoded item stored under an item's
+// key. A nil value makes the item unreadable.
+type decodedItems map[string]port.DecodedItem
 
-func (f facts) Prefixes() port.Prefixes {
+func (f decodedItems) Prefixes() port.Prefixes {
 	return port.Prefixes{Operator: "op/", Targets: "targets/", Members: "members/"}
 }
-func (f facts) CordonKey(d fleet.Domain) string { return "op/cordon/" + string(d) }
-func (f facts) Decode(it port.StoreItem) (port.DecodedItem, error) {
+func (f decodedItems) CordonKey(d fleet.Domain) string { return "op/cordon/" + string(d) }
+func (f decodedItems) Decode(it port.StoreItem) (port.DecodedItem, error) {
 	if f[it.Key] == nil {
 		return nil, fmt.Errorf("%s can't be read", it.Key)
 	}
@@ -145,10 +145,10 @@
 // domain b. It does not run; tests apply changes of the store directly.
 type testGateway struct {
 	*Gateway
-	forwarder *forwarder
-	clock     *clock
-	facts     facts
-	log       *bytes.Buffer
+	forwarder    *forwarder
+	clock        *clock
+	decodedItems decodedItems
+	log          *bytes.Buffer
 }
 
 var route = routes.Route{
@@ -159,13 +159,13 @@
 // newTestGateway returns a gateway with route r whose targets answer with replies.
 func newTestGateway(t *testing.T, r routes.Route, replies ...scriptedReply) *testGateway {
 	t.Helper()
-	gw := &testGateway{forwarder: &forwarder{replies: replies}, clock: &clock{sinceBoot: time.Hour}, facts: facts{}, log: &bytes.Buffer{}}
+	gw := &testGateway{forwarder: &forwarder{replies: replies}, clock: &clock{sinceBoot: time.Hour}, decodedItems: decodedItems{}, log: &bytes.Buffer{}}
 	s := Settings{
 		Settings: registration.Settings{Domain: "a", Regions: map[fleet.Domain]fleet.Region{"a": "ra", "b": "rb"}}, KeyBound: 5 * time.Second,
 		WeightsBound: 8 * time.Second, RetryRatio: 0.2, RetrySlack: 100, RetryWindow: 10 * time.Second,
 	}
 	gw.Gateway = New(s, Deps{
-		Facts: gw.facts, Targets: gw.forwarder, Clock: gw.clock, Rand: sysclock.Rand{}, Metrics: noMetrics{},
+		Facts: gw.decodedItems, Targets: gw.forwarder, Clock: gw.clock, Rand: sysclock.Rand{}, Metrics: noMetrics{},
 		Log: logging.New(gw.log, "masticwing-gateway", "g"),
 	})
 	gw.operatorFollower = follow.New(nil, "op/", time.Second, func() time.Duration { return time.Millisecond }, gw.clock, gw.deps.Log)
@@ -188,7 +188,7 @@
 
 // applyFact applies a change of a key to the gateway's view.
 func (gw *testGateway) applyFact(key string, revision int64, f port.DecodedItem) {
-	gw.facts[key] = f
+	gw.decodedItems[key] = f
 	e := follow.Event{Changes: []port.StoreChange{{StoreItem: port.StoreItem{Key: key, Revision: revision}}}}
 	if strings.HasPrefix(key, "op/") {
 		gw.view.applyOperatorKeys(e, gw.clock.Now())
--- a/internal/app/gateway/serve.go
+++ b/internal/app/gateway/serve.go
@@ -157,12 +157,14 @@
 
 const (
 	// engineQueueLimit is the number of requests that may wait at a model engine
-	// beyond its slots. An engine completes about nine requests a second, so that
-	// one waits about 0.1 s of an objective of 0.4 s. With a second one, a tenth of
-	// the responses are late; with none, slots stay idle.
+	// beyond its slots. An engine completes about nine requests a second, so a
+	// waiting request is delayed by about 0.1 s; the latency objective is 0.4 s. With
+	// two waiting requests, a tenth of the responses are late; with none, slots stay
+	// idle.
 	engineQueueLimit = 1
 	// serviceQueueLimit is the same for plain services. Their calls take 15 to 30 ms,
-	// so that the last one waits less than the shortest objective, 100 ms.
+	// so the last waiting request is delayed by less than the shortest latency
+	// objective, 100 ms.
 	serviceQueueLimit = 12
 	// weightsMargin is how long before WeightsBound targets with older weights stop
 	// getting requests. A request for a free slot starts within 0.4 s.
--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -20,7 +20,7 @@
 // gateways in the store. The atomic fields are read without a lock.
 type view struct {
 	self    port.StoredMember
-	facts   port.ItemDecoder
+	decoder port.ItemDecoder
 	targets *placement.Table
 	regions map[fleet.Domain]fleet.Region
 	clock   port.Clock
@@ -63,7 +63,7 @@
 
 func newView(s Settings, d Deps, t *placement.Table) *view {
 	v := &view{
-		self: s.storedMember(), facts: d.Facts, targets: t, regions: s.Regions, clock: d.Clock, log: d.Log,
+		self: s.storedMember(), decoder: d.Facts, targets: t, regions: s.Regions, clock: d.Clock, log: d.Log,
 		operatorRevisions: map[string]int64{}, members: registration.Members{}, instanceByKey: map[string]fleet.Instance{},
 	}
 	v.otherGateways.Store(&[]netip.AddrPort{})
@@ -130,7 +130,7 @@
 		} else {
 			continue
 		}
-		fact, err := v.facts.Decode(c.StoreItem)
+		item, err := v.decoder.Decode(c.StoreItem)
 		if err != nil && c.Removed {
 			continue
 		}
@@ -138,13 +138,13 @@
 			v.log.Failure("operator's item can't be read", err, logging.F("key", c.Key), logging.F("revision", c.Revision))
 			continue
 		}
-		v.applyFact(fact, c, next, earliest)
+		v.applyItem(item, c, next, earliest)
 	}
 	v.declarations.Store(next)
 }
 
-func (v *view) applyFact(fact port.DecodedItem, c port.StoreChange, next *declarations, earliest time.Time) {
-	switch f := fact.(type) {
+func (v *view) applyItem(item port.DecodedItem, c port.StoreChange, next *declarations, earliest time.Time) {
+	switch f := item.(type) {
 	case port.ConfigItem:
 		v.applyConfig(f.Config, c)
 	case port.CordonItem:
@@ -237,13 +237,13 @@
 			}
 			continue
 		}
-		fact, err := v.facts.Decode(c.StoreItem)
+		item, err := v.decoder.Decode(c.StoreItem)
 		if err != nil {
 			v.log.Failure("entry of a target can't be read", err, logging.F("key", c.Key), logging.F("revision", c.Revision))
 			v.removeTarget(c.Key)
 			continue
 		}
-		if f, ok := fact.(port.TargetItem); ok {
+		if f, ok := item.(port.TargetItem); ok {
 			keep[f.Target.Instance] = true
 			v.setTarget(c, f.Target, now)
 		}
@@ -284,7 +284,7 @@
 func (v *view) applyMembers(e follow.Event) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.members.Apply(e, v.facts, v.log)
+	v.members.Apply(e, v.decoder, v.log)
 	count, otherGateways := v.members.Gateways(v.self.ID)
 	readers := v.members.Readers(v.self)
 	v.readers.Store(&readers)
