--- a/internal/app/agent/controller.go
+++ b/internal/app/agent/controller.go
@@ -130,7 +130,7 @@
 	if !reachable {
 		a.deps.Log.StateChange("target answers", logging.F("boot", r.engine.BootID))
 	}
-	if a.deps.Engine != nil && a.admissions.ObserveEngine(a.targetKey, observation(r.engine, r.sentAt), a.deps.Clock.Now()) {
+	if a.deps.Engine != nil && a.admissions.ObserveEngine(a.targetKey, newObservation(r.engine, r.sentAt), a.deps.Clock.Now()) {
 		a.deps.Metrics.Count("agent_cold_restarts", 1)
 	}
 	c.loaded = r.engine.Loaded
@@ -181,7 +181,7 @@
 	c.applyRotation(plan)
 	// Requests are counted again after the rotation has changed. From here on no
 	// new request is pinned to a version that has left rotation.
-	plan = a.rollouts.Apply(c.group, c.busyEvents()...)
+	plan = a.rollouts.Apply(c.group, c.pinnedRequestEvents()...)
 	if plan.Next.Kind == rollout.NoAction || c.orderInProgress || c.awaitingProbe || a.deps.Clock.Now().Sub(c.lastOrderFailed) < orderBackoff {
 		return
 	}
@@ -208,7 +208,7 @@
 			complete = append(complete, r.Version)
 		}
 	}
-	return append(append(events, rollout.VersionsComplete(complete)), c.busyEvents()...)
+	return append(append(events, rollout.VersionsComplete(complete)), c.pinnedRequestEvents()...)
 }
 
 // declaredVersions returns the declared versions of the assigned model, sorted.
@@ -248,7 +248,7 @@
 	return rollout.MayLeaveRotation(a.id.VM, v.assignment.Version, peers, waited)
 }
 
-func (c *controller) busyEvents() []rollout.Event {
+func (c *controller) pinnedRequestEvents() []rollout.Event {
 	var events []rollout.Event
 	for _, v := range c.loaded {
 		events = append(events, rollout.RequestsPinned(v, c.a.admissions.PinnedRequests(c.a.targetKey, v)))
--- a/internal/app/agent/identity.go
+++ b/internal/app/agent/identity.go
@@ -33,7 +33,7 @@
 	signal(a.probeNow)
 }
 
-func observation(status port.EngineStatus, askedAt time.Time) admission.Observation {
+func newObservation(status port.EngineStatus, askedAt time.Time) admission.Observation {
 	return admission.Observation{EngineIdentity: status.EngineIdentity, ChecksIdentity: status.ChecksIdentity, AskedAt: askedAt}
 }
 
@@ -122,6 +122,6 @@
 	defer cancel()
 	askedAt := a.deps.Clock.Now()
 	if status, err := a.deps.Engine.Status(ctx); err == nil {
-		a.observeEngine(observation(status, askedAt))
+		a.observeEngine(newObservation(status, askedAt))
 	}
 }
--- a/internal/app/agent/identity_test.go
+++ b/internal/app/agent/identity_test.go
@@ -106,7 +106,7 @@
 	w.engine = e
 	askedAt := w.deps.Clock.Now()
 	status, _ := e.Engine.Status(t.Context())
-	w.admissions.ObserveEngine(w.targetKey, observation(status, askedAt), askedAt)
+	w.admissions.ObserveEngine(w.targetKey, newObservation(status, askedAt), askedAt)
 	w.warm()
 	var wg conc.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/app/agent/orders.go
+++ b/internal/app/agent/orders.go
@@ -137,7 +137,7 @@
 
 // runOrder sends an order and keeps the lease alive until the order ends. It
 // cancels the order when the lease is lost or when the validity of the order has
-// lapsed because this process was paused. It also cancels an order without a
+// expired because this process was paused. It also cancels an order without a
 // lease when another agent has sent the engine an order.
 func (o *orderer) runOrder(ctx context.Context, action rollout.Action, decision rollout.Decision) error {
 	ctx, cancel := context.WithCancelCause(ctx)
--- a/internal/app/agent/serve.go
+++ b/internal/app/agent/serve.go
@@ -168,7 +168,7 @@
 	if err != nil {
 		return false
 	}
-	s.a.observeEngine(observation(status, askedAt))
+	s.a.observeEngine(newObservation(status, askedAt))
 	return s.permit.IsCurrent()
 }
 
--- a/internal/app/agent/service.go
+++ b/internal/app/agent/service.go
@@ -123,9 +123,9 @@
 // The call is canceled at its deadline, but not when the caller disconnects,
 // because it is unknown whether a canceled call ran.
 func (s *servedRequest) runClaimed(ctx context.Context, claim port.LedgerClaim) error {
-	settled := false
+	recorded := false
 	defer func() {
-		if !settled {
+		if !recorded {
 			claim.Unknown()
 		}
 	}()
@@ -137,26 +137,26 @@
 	}
 	ans, err := s.callTarget(callCtx)
 	if err != nil {
-		settled = true
-		return settleFailure(claim, err)
+		recorded = true
+		return recordFailure(claim, err)
 	}
 	defer func() { _ = ans.Close() }()
 	buffered, complete, err := readStorable(ans)
 	if err != nil {
-		settled = true
-		return settleFailure(claim, err)
+		recorded = true
+		return recordFailure(claim, err)
 	}
 	if complete {
 		// The outcome is recorded before the response is sent, so that the record
 		// does not wait for the caller.
-		settled = true
+		recorded = true
 		claim.Done(&port.StoredAnswer{Head: ans.Head(), Body: buffered})
 	}
 	sendErr, err := s.forwardStorable(ctx, ans, buffered, complete)
-	if !settled {
-		settled = true
+	if !recorded {
+		recorded = true
 		if err != nil {
-			return settleFailure(claim, err)
+			return recordFailure(claim, err)
 		}
 		claim.Done(nil)
 	}
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// settleFailure records the outcome of a failed call and returns err.
-func settleFailure(claim port.LedgerClaim, err error) error {
+// recordFailure records the outcome of a failed call and returns err.
+func recordFailure(claim port.LedgerClaim, err error) error {
 	switch verdict.FromError(err).Verdict {
 	case verdict.NotRun:
 		claim.NotRun()
