--- a/internal/app/loader/loader.go
+++ b/internal/app/loader/loader.go
@@ -92,7 +92,7 @@
 	// learns all others from its first read.
 	membersBatchDelay = 5 * time.Second
 	// membersListTimeout bounds the wait at the start for the list of processes, which
-	// tells from which gateways the configuration can be read.
+	// shows from which gateways the configuration can be read.
 	membersListTimeout = time.Second
 	// feedWaitWeights bounds the time until the loader notices that the gateway from
 	// which it reads declarations is silent. Declared weights have to be in use within
@@ -146,8 +146,8 @@
 	wg.Go(func() { l.reportLoad(ctx, sender) })
 	wg.Go(func() { l.fetchDeclared(ctx) })
 	wg.Go(func() { l.converge(ctx) })
-	e := registration.Registrar{Store: l.deps.Store, Prefix: ps.Members, Self: l.settings.storedMember(), Clock: l.deps.Clock, Log: l.deps.Log}
-	wg.Go(func() { e.Run(ctx) })
+	registrar := registration.Registrar{Store: l.deps.Store, Prefix: ps.Members, Self: l.settings.storedMember(), Clock: l.deps.Clock, Log: l.deps.Log}
+	wg.Go(func() { registrar.Run(ctx) })
 	return nil
 }
 
--- a/internal/app/loader/view.go
+++ b/internal/app/loader/view.go
@@ -51,9 +51,9 @@
 	fromListing bool
 }
 
-func newView(s Settings, f port.ItemDecoder, c port.Clock, l *logging.Logger) *view {
+func newView(s Settings, d port.ItemDecoder, c port.Clock, l *logging.Logger) *view {
 	return &view{
-		settings: s, decoder: f, clock: c, log: l,
+		settings: s, decoder: d, clock: c, log: l,
 		members: registration.Members{}, declarationsChanged: make(chan struct{}, 1), membersListed: make(chan struct{}),
 	}
 }
@@ -270,7 +270,8 @@
 	unreachable bool
 }
 
-// resolvedVersion is numbered weights whose manifest is known.
+// resolvedVersion is a numbered version of a model's weights with its digest and its
+// manifest.
 type resolvedVersion struct {
 	port.ModelWeights
 	id  fleet.Version
@@ -333,11 +334,11 @@
 }
 
 // remember keeps a resolved version for later lookups.
-func (o *originAdapter) remember(n resolvedVersion) {
+func (o *originAdapter) remember(v resolvedVersion) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	const maxKept = 4 // more than are fetched at the same time
-	o.resolved = append(o.resolved, n)
+	o.resolved = append(o.resolved, v)
 	o.resolved = o.resolved[max(0, len(o.resolved)-maxKept):]
 }
 
@@ -345,9 +346,9 @@
 func (o *originAdapter) lookup(id fleet.Version) (resolvedVersion, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, n := range o.resolved {
-		if n.id == id {
-			return n, nil
+	for _, v := range o.resolved {
+		if v.id == id {
+			return v, nil
 		}
 	}
 	return resolvedVersion{}, port.ErrVersionUnknown
@@ -359,9 +360,9 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var best resolvedVersion
-	for _, n := range o.resolved {
-		if n.Model == m && n.Number > max(above, best.Number) && complete(n.id) {
-			best = n
+	for _, v := range o.resolved {
+		if v.Model == m && v.Number > max(above, best.Number) && complete(v.id) {
+			best = v
 		}
 	}
 	return best, best.Number > 0
@@ -369,13 +370,13 @@
 
 // Manifest implements port.Origin.
 func (o *originAdapter) Manifest(_ context.Context, id fleet.Version) (manifest.Manifest, error) {
-	n, err := o.lookup(id)
-	return n.man, err
+	v, err := o.lookup(id)
+	return v.man, err
 }
 
 // Chunk implements port.Origin.
 func (o *originAdapter) Chunk(ctx context.Context, id fleet.Version, i int) (io.ReadCloser, error) {
-	n, err := o.lookup(id)
+	v, err := o.lookup(id)
 	if err != nil {
 		return nil, err
 	}
@@ -383,7 +384,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rc, err := c.Chunk(ctx, n.ModelWeights, i)
+	rc, err := c.Chunk(ctx, v.ModelWeights, i)
 	o.logReachability(ctx, err)
 	return rc, err
 }
