--- a/internal/app/feed/source.go
+++ b/internal/app/feed/source.go
@@ -29,7 +29,7 @@
 	// preferReadersTime is the time for which the readers of a prefix with
 	// PreferReaders are asked before the store is read.
 	preferReadersTime = 6 * time.Second
-	// readerRetryPause is the pause between two such attempts.
+	// readerRetryPause is the pause between two rounds of calls to these readers.
 	readerRetryPause = 500 * time.Millisecond
 )
 
@@ -75,8 +75,8 @@
 type prefixState struct {
 	// fromReader is set if the changes came from another process.
 	fromReader bool
-	// confirmed is the time since boot at which the store confirmed what that
-	// process knows.
+	// confirmedAt is the time since boot at which the store last confirmed the view
+	// of that process.
 	confirmedAt time.Duration
 }
 
@@ -180,10 +180,10 @@
 			return reply, false
 		}
 		if err == nil {
-			s.readerAnswered(r.Prefix, m, start-reply.Age)
+			s.recordReply(r.Prefix, m, start-reply.Age)
 			return reply, true
 		}
-		s.readerFailed(r.Prefix, m, err)
+		s.recordFailure(r.Prefix, m, err)
 	}
 	return port.FeedReply{}, false
 }
@@ -195,8 +195,8 @@
 	}
 }
 
-// readerFailed records a failed call to reader m, which is then not asked for a while.
-func (s *Source) readerFailed(prefix string, m core.Member, err error) {
+// recordFailure records a failed call to reader m, which is then not asked for a while.
+func (s *Source) recordFailure(prefix string, m core.Member, err error) {
 	pause := unreachablePause
 	if errors.Is(err, port.ErrFeedRefused) {
 		pause = refusedPause
@@ -207,8 +207,8 @@
 	}
 }
 
-// readerAnswered records that the changes of a prefix come from reader m.
-func (s *Source) readerAnswered(prefix string, m core.Member, confirmedAt time.Duration) {
+// recordReply records that the changes of a prefix come from reader m.
+func (s *Source) recordReply(prefix string, m core.Member, confirmedAt time.Duration) {
 	if _, fromReader := s.FromReader(prefix); !fromReader {
 		s.log.StateChange("following a reader", logging.F("prefix", prefix), logging.F("reader", m.ID))
 	}
