--- a/internal/app/gateway/harness_test.go
+++ b/internal/app/gateway/harness_test.go
@@ -24,15 +24,15 @@
 // key. A nil value makes the item unreadable.
 type decodedItems map[string]port.DecodedItem
 
-func (f decodedItems) Prefixes() port.Prefixes {
+func (m decodedItems) Prefixes() port.Prefixes {
 	return port.Prefixes{Operator: "op/", Targets: "targets/", Members: "members/"}
 }
-func (f decodedItems) CordonKey(d fleet.Domain) string { return "op/cordon/" + string(d) }
-func (f decodedItems) Decode(it port.StoreItem) (port.DecodedItem, error) {
-	if f[it.Key] == nil {
+func (m decodedItems) CordonKey(d fleet.Domain) string { return "op/cordon/" + string(d) }
+func (m decodedItems) Decode(it port.StoreItem) (port.DecodedItem, error) {
+	if m[it.Key] == nil {
 		return nil, fmt.Errorf("%s can't be read", it.Key)
 	}
-	return f[it.Key], nil
+	return m[it.Key], nil
 }
 
 // scriptedReply is the outcome of one request sent through a forwarder.
@@ -171,7 +171,7 @@
 	gw.operatorFollower = follow.New(nil, "op/", time.Second, func() time.Duration { return time.Millisecond }, gw.clock, gw.deps.Log)
 	gw.applyConfig(1, r)
 	for _, id := range []string{"a", "b"} {
-		gw.applyFact("targets/"+id, 1, port.TargetItem{Target: port.TargetRecord{
+		gw.applyItem("targets/"+id, 1, port.TargetItem{Target: port.TargetRecord{
 			Instance: fleet.Instance(id), Service: "s", Address: fleet.Address(id), Domain: fleet.Domain(id), Slots: 4,
 		}})
 	}
@@ -180,15 +180,15 @@
 }
 
 func (gw *testGateway) applyConfig(version int64, rs ...routes.Route) {
-	gw.applyFact("op/config", version, port.ConfigItem{Config: routes.Config{
+	gw.applyItem("op/config", version, port.ConfigItem{Config: routes.Config{
 		Version: version, Routes: rs, Services: []routes.Service{{Name: "s"}},
 		Accounts: []routes.Account{{Name: "t", Keys: []string{"k"}}},
 	}})
 }
 
-// applyFact applies a change of a key to the gateway's view.
-func (gw *testGateway) applyFact(key string, revision int64, f port.DecodedItem) {
-	gw.decodedItems[key] = f
+// applyItem applies a change of a key to the gateway's view.
+func (gw *testGateway) applyItem(key string, revision int64, item port.DecodedItem) {
+	gw.decodedItems[key] = item
 	e := follow.Event{Changes: []port.StoreChange{{StoreItem: port.StoreItem{Key: key, Revision: revision}}}}
 	if strings.HasPrefix(key, "op/") {
 		gw.view.applyOperatorKeys(e, gw.clock.Now())
--- a/internal/app/gateway/serve_test.go
+++ b/internal/app/gateway/serve_test.go
@@ -126,7 +126,7 @@
 // a slow target was canceled although no other target has room.
 func TestSilentTargetIsTheOnlyOne(t *testing.T) {
 	gw := newTestGateway(t, route, scriptedReply{status: 200, body: []string{"late"}, delay: 500 * time.Millisecond})
-	gw.applyFact("targets/b", 2, nil)
+	gw.applyItem("targets/b", 2, nil)
 	if out := gw.request(newInbound()); out.status != 200 || out.body.String() != "late" {
 		t.Errorf("status %d, %v", out.status, out.refused)
 	}
@@ -218,7 +218,7 @@
 	moved.Prefix = "/q/"
 	gw.applyConfig(3, moved)
 	gw.applyConfig(2, route)
-	gw.applyFact("op/config", 9, nil)
+	gw.applyItem("op/config", 9, nil)
 	if v := gw.view.routeTable.Load().Version; v != 3 {
 		t.Errorf("version %d", v)
 	}
@@ -231,7 +231,7 @@
 // remains after a new listing no longer contains it.
 func TestCordon(t *testing.T) {
 	gw := newTestGateway(t, route)
-	gw.applyFact("op/cordon/a", 2, port.CordonItem{Domain: "a"})
+	gw.applyItem("op/cordon/a", 2, port.CordonItem{Domain: "a"})
 	for range 8 {
 		gw.request(newInbound())
 	}
@@ -258,11 +258,11 @@
 	return out
 }
 
-// TestUnreadableTargetIsRemoved guards against requests to a target whose entry can no
-// longer be decoded, and against an effect of that entry on other targets.
+// TestUnreadableTargetIsRemoved guards against requests to a target whose item in the store
+// can no longer be decoded, and against an effect of that item on other targets.
 func TestUnreadableTargetIsRemoved(t *testing.T) {
 	gw := newTestGateway(t, route)
-	gw.applyFact("targets/a", 2, nil)
+	gw.applyItem("targets/a", 2, nil)
 	for range 4 {
 		gw.request(newInbound())
 	}
