--- a/internal/app/agent/lifecycle_test.go
+++ b/internal/app/agent/lifecycle_test.go
@@ -167,8 +167,8 @@
 	b.checkEffects(map[string]int64{"k1": 1})
 }
 
-// TestPlannedStop guards against a stop that interrupts a response, or that does
-// not end.
+// TestPlannedStop guards against a graceful shutdown that interrupts a response, or
+// that does not end.
 func TestPlannedStop(t *testing.T) {
 	b := buildTestbed(t, "engine", engine.Options{TokenDelay: 10 * time.Millisecond})
 	b.weights.Put("v1", []byte("w"))
--- a/internal/app/agent/serve_test.go
+++ b/internal/app/agent/serve_test.go
@@ -282,7 +282,7 @@
 }
 
 // TestCordonAndDrain guards against new requests on a cordoned or leaving agent,
-// and against a planned stop that interrupts a request.
+// and against a graceful shutdown that interrupts a request.
 func TestCordonAndDrain(t *testing.T) {
 	b := newTestbed(t, "engine", engine.Options{TokenDelay: 10 * time.Millisecond})
 	b.weights.Put("v1", []byte("w"))
