--- a/internal/app/weights/manager.go
+++ b/internal/app/weights/manager.go
@@ -113,14 +113,14 @@
 }
 
 // Want implements port.Weights.
-func (m *Manager) Want(targets []port.WantedVersion) {
+func (m *Manager) Want(versions []port.WantedVersion) {
 	m.mu.Lock()
-	m.wanted = slices.Clone(targets)
+	m.wanted = slices.Clone(versions)
 	m.mu.Unlock()
 	signal(m.wake)
 }
 
-func (m *Manager) targets() []port.WantedVersion {
+func (m *Manager) wantedVersions() []port.WantedVersion {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.wanted
@@ -128,9 +128,9 @@
 
 // reconcile starts wanted versions and releases all others. Only Run may call it.
 func (m *Manager) reconcile(ctx context.Context, wg *conc.WaitGroup) {
-	targets := m.targets()
+	wantedVersions := m.wantedVersions()
 	keep := map[fleet.Version]bool{}
-	for _, t := range targets {
+	for _, t := range wantedVersions {
 		keep[t.Version] = true
 	}
 	var unwanted []*version
@@ -144,7 +144,7 @@
 		m.versions.Delete(v.id)
 		v.release()
 	}
-	for _, t := range targets {
+	for _, t := range wantedVersions {
 		if _, ok := m.versions.Get(t.Version); ok || t.Version == "" {
 			continue
 		}
@@ -169,7 +169,7 @@
 // Progress implements port.Weights.
 func (m *Manager) Progress() port.Progress {
 	p := port.Progress{State: StateIdle}
-	for i, t := range m.targets() {
+	for i, t := range m.wantedVersions() {
 		current := port.Progress{Target: t.Version, State: StateManifest}
 		if v, ok := m.versions.Get(t.Version); ok {
 			current = v.progress()
--- a/internal/app/weights/memory.go
+++ b/internal/app/weights/memory.go
@@ -56,7 +56,7 @@
 // splitByPriority returns the wanted versions with a higher and a lower priority
 // than v.
 func (m *Manager) splitByPriority(v *version) (higher, lower []*version) {
-	wanted := m.targets()
+	wanted := m.wantedVersions()
 	at := slices.IndexFunc(wanted, func(t port.WantedVersion) bool { return t.Version == v.id })
 	for i, t := range wanted {
 		o, ok := m.versions.Get(t.Version)
@@ -71,8 +71,8 @@
 	return higher, lower
 }
 
-// higherWaits reports whether a version of a higher priority waits for memory.
-func (m *Manager) higherWaits(v *version) bool {
+// higherPriorityWaits reports whether a version of a higher priority waits for memory.
+func (m *Manager) higherPriorityWaits(v *version) bool {
 	higher, _ := m.splitByPriority(v)
 	return slices.ContainsFunc(higher, func(o *version) bool { return o.waitsForMemory.Load() })
 }
--- a/internal/app/weights/uploads.go
+++ b/internal/app/weights/uploads.go
@@ -15,11 +15,11 @@
 
 const (
 	// stallTime is the time without progress after which a transfer counts as
-	// stalled. It is slightly below the silence timeout of streams, so that a read
+	// stalled. It is slightly below the heartbeat timeout of streams, so that a read
 	// which that timeout ends is recognised as stalled.
 	stallTime = 1900 * time.Millisecond
 	// slotWait is how long a request waits for an upload slot before it is refused.
-	// It must stay below the silence timeout of streams.
+	// It must stay below the heartbeat timeout of streams.
 	slotWait = 400 * time.Millisecond
 	// maxWriteBytes bounds a write between two reservations of the link's rate
 	// limit.
--- a/internal/app/weights/version.go
+++ b/internal/app/weights/version.go
@@ -126,7 +126,7 @@
 	defer v.waitsForMemory.Store(false)
 	for {
 		freed := v.m.memoryBudget.freedSignal()
-		if !v.m.higherWaits(v) && v.m.memoryBudget.reserve(n) {
+		if !v.m.higherPriorityWaits(v) && v.m.memoryBudget.reserve(n) {
 			return v.recordReservation(n)
 		}
 		v.setReason(fmt.Sprintf("memory limit: %d bytes do not fit", n))
