--- a/internal/app/directory/intern.go
+++ b/internal/app/directory/intern.go
@@ -21,10 +21,10 @@
 
 func internString[S ~string](s S) S { return unique.Make(s).Value() }
 
-// record replaces the strings and labels of r by shared copies.
-func (in interner) record(r *port.MemberRecord) {
+// internRecord replaces the strings and labels of r by shared copies.
+func (in interner) internRecord(r *port.MemberRecord) {
 	r.Domain, r.Region = internString(r.Domain), internString(r.Region)
-	r.Labels = in.labelSet(r.Labels)
+	r.Labels = in.internLabels(r.Labels)
 	if s := r.Status; s != nil {
 		if string(s.VM) == r.ID {
 			s.VM = fleet.VM(r.ID)
@@ -35,9 +35,9 @@
 	}
 }
 
-// labelSet returns an equal cached label set if there is one, else caches
+// internLabels returns an equal cached label set if there is one, else caches
 // labels. Sharing is safe because member records are never modified.
-func (in interner) labelSet(labels map[string]string) map[string]string {
+func (in interner) internLabels(labels map[string]string) map[string]string {
 	if len(labels) == 0 {
 		return nil
 	}
--- a/internal/app/directory/record.go
+++ b/internal/app/directory/record.go
@@ -69,7 +69,7 @@
 		if r.ID == "" || r.State > port.MemberDead {
 			continue
 		}
-		d.intern.record(&r)
+		d.intern.internRecord(&r)
 		rec := membership.ObservedRecord[port.MemberRecord]{Record: toCore(r), Age: r.Age}
 		rec.StateOnly = r.Address == ""
 		out.Records = append(out.Records, rec)
