--- a/internal/app/ctl/change.go
+++ b/internal/app/ctl/change.go
@@ -142,8 +142,8 @@
 }
 
 // checkEffect rejects a change that leaves a group without a machine or a version,
-// unless --force is set. If no peer responds, a strict check fails too; a cordon
-// must not depend on reachable peers and is not strict.
+// unless --force is set. A strict check also fails if no peer responds. The check
+// of a cordon is not strict, since a cordon has to work without reachable peers.
 func (s *session) checkEffect(ctx context.Context, cur, next inifile.Document, strict bool) (changeEffect, error) {
 	machines, err := s.knownMachines(ctx)
 	switch {
@@ -181,16 +181,16 @@
 
 // printConflict prints the changes since the base revision and returns c with its
 // exit code.
-func (s *session) printConflict(base uint64, now inifile.Document, c conflictError) error {
+func (s *session) printConflict(base uint64, stored inifile.Document, c conflictError) error {
 	others := []inifile.ChangeRecord{}
-	for _, r := range now.History {
+	for _, r := range stored.History {
 		if r.Revision > base {
 			others = append(others, r)
 		}
 	}
-	out := map[string]any{"seen_revision": base, "revision": now.Revision, "changes": others, "config": now.Config}
+	out := map[string]any{"seen_revision": base, "revision": stored.Revision, "changes": others, "config": stored.Config}
 	err := s.print(out, func(w io.Writer) {
-		fmt.Fprintf(w, "the declaration is at revision %d, not %d\n", now.Revision, base)
+		fmt.Fprintf(w, "the declaration is at revision %d, not %d\n", stored.Revision, base)
 		writeHistory(w, others)
 	})
 	if err != nil {
--- a/internal/app/ctl/store.go
+++ b/internal/app/ctl/store.go
@@ -143,18 +143,18 @@
 	ctx context.Context, kv port.KV, base storedDocument, next inifile.Document, maybeApplied bool, until time.Time,
 ) error {
 	for {
-		now, err := readDocumentOnce(ctx, kv)
+		stored, err := readDocumentOnce(ctx, kv)
 		if err == nil {
-			if _, found := now.doc.FindChange(next.WriteID); found {
+			if _, found := stored.doc.FindChange(next.WriteID); found {
 				return nil
 			}
-			if now.platformRevision != base.platformRevision && now.doc.Revision > base.doc.Revision {
-				return conflictError{now}
+			if stored.platformRevision != base.platformRevision && stored.doc.Revision > base.doc.Revision {
+				return conflictError{stored}
 			}
 		}
 		if !s.waitRetry(ctx, until) {
 			if !maybeApplied && err == nil {
-				return conflictError{now}
+				return conflictError{stored}
 			}
 			return unreachableError(maybeApplied, next, err)
 		}
