--- a/cmd/masticwing-agent/main.go
+++ b/cmd/masticwing-agent/main.go
@@ -1,4 +1,5 @@
-// Command masticwing-agent runs beside a model engine or plain service.
+// Command masticwing-agent runs beside a model engine or a plain service. It
+// keeps the declared weights loaded and forwards requests from entries.
 package main
 
 import (
--- a/cmd/masticwing-gateway/main.go
+++ b/cmd/masticwing-gateway/main.go
@@ -1,4 +1,5 @@
-// Command masticwing-gateway serves callers on the users' platform.
+// Command masticwing-gateway accepts callers' requests on the users' platform and
+// routes them to the targets that register in the platform's store.
 package main
 
 import (
@@ -38,12 +39,12 @@
 	}
 }
 
-// headerTimeout bounds the time to read a request's header. Operators allow
-// callers a few seconds.
+// headerTimeout bounds the time to read a request's header. It is above the few
+// seconds that operators configure as the limit for callers.
 const headerTimeout = 10 * time.Second
 
-// flushTime bounds the wait for the last answers to be written.
-const flushTime = 300 * time.Millisecond
+// flushTimeout bounds the wait for the final responses to be written.
+const flushTimeout = 300 * time.Millisecond
 
 func run(ctx context.Context, set gateway.Settings, env daemon.Env) error {
 	peers := rpc.NewClient()
@@ -53,37 +54,37 @@
 		Targets: platform.NewTargetClient(func() { env.Metrics.Count("target_connections_total", 1) }),
 		Clock:   sysclock.Clock{}, Rand: sysclock.Rand{}, Metrics: env.Metrics, Log: env.Log,
 	})
-	callers, err := listen(set.Callers)
+	callerListener, err := listen(set.Callers)
 	if err != nil {
 		return err
 	}
-	ready, err := listen(set.Ready)
+	readinessListener, err := listen(set.Ready)
 	if err != nil {
 		return err
 	}
 	idle := idleconns.New(func() time.Duration { return g.RequestLimits().IdleTimeout })
-	front := &http.Server{Handler: platform.IngressHandler(g, g.Closing), ReadHeaderTimeout: headerTimeout, ConnState: idle.OnStateChange}
-	checks := &http.Server{Handler: platform.ReadinessHandler(g), ReadHeaderTimeout: headerTimeout}
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	callerServer := &http.Server{Handler: platform.IngressHandler(g, g.Closing), ReadHeaderTimeout: headerTimeout, ConnState: idle.OnStateChange}
+	readinessServer := &http.Server{Handler: platform.ReadinessHandler(g), ReadHeaderTimeout: headerTimeout}
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	wg.Go(func() { g.Run(work) })
-	wg.Go(func() { _ = front.Serve(callers) })
-	wg.Go(func() { _ = checks.Serve(ready) })
+	wg.Go(func() { g.Run(runCtx) })
+	wg.Go(func() { _ = callerServer.Serve(callerListener) })
+	wg.Go(func() { _ = readinessServer.Serve(readinessListener) })
 	env.Admin.SetReady()
 	<-ctx.Done()
 	g.Stop()
-	// A handler returns before the end of its answer is written.
-	last, cancel := context.WithTimeout(work, flushTime)
+	// A handler returns before the end of its response has been written.
+	flushCtx, cancel := context.WithTimeout(runCtx, flushTimeout)
 	defer cancel()
-	_ = front.Shutdown(last)
-	_ = front.Close()
-	_ = checks.Close()
+	_ = callerServer.Shutdown(flushCtx)
+	_ = callerServer.Close()
+	_ = readinessServer.Close()
 	return nil
 }
 
 func listen(a fleet.Address) (net.Listener, error) {
-	l, err := net.Listen("tcp", string(a))
-	return l, errors.Wrap(err, "listening")
+	lis, err := net.Listen("tcp", string(a))
+	return lis, errors.Wrap(err, "listening")
 }
--- a/cmd/masticwing-loader/main.go
+++ b/cmd/masticwing-loader/main.go
@@ -1,4 +1,5 @@
-// Command masticwing-loader runs beside a model engine on the users' platform.
+// Command masticwing-loader runs beside a model engine on the users' platform and
+// keeps the declared weights loaded.
 package main
 
 import (
--- a/cmd/masticwingctl/main.go
+++ b/cmd/masticwingctl/main.go
@@ -1,4 +1,6 @@
-// Command masticwingctl is the operators' command.
+// Command masticwingctl is the command line tool for operators: it validates and
+// applies declarations, cordons domains and VMs, and prints the state of the
+// deployment.
 package main
 
 import (
--- a/cmd/standin-origin/main.go
+++ b/cmd/standin-origin/main.go
@@ -27,16 +27,16 @@
 	}
 	printOnly := slices.Contains(os.Args[1:], "--print-versions")
 	if printOnly {
-		// The address is required only to serve.
+		// No server is started, so no address is needed.
 		command.ListenFlag.Required = false
 	}
 	command.Run("standin-origin", "the origin of weights", flags, func(c *cli.Command) (http.Handler, error) {
-		vs, err := versions(c)
+		versions, err := parseVersions(c)
 		if err != nil {
 			return nil, err
 		}
 		if c.Bool("print-versions") {
-			for _, v := range vs {
+			for _, v := range versions {
 				fmt.Println(v.Model, v.Seed, v.Manifest().Version())
 			}
 			os.Exit(0)
@@ -45,11 +45,12 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "--rate")
 		}
-		return origin.New(rate, vs...).Handler(), nil
+		return origin.New(rate, versions...).Handler(), nil
 	})
 }
 
-func versions(c *cli.Command) ([]origin.Version, error) {
+// parseVersions returns one version per --seed.
+func parseVersions(c *cli.Command) ([]origin.Version, error) {
 	size, err := origin.ParseBytes(c.String("size"))
 	if err != nil {
 		return nil, errors.Wrap(err, "--size")
--- a/cmd/standin-relay/main.go
+++ b/cmd/standin-relay/main.go
@@ -1,5 +1,5 @@
-// Command standin-relay stands in for the network between two processes, in
-// tests and demos only.
+// Command standin-relay is a TCP relay with fault injection that stands in for
+// the network between two processes, in tests and demos only.
 package main
 
 import (
--- a/internal/archtest/arch_test.go
+++ b/internal/archtest/arch_test.go
@@ -1,4 +1,5 @@
-// Package archtest checks the direction of imports between the layers.
+// Package archtest checks that imports between the layers follow the ports and
+// adapters architecture.
 package archtest
 
 import (
@@ -9,11 +10,12 @@
 
 const module = "github.com/masticwing/masticwing/"
 
-// Standard packages that decisions must not import: network, encodings, I/O,
-// logs, processes.
+// forbiddenInCore lists the standard library packages that internal/core must
+// not import, since it makes decisions only: network, encodings, I/O, logs,
+// processes.
 var forbiddenInCore = []string{"net", "encoding", "log", "os", "io", "bufio", "syscall", "database", "html", "text/template"}
 
-// Libraries that core may import.
+// allowedInCore lists the third-party packages that internal/core may import.
 var allowedInCore = map[string]bool{"github.com/pkg/errors": true, "golang.org/x/sys/cpu": true}
 
 type pkg struct {
@@ -39,7 +41,7 @@
 	return path == module+dir || strings.HasPrefix(path, module+dir+"/")
 }
 
-// TestImportDirection guards against decisions that depend on an adapter and
+// TestImportDirection guards against core packages that depend on an adapter and
 // against product code that depends on a stand-in.
 func TestImportDirection(t *testing.T) {
 	for _, p := range listPackages(t) {
@@ -51,7 +53,8 @@
 	}
 }
 
-// platformCommands wire the product to the users' platform.
+// platformCommands are the only commands that may import the adapters for the
+// users' platform.
 var platformCommands = map[string]bool{"cmd/masticwing-gateway": true, "cmd/masticwing-loader": true}
 
 func violation(p, imp string) string {
@@ -120,9 +123,10 @@
 	return ""
 }
 
-// TestRefusesWrongDirections guards against a rule that lets everything pass.
-func TestRefusesWrongDirections(t *testing.T) {
-	wrong := [][2]string{
+// TestForbiddenImportsAreReported guards against import rules that accept every
+// import.
+func TestForbiddenImportsAreReported(t *testing.T) {
+	forbidden := [][2]string{
 		{"internal/core/routing", "net/http"},
 		{"internal/core/routing", "encoding/json"},
 		{"internal/core/routing", module + "internal/port"},
@@ -139,7 +143,7 @@
 		{"platform", module + "platform/platformtest"},
 		{"platform", module + "internal/app/gateway"},
 	}
-	for _, w := range wrong {
+	for _, w := range forbidden {
 		if violation(module+w[0], w[1]) == "" {
 			t.Errorf("%s may import %s", w[0], w[1])
 		}
--- a/test/demo/load.go
+++ b/test/demo/load.go
@@ -14,113 +14,116 @@
 
 const (
 	callersPerEntry = 3
-	pause           = 20 * time.Millisecond
+	requestInterval = 20 * time.Millisecond
 	requestTimeout  = 5 * time.Second
 )
 
-// load sends requests to all entries until it is stopped.
-type load struct {
-	answered, orders, refused, errors atomic.Int64
-	byVersion                         *shard.Map[string, int64]
-	// firstError is shown if there is any.
+// loadGenerator sends requests to all entries until it is stopped, and counts
+// the results.
+type loadGenerator struct {
+	succeeded, orders, refused, errors atomic.Int64
+	byVersion                          *shard.Map[string, int64]
+	// firstError is nil if there was no error.
 	firstError atomic.Pointer[string]
 
 	wg     conc.WaitGroup
 	cancel context.CancelFunc
 }
 
-// startLoad starts callers at each entry of d.
-func startLoad(ctx context.Context, d *harness.Deployment) *load {
-	l := &load{byVersion: shard.New[string, int64](0)}
+// startLoad starts callersPerEntry callers for each entry of d. One caller of
+// each entry sends orders, the others generate requests.
+func startLoad(ctx context.Context, d *harness.Deployment) *loadGenerator {
+	l := &loadGenerator{byVersion: shard.New[string, int64](0)}
 	ctx, l.cancel = context.WithCancel(ctx)
 	for _, e := range d.Entries {
 		c := harness.NewCaller(e.HTTP)
 		for i := range callersPerEntry {
-			l.wg.Go(func() { l.loop(ctx, c, i == 0) })
+			l.wg.Go(func() { l.runCaller(ctx, c, i == 0) })
 		}
 	}
 	return l
 }
 
-// stop ends the callers after their current request.
-func (l *load) stop() {
+// stop waits until all callers have finished their current request.
+func (l *loadGenerator) stop() {
 	l.cancel()
 	l.wg.Wait()
 }
 
-func (l *load) loop(ctx context.Context, c *harness.Caller, orders bool) {
+func (l *loadGenerator) runCaller(ctx context.Context, c *harness.Caller, orders bool) {
 	for ctx.Err() == nil {
 		if orders {
-			l.order(c)
+			l.sendOrder(c)
 		} else {
-			l.generate(c)
+			l.sendGenerate(c)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(requestInterval):
 		}
 	}
 }
 
-// generate asks for a summary and checks the whole answer.
-func (l *load) generate(c *harness.Caller) {
-	// Not the load's context: a request in progress is finished.
+// sendGenerate sends a generate request and checks that the response is
+// complete.
+func (l *loadGenerator) sendGenerate(c *harness.Caller) {
+	// Not the callers' context, since stop lets a request in progress finish.
 	ctx, cancel := context.WithTimeout(context.Background(), 2*requestTimeout)
 	defer cancel()
-	a, err := c.Send(ctx, harness.Request{
+	resp, err := c.Send(ctx, harness.Request{
 		Path: harness.GeneratePath(harness.Group), Customer: harness.Customer, Class: "summary",
 		Timeout: requestTimeout, Body: `{"prompt":"summarize the survey of plot 7","max_tokens":16}`,
 	})
 	if err == nil {
-		err = a.CheckComplete()
+		err = resp.CheckComplete()
 	}
-	if l.count(a, err) {
-		l.byVersion.Update(a.Version, func(n int64, _ bool) (int64, bool) { return n + 1, true })
+	if l.record(resp, err) {
+		l.byVersion.Update(resp.Version, func(n int64, _ bool) (int64, bool) { return n + 1, true })
 	}
 }
 
-// order places an order with an idempotency key and repeats it. The repeat must
-// be told that the order ran.
-func (l *load) order(c *harness.Caller) {
+// sendOrder sends an order with an idempotency key and then retries it. The
+// retry must return the verdict that the order ran.
+func (l *loadGenerator) sendOrder(c *harness.Caller) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*requestTimeout)
 	defer cancel()
 	r := harness.Request{
 		Path: harness.CallPath(harness.Service, "log"), Customer: harness.Customer, Class: "order",
 		Key: harness.NewKey(), Timeout: requestTimeout, Body: `{"seedlings":12}`,
 	}
-	a, err := c.Send(ctx, r)
+	resp, err := c.Send(ctx, r)
 	if err == nil {
-		err = a.CheckServiceCall()
+		err = resp.CheckServiceCall()
 	}
-	if !l.count(a, err) {
+	if !l.record(resp, err) {
 		return
 	}
 	l.orders.Add(1)
-	again, err := c.Send(ctx, r)
-	if err == nil && again.Verdict != "ran" {
-		err = fmt.Errorf("repeat of an order that ran: verdict %q, status %d", again.Verdict, again.Status)
+	retry, err := c.Send(ctx, r)
+	if err == nil && retry.Verdict != "ran" {
+		err = fmt.Errorf("retry of an order that ran: verdict %q, status %d", retry.Verdict, retry.Status)
 	}
 	if err != nil {
-		l.fault(err)
+		l.recordError(err)
 	}
 }
 
-// count counts an answer and reports whether it is good. A request that was
-// refused and did not run is no error.
-func (l *load) count(a harness.Response, err error) bool {
+// record counts a response and reports whether the request succeeded. A refused
+// request that did not run is not an error.
+func (l *loadGenerator) record(resp harness.Response, err error) bool {
 	switch {
 	case err == nil:
-		l.answered.Add(1)
+		l.succeeded.Add(1)
 		return true
-	case a.Verdict == "not-run":
+	case resp.Verdict == "not-run":
 		l.refused.Add(1)
 	default:
-		l.fault(err)
+		l.recordError(err)
 	}
 	return false
 }
 
-func (l *load) fault(err error) {
+func (l *loadGenerator) recordError(err error) {
 	l.errors.Add(1)
 	s := err.Error()
 	l.firstError.CompareAndSwap(nil, &s)
--- a/test/demo/report.go
+++ b/test/demo/report.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// report is what the demo measured.
+// report holds the measurements of the demo.
 type report struct {
-	// replicas1 counts from the start of the daemons, replicas2 from the
-	// declaration of version 2.
-	replicas1, replicas2 time.Duration
-	origin1, origin2     int64
-	cordoned, returned   time.Duration
-	load                 *load
+	// The spread times are the times until all agents serve version 1, from the
+	// start of the daemons, and version 2, from its declaration.
+	spreadTime1, spreadTime2   time.Duration
+	originBytes1, originBytes2 int64
+	cordonTime, uncordonTime   time.Duration
+	load                       *loadGenerator
 }
 
 func (r *report) print(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	row := func(name string, value any) { fmt.Fprintf(t, "%s\t%v\n", name, value) }
-	row("version 1: time to all replicas", r.replicas1.Round(time.Millisecond))
-	row("version 1: bytes drawn from the origin", r.origin1)
-	row("version 2: time to all replicas", r.replicas2.Round(time.Millisecond))
-	row("version 2: bytes drawn from the origin", r.origin2)
-	row("cordon in effect after", r.cordoned.Round(time.Millisecond))
-	row("domain back after", r.returned.Round(time.Millisecond))
-	row("requests answered", r.load.answered.Load())
+	row("version 1: time to all replicas", r.spreadTime1.Round(time.Millisecond))
+	row("version 1: bytes drawn from the origin", r.originBytes1)
+	row("version 2: time to all replicas", r.spreadTime2.Round(time.Millisecond))
+	row("version 2: bytes drawn from the origin", r.originBytes2)
+	row("cordon in effect after", r.cordonTime.Round(time.Millisecond))
+	row("domain back after", r.uncordonTime.Round(time.Millisecond))
+	row("requests answered", r.load.succeeded.Load())
 	row("orders placed and repeated", r.load.orders.Load())
 	row("requests refused, not run", r.load.refused.Load())
 	row("errors", r.load.errors.Load())
--- a/test/docs/deploy_test.go
+++ b/test/docs/deploy_test.go
@@ -9,8 +9,9 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-// deployValues are what the platform fills into the templates of deploy/.
-var deployValues = map[string]string{
+// templateValues are examples of the values that the platform substitutes in the
+// templates of deploy/.
+var templateValues = map[string]string{
 	"NodeName": "vm-1", "Ip": "10.1.0.40", "Zone": "a", "InternalPorts.0": "7700", "Listen.Front": "10.1.0.40:8005",
 	"Listen.Ready": "10.1.0.40:8002", "Platform.Address": "10.200.1.7:8007", "Bounds.GraceS": "8", "Bounds.RevokeMs": "5000",
 	"Bounds.version_ms": "8000", "Limits.MemoryMb": "284", "Limits.LinkMbps": "7.6", "Bounds.RetryRatio": "0.2",
@@ -22,8 +23,8 @@
 	placeholder  = regexp.MustCompile(`\{\{([^}]+)\}\}`)
 )
 
-// TestDeployTemplates guards against a template that the program refuses, or that
-// names a field which this test does not know.
+// TestDeployTemplates guards against a template that results in invalid settings
+// or uses a field that is missing in templateValues.
 func TestDeployTemplates(t *testing.T) {
 	h := harness.ForTest(t)
 	for template, binary := range map[string]string{"gateway.ini": "masticwing-gateway", "loader.ini": "masticwing-loader"} {
@@ -33,7 +34,7 @@
 		}
 		text := zonesSection.ReplaceAllString(string(b), "a=ra,b=rb")
 		text = placeholder.ReplaceAllStringFunc(text, func(p string) string {
-			v, ok := deployValues[p[2:len(p)-2]]
+			v, ok := templateValues[p[2:len(p)-2]]
 			if !ok {
 				t.Errorf("%s: unknown field %s", template, p)
 			}
--- a/test/docs/docs_test.go
+++ b/test/docs/docs_test.go
@@ -1,4 +1,5 @@
-// Package docs runs what the operators' page shows.
+// Package docs tests that the pages in docs/, the examples and the templates of
+// deploy/ agree with the binaries.
 package docs
 
 import (
@@ -14,31 +15,31 @@
 
 func TestMain(m *testing.M) { os.Exit(harness.Main(m)) }
 
-// commands returns the lines of a page's sh blocks that start with
-// masticwingctl.
-func commands(t *testing.T, page string) []string {
+// ctlCommands returns the masticwingctl command lines in the sh code blocks of a
+// page.
+func ctlCommands(t *testing.T, page string) []string {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join(harness.RepoRoot(), "docs", page))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out []string
-	in := false
+	inBlock := false
 	for line := range strings.Lines(string(b)) {
 		line = strings.TrimSpace(line)
 		if strings.HasPrefix(line, "```") {
-			in = line == "```sh"
+			inBlock = line == "```sh"
 			continue
 		}
-		if in && strings.HasPrefix(line, "masticwingctl ") {
+		if inBlock && strings.HasPrefix(line, "masticwingctl ") {
 			out = append(out, line)
 		}
 	}
 	return out
 }
 
-// TestOperationsPage guards against commands in the operators' page that do not
-// work as written.
+// TestOperationsPage guards against commands in OPERATIONS.md that do not work as
+// written.
 func TestOperationsPage(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
@@ -50,7 +51,7 @@
 	dirs := writeDeclarations(ctx, t, d)
 	t.Setenv("MASTICWING_PLATFORM", d.PlatformAddr)
 	t.Setenv("MASTICWING_PEER", d.Entries[0].RPC)
-	lines := commands(t, "OPERATIONS.md")
+	lines := ctlCommands(t, "OPERATIONS.md")
 	if len(lines) < 10 {
 		t.Fatalf("the page shows %d commands, expected at least 10", len(lines))
 	}
@@ -68,8 +69,8 @@
 	}
 }
 
-// writeDeclarations writes the directories that the page names: one with the
-// version in force and one with the next.
+// writeDeclarations writes the declaration directories that the page uses and
+// returns their paths: config/ declares the current version, next/ the next one.
 func writeDeclarations(ctx context.Context, t *testing.T, d *harness.Deployment) map[string]string {
 	t.Helper()
 	versions := map[string]string{}
@@ -91,7 +92,7 @@
 	return dirs
 }
 
-// TestExamples guards against example files that the binaries refuse.
+// TestExamples guards against example files that the binaries reject.
 func TestExamples(t *testing.T) {
 	h := harness.ForTest(t)
 	example := func(name string) string { return filepath.Join(harness.RepoRoot(), "examples", name) }
--- a/test/docs/http_test.go
+++ b/test/docs/http_test.go
@@ -23,9 +23,9 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-// table returns the rows of the first table of a page whose first column and
-// header are as given.
-func table(t *testing.T, page, header string) [][]string {
+// tableRows returns the rows of the first table of a page with the given header
+// line.
+func tableRows(t *testing.T, page, header string) [][]string {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join(harness.RepoRoot(), "docs", page))
 	if err != nil {
@@ -53,7 +53,7 @@
 	return rows
 }
 
-// declaredCodes returns the codes that internal/core/verdict declares.
+// declaredCodes returns the error codes that internal/core/verdict declares.
 func declaredCodes(t *testing.T) map[verdict.Code]bool {
 	t.Helper()
 	file := filepath.Join(harness.RepoRoot(), "internal", "core", "verdict", "verdict.go")
@@ -82,18 +82,19 @@
 	return codes
 }
 
-// TestErrorTable guards against a page whose codes or statuses are not those
-// of the code.
+// TestErrorTable guards against a page whose error codes, statuses or verdicts
+// differ from those of the code.
 func TestErrorTable(t *testing.T) {
 	codes := declaredCodes(t)
-	for _, row := range table(t, "http.md", "| code | status | verdict | meaning |") {
+	for _, row := range tableRows(t, "http.md", "| code | status | verdict | meaning |") {
 		for name := range strings.SplitSeq(row[0], ", ") {
 			code := verdict.Code(strings.Trim(name, "`"))
 			if !codes[code] {
 				t.Errorf("the page lists %s, which is not declared or listed twice", code)
 			}
 			delete(codes, code)
-			// Callers never see the status of these two.
+			// No caller receives a status for these two codes: the caller has
+			// disconnected or was disconnected.
 			noStatus := code == verdict.CodeSlowCaller || code == verdict.CodeCanceled
 			if status := strconv.Itoa(httpapi.Status(code)); row[1] != status && !noStatus {
 				t.Errorf("the page gives %s the status %s, the entry %s", code, row[1], status)
@@ -110,7 +111,7 @@
 	}
 }
 
-// ledgerErrors returns all errors with which the ledger refuses a call.
+// ledgerErrors returns all errors with which the ledger rejects a call.
 func ledgerErrors(t *testing.T) []*verdict.Error {
 	t.Helper()
 	var out []*verdict.Error
@@ -141,22 +142,22 @@
 	return append(out, verdict.FromError(err))
 }
 
-// TestIdempotencyTable guards against a page that tells callers another code,
-// verdict or status of a refused key than the ledger gives, or that does not
-// tell them to send a call again when the ledger does.
+// TestIdempotencyTable guards against a page whose code, verdict or status for a
+// rejected idempotency key differs from the ledger's, or that does not advise a
+// retry where the ledger does.
 func TestIdempotencyTable(t *testing.T) {
-	type refusal struct{ code, verdict, status string }
-	advice := map[refusal]string{}
-	for _, row := range table(t, "http.md", "| code | verdict | status | meaning | send again |") {
-		r := refusal{strings.Trim(row[0], "`"), row[1], row[2]}
+	type rejection struct{ code, verdict, status string }
+	advice := map[rejection]string{}
+	for _, row := range tableRows(t, "http.md", "| code | verdict | status | meaning | send again |") {
+		r := rejection{strings.Trim(row[0], "`"), row[1], row[2]}
 		if advice[r] != "" {
 			t.Errorf("the page lists %v twice", r)
 		}
 		advice[r] = row[4]
 	}
-	seen := map[refusal]bool{}
+	seen := map[rejection]bool{}
 	for _, e := range ledgerErrors(t) {
-		r := refusal{string(e.Code), e.Verdict.String(), strconv.Itoa(httpapi.Status(e.Code))}
+		r := rejection{string(e.Code), e.Verdict.String(), strconv.Itoa(httpapi.Status(e.Code))}
 		seen[r] = true
 		if e.RetryAfter > 0 && !strings.HasPrefix(advice[r], "yes, after `Retry-After`") {
 			t.Errorf("the ledger tells when to send again after %v, the page says %q", r, advice[r])
--- a/test/docs/log_test.go
+++ b/test/docs/log_test.go
@@ -10,9 +10,9 @@
 	"github.com/masticwing/masticwing/test/harness"
 )
 
-// loggedIn lists the packages whose lines and metrics the operators' page
-// describes in full.
-var loggedIn = []string{
+// documentedPackages lists the packages whose log lines and metrics
+// OPERATIONS.md describes in full.
+var documentedPackages = []string{
 	"internal/app/gateway", "internal/app/loader", "internal/app/chunks", "internal/app/follow", "internal/app/registration",
 	"internal/app/daemon", "cmd/masticwing-gateway", "cmd/masticwing-loader", "platform",
 }
@@ -23,15 +23,15 @@
 	metricName = regexp.MustCompile(`\.(?:Count|Seconds|Gauge)\("([a-z_]+)"`)
 )
 
-// TestOperationsPageNamesLogsAndMetrics guards against a message, a field or a
-// metric that an engineer on call meets and the page does not explain.
+// TestOperationsPageNamesLogsAndMetrics guards against log messages, log fields
+// and metrics that OPERATIONS.md does not explain.
 func TestOperationsPageNamesLogsAndMetrics(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(harness.RepoRoot(), "docs", "OPERATIONS.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	found := 0
-	for _, dir := range loggedIn {
+	for _, dir := range documentedPackages {
 		files, err := filepath.Glob(filepath.Join(harness.RepoRoot(), dir, "*.go"))
 		if err != nil {
 			t.Fatal(err)
--- a/test/up/main.go
+++ b/test/up/main.go
@@ -1,4 +1,4 @@
-// Command up starts the deployment of the demo and leaves it running until
+// Command up starts the deployment of the demo and keeps it running until
 // Ctrl-C. Run it with `make up`.
 package main
 
@@ -12,7 +12,7 @@
 func main() { harness.SmallMain("up", 0, up) }
 
 func up(ctx context.Context, d *harness.Deployment, _ string) error {
-	if err := explain(d); err != nil {
+	if err := printUsage(d); err != nil {
 		return err
 	}
 	<-ctx.Done()
@@ -20,8 +20,8 @@
 	return nil
 }
 
-// explain prints the addresses and three commands to try.
-func explain(d *harness.Deployment) error {
+// printUsage prints the addresses of all processes and three commands to try.
+func printUsage(d *harness.Deployment) error {
 	ctl, err := harness.Binary("masticwingctl")
 	if err != nil {
 		return err
