--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -98,14 +98,14 @@
 }
 
 // New returns an engine without weights.
-func New(o Options) *Server {
-	if o.MaxRequests <= 0 {
-		o.MaxRequests = 8
+func New(opts Options) *Server {
+	if opts.MaxRequests <= 0 {
+		opts.MaxRequests = 8
 	}
-	if o.ColdRequests <= 0 {
-		o.ColdRequests = o.MaxRequests
+	if opts.ColdRequests <= 0 {
+		opts.ColdRequests = opts.MaxRequests
 	}
-	return &Server{opts: o, startedAt: time.Now(), bootCount: 1, loaded: map[string]loadedModel{}}
+	return &Server{opts: opts, startedAt: time.Now(), bootCount: 1, loaded: map[string]loadedModel{}}
 }
 
 // Handler returns the HTTP routes of the stand-in.
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -69,7 +69,7 @@
 		return
 	}
 	s.mu.Lock()
-	boots, used := s.bootCount, int64(0)
+	bootCount, used := s.bootCount, int64(0)
 	for v, m := range s.loaded {
 		if v != q.Get("version") {
 			used += m.bytes
@@ -88,7 +88,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.bootCount != boots {
+	if s.bootCount != bootCount {
 		http.Error(w, "engine restarted", http.StatusInternalServerError)
 		return
 	}
--- a/internal/standin/relay/pump.go
+++ b/internal/standin/relay/pump.go
@@ -120,13 +120,13 @@
 func (r *route) waitUnfrozen(p *connPair) bool {
 	for {
 		r.mu.Lock()
-		frozen, change := p.frozen || r.faults.Freeze == FreezeAll, r.faultsChanged
+		blocked, faultsChanged := p.frozen || r.faults.Freeze == FreezeAll, r.faultsChanged
 		r.mu.Unlock()
-		if !frozen {
+		if !blocked {
 			return true
 		}
 		select {
-		case <-change:
+		case <-faultsChanged:
 		case <-p.done:
 			return false
 		}
