--- a/internal/adapter/inifile/parse.go
+++ b/internal/adapter/inifile/parse.go
@@ -139,7 +139,7 @@
 		return
 	}
 	if !validName(id) {
-		p.addFault(name, "", "the section name must be 1 to 63 letters, digits, '-', '_' or '.'")
+		p.addFault(name, "", "the name after the section kind must be 1 to 63 letters, digits, '-', '_' or '.'")
 		return
 	}
 	if other, dup := p.declaredIn[name]; dup {
