--- a/internal/app/loader/converge.go
+++ b/internal/app/loader/converge.go
@@ -219,7 +219,7 @@
 			if n == maxRewrites {
 				return errors.Errorf("staged chunk %d is still corrupted", i)
 			}
-			l.deps.Log.StateChange("staged chunk is spoilt", logging.F("chunk", i), logging.F("number", v.Number))
+			l.deps.Log.StateChange("staged chunk is corrupted", logging.F("chunk", i), logging.F("number", v.Number))
 			data, ok := l.chunks.Chunk(v.id, i)
 			if !ok {
 				return errReleased
