--- a/internal/core/verdict/verdict.go
+++ b/internal/core/verdict/verdict.go
@@ -12,7 +12,7 @@
 // Verdict says whether a request ran at its target.
 type Verdict uint8
 
-// XX
+// The verdicts. The zero value makes no claim about the request.
 const (
 	MayHaveRun Verdict = iota
 	NotRun
