--- a/internal/core/loadschedule/loadschedule.go
+++ b/internal/core/loadschedule/loadschedule.go
@@ -1,6 +1,6 @@
-// Package loadschedule schedules when each engine of a service changes to new weights,
-// so that all engines change within a bound and only a few are out of service at
-// the same time.
+// Package loadschedule schedules when each engine of a service changes to new
+// weights, so that all engines change within a time limit, the bound, and only a few
+// are out of service at the same time.
 package loadschedule
 
 import "time"
--- a/internal/core/routes/routes.go
+++ b/internal/core/routes/routes.go
@@ -102,7 +102,7 @@
 	Models []fleet.Model
 	// Layers is the number of layers of the model.
 	Layers int
-	// Fenced means that the engines refuse orders with an outdated fencing token.
+	// Fenced means that the engines refuse orders with an outdated fencing number.
 	Fenced bool
 	Timing Timing
 }
