--- a/internal/core/ledger/document.go
+++ b/internal/core/ledger/document.go
@@ -17,8 +17,8 @@
 }
 
 // attemptState is what this process knows about one of its own attempts.
-// Undecided and finished attempts have no entry, nor have those of other
-// processes.
+// Attempts that are undecided or finished, and those of other processes, have
+// no entry in docState.attemptState.
 type attemptState uint8
 
 const (
@@ -103,7 +103,7 @@
 }
 
 // hasLiveCall reports whether a call with the key is waiting or being written.
-// A call whose caller left during the write never runs and does not count.
+// A call that was canceled during the write never runs and does not count.
 func (d *docState) hasLiveCall(k KeyHash) bool {
 	for _, cs := range [2][]pendingCall{d.waiting, d.writing} {
 		for _, c := range cs {
@@ -198,8 +198,8 @@
 	return Outcome{c.attempt, Run}
 }
 
-// setAborted schedules an Aborted record for an attempt that never runs,
-// although its Started record is or may come into the document.
+// setAborted schedules an Aborted record for an attempt that never runs. Its
+// Started record is in the document or may still appear there.
 func (d *docState) setAborted(c pendingCall) {
 	d.attemptState[c.attempt] = attemptNotRun
 	d.unwritten[c.key.Hash] = Record{c.attempt, Aborted}
--- a/internal/core/ledger/document_write.go
+++ b/internal/core/ledger/document_write.go
@@ -61,7 +61,7 @@
 	}
 	var out []Outcome
 	for _, c := range d.writing {
-		if d.attemptState[c.attempt] == attemptNotRun { // the caller left during the write
+		if d.attemptState[c.attempt] == attemptNotRun { // canceled during the write
 			d.setAborted(c)
 			continue
 		}
@@ -78,7 +78,7 @@
 		d.conflictRev = d.rev
 	}
 	for _, c := range d.writing {
-		if d.attemptState[c.attempt] == attemptNotRun { // the caller left during the write
+		if d.attemptState[c.attempt] == attemptNotRun { // canceled during the write
 			d.setAborted(c)
 			continue
 		}
--- a/internal/core/ledger/response_cache.go
+++ b/internal/core/ledger/response_cache.go
@@ -16,8 +16,8 @@
 // to its size.
 const responseOverhead = 256
 
-// ResponseCache keeps the responses of calls so that a repeated call gets the
-// same response. It is bounded by the total number of bytes and evicts the
+// ResponseCache keeps the responses of calls so that a retry gets the same
+// response. It is bounded by the total number of bytes and evicts the
 // least recently used response first. The responses of each partition are
 // guarded by the lock of its shard.
 type ResponseCache[V any] struct {
--- a/internal/core/ledger/table.go
+++ b/internal/core/ledger/table.go
@@ -130,8 +130,8 @@
 	return out, retry
 }
 
-// Cancel reports that the caller of an attempt left. The attempt does not run,
-// even if it was allowed to.
+// Cancel reports that the caller of an attempt disconnected or reached its
+// deadline. The attempt does not run, even if it was allowed to.
 func (t *Table) Cancel(k Key, a Attempt) {
 	t.update(k.Document(), func(d *docState) { d.cancel(k, a) })
 }
@@ -159,12 +159,12 @@
 	return out
 }
 
-// idleRetention is how long a document without open work is kept. Calls of one
+// idleRetention is how long a document without pending work is kept. Calls of one
 // bucket arrive within about a minute of each other.
 const idleRetention = 2 * time.Minute
 
 // Sweep removes documents whose keys have all expired, and documents without
-// open work that have not been used for idleRetention and can be read again.
+// pending work that have not been used for idleRetention and can be read again.
 func (t *Table) Sweep(now time.Time) {
 	var removable []Document
 	t.docs.Range(func(name Document, d *docState) bool {
--- a/internal/core/ledger/table_test.go
+++ b/internal/core/ledger/table_test.go
@@ -178,9 +178,9 @@
 	f.checkDecision("repeat through the same process", d, Run)
 }
 
-// TestCanceledWriteFreesKey guards against a repeated call that gets "may have
+// TestCanceledWriteFreesKey guards against a retry that gets "may have
 // run" because of an earlier attempt that got "not run": the caller of that
-// attempt left while its write was in flight.
+// attempt disconnected while its write was in flight.
 func TestCanceledWriteFreesKey(t *testing.T) {
 	for name, end := range map[string]writeResult{"succeeds": writeSucceeds, "reply lost": writeReplyLost, "rejected": writeRejected} {
 		f := newFixture(t)
@@ -248,6 +248,6 @@
 	f.runWorker(writeSucceeds, true)
 	f.table.Sweep(f.now.Add(2 * idleRetention))
 	if f.table.Len() != 0 {
-		t.Fatal("the document was kept without open work")
+		t.Fatal("the document was kept without pending work")
 	}
 }
