--- a/internal/core/membership/budget.go
+++ b/internal/core/membership/budget.go
@@ -63,12 +63,12 @@
 	return float64(room) >= b.rate*burstSeconds/2
 }
 
-// Charge deducts n bytes that were sent or received. The resulting debt is limited,
+// Charge deducts bytes that were sent or received. The resulting debt is limited,
 // so that a burst of received records does not stop a process from sending for
 // long and leaves bytes for urgent records.
 func (b *Budget) Charge(bytes int, now time.Time) { b.charge(bytes, maxDebtSeconds, now) }
 
-// ChargeUrgent deducts n bytes of urgent records that were sent.
+// ChargeUrgent deducts the bytes of urgent records that were sent.
 func (b *Budget) ChargeUrgent(bytes int, now time.Time) { b.charge(bytes, urgentReserveSeconds, now) }
 
 func (b *Budget) charge(bytes int, maxDebt float64, now time.Time) {
--- a/internal/core/membership/neighbours.go
+++ b/internal/core/membership/neighbours.go
@@ -38,7 +38,7 @@
 	return h ^ h>>33
 }
 
-// scoredID is a member's id with its rank in a rendezvous hash.
+// scoredID is a member's id with its score in a rendezvous hash.
 type scoredID struct {
 	id    string
 	score uint64
--- a/internal/core/membership/simulation_test.go
+++ b/internal/core/membership/simulation_test.go
@@ -93,11 +93,11 @@
 		n.bytes, to.bytes = n.bytes+b, to.bytes+b
 	}
 	count(m)
-	a, l := to.Reply(m, s.now)
-	to.sendNow = to.sendNow || l.StateChanged || l.Refuted
+	a, result := to.Reply(m, s.now)
+	to.sendNow = to.sendNow || result.StateChanged || result.Refuted
 	count(a)
-	l = n.MergeMessage(a, s.now)
-	n.sendNow = n.sendNow || l.StateChanged || l.Refuted
+	result = n.MergeMessage(a, s.now)
+	n.sendNow = n.sendNow || result.StateChanged || result.Refuted
 	return a
 }
 
--- a/internal/core/membership/suspicion.go
+++ b/internal/core/membership/suspicion.go
@@ -47,8 +47,8 @@
 
 // Tick applies timeouts and reports whether any state changed. A member that does
 // not respond to this process becomes suspect. A suspect that does not refute
-// becomes dead, whether this process or another one suspected it; so does a leaving
-// member that does not respond. Dead members are removed after KeepDead. If this
+// becomes dead, whether this process or another one suspected it. A leaving member
+// that does not respond becomes dead without being suspected first. Dead members are removed after KeepDead. If this
 // process was paused since the last call, the time of the pause does not count
 // against members.
 func (t *Table[P]) Tick(now time.Time) bool {
@@ -86,16 +86,16 @@
 
 // nextState returns the state that follows from the member's timeouts.
 func (e tableEntry[P]) nextState(now time.Time) State {
-	silent := time.Duration(0)
+	failingFor := time.Duration(0)
 	if e.failingSince != 0 {
-		silent = e.failingSince.elapsed(now)
+		failingFor = e.failingSince.elapsed(now)
 	}
 	switch {
-	case e.record.State == Alive && silent >= SuspectAfter:
+	case e.record.State == Alive && failingFor >= SuspectAfter:
 		return Suspect
 	case e.record.State == Suspect && e.stateSince.elapsed(now) >= DeadAfter-SuspectAfter:
 		return Dead
-	case e.record.State == Leaving && silent >= SuspectAfter:
+	case e.record.State == Leaving && failingFor >= SuspectAfter:
 		return Dead
 	}
 	return e.record.State
@@ -116,8 +116,8 @@
 func (t *Table[P]) ReportedSilentIDs(now time.Time) []string {
 	var out []string
 	t.m.Range(func(id string, e tableEntry[P]) bool {
-		silent := e.record.State == Suspect || e.record.State == Dead
-		if silent && e.failingSince == 0 && !e.confirmedDead(now) {
+		suspectOrDead := e.record.State == Suspect || e.record.State == Dead
+		if suspectOrDead && e.failingSince == 0 && !e.confirmedDead(now) {
 			out = append(out, id)
 		}
 		return true
--- a/internal/core/membership/table.go
+++ b/internal/core/membership/table.go
@@ -122,8 +122,8 @@
 // without that time, every member would disappear briefly. The time ends early if
 // this process cannot reach the member either.
 func (e tableEntry[P]) confirmedDead(now time.Time) bool {
-	silent := e.failingSince != 0 && e.failingSince.elapsed(now) >= SuspectAfter
-	return e.record.State == Dead && (silent || e.refutableUntil.elapsed(now) >= 0)
+	unresponsive := e.failingSince != 0 && e.failingSince.elapsed(now) >= SuspectAfter
+	return e.record.State == Dead && (unresponsive || e.refutableUntil.elapsed(now) >= 0)
 }
 
 // ObservedRecord is a record with the observations of the process that holds it.
@@ -277,8 +277,8 @@
 	return out
 }
 
-// Range calls f for each member, holding the lock of the member's shard, until f
-// returns false.
+// Range calls visit for each member, holding the lock of the member's shard, until
+// visit returns false.
 func (t *Table[P]) Range(now time.Time, visit func(ObservedRecord[P]) bool) {
 	t.m.Range(func(_ string, e tableEntry[P]) bool { return visit(t.observed(e, now)) })
 }
