--- a/internal/core/rollout/gate.go
+++ b/internal/core/rollout/gate.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// LeaseDuration is the duration of an order lease. It exceeds the slowest time
-	// of the two platform calls that acquire the lease.
+	// LeaseDuration is the duration of an order lease. It exceeds the longest time
+	// that the two platform calls which acquire the lease can take.
 	LeaseDuration = 5 * time.Second
 	// leaseMargin is the minimum time between an order and the end of its lease. It
 	// covers the time until the engine has received the order.
