--- a/internal/core/schedule/fair.go
+++ b/internal/core/schedule/fair.go
@@ -36,13 +36,13 @@
 // be empty.
 func (q *classQueue) pop() *Ticket {
 	var best *flow
-	var name fleet.Customer
+	var bestCustomer fleet.Customer
 	for c, f := range q.flows {
 		if len(f.tickets) == 0 {
 			continue
 		}
-		if best == nil || startsBefore(f, c, best, name) {
-			best, name = f, c
+		if best == nil || startsBefore(f, c, best, bestCustomer) {
+			best, bestCustomer = f, c
 		}
 	}
 	t := best.tickets[0]
@@ -55,12 +55,12 @@
 }
 
 // startsBefore reports whether the first request of flow a goes before that of flow b.
-// The customers an and bn break ties.
-func startsBefore(a *flow, an fleet.Customer, b *flow, bn fleet.Customer) bool {
+// Ties are broken by the names of the customers.
+func startsBefore(a *flow, customerA fleet.Customer, b *flow, customerB fleet.Customer) bool {
 	if a.tickets[0].startTag != b.tickets[0].startTag {
 		return a.tickets[0].startTag < b.tickets[0].startTag
 	}
-	return an < bn
+	return customerA < customerB
 }
 
 // remove removes a request that stopped waiting. Later requests of its customer keep
