--- a/internal/core/spread/plan.go
+++ b/internal/core/spread/plan.go
@@ -204,9 +204,9 @@
 type GatewayView struct {
 	// IdleTime returns the time since a gateway last announced a chunk of its own.
 	IdleTime func(fleet.VM) time.Duration
-	// Unreachable reports whether the stream of a gateway ended or went silent. A
-	// gateway that has all of its own chunks is idle but reachable, and keeps its
-	// place in the order of takeovers.
+	// Unreachable reports whether the stream of a gateway ended or missed its
+	// heartbeats. A gateway that has all of its own chunks is idle but reachable, and
+	// keeps its place in the order of takeovers.
 	Unreachable func(fleet.VM) bool
 	// FetchTime is the average time of this agent's fetches from the origin.
 	FetchTime time.Duration
--- a/internal/core/spread/table.go
+++ b/internal/core/spread/table.go
@@ -259,7 +259,8 @@
 	return now.Sub(p.ownChunk)
 }
 
-// IsUnreachable reports whether the stream of a watched peer ended or went silent.
+// IsUnreachable reports whether the stream of a watched peer ended or
+// has carried no message within heartbeatTimeout.
 func (t *Table) IsUnreachable(vm fleet.VM, now time.Time) bool {
 	p, ok := t.peers.Get(vm)
 	return ok && p.unreachable(now)
