--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -22,8 +22,8 @@
 
 func report(t *Table, id string, l Load, at time.Time) { t.RecordLoad(fleet.Instance(id), l, at) }
 
-// TestChooseReturnsEligibleTarget guards against a choice that must not run the
-// request: draining, cordoned, outside the allowed regions, with outdated weights
+// TestChooseReturnsEligibleTarget guards against choosing a target that must not run
+// the request: draining, cordoned, outside the allowed regions, with outdated weights
 // or none, of another service, or already tried. It also fails if an eligible
 // target exists and none is chosen.
 func TestChooseReturnsEligibleTarget(t *testing.T) {
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -97,8 +97,8 @@
 	return TargetStatus{VM: fleet.VM(vm), Domain: fleet.Domain(dom), Pool: pool, Version: "v", InFlight: inFlight, Limit: 10, Usable: true}
 }
 
-// TestChooseReturnsEligibleTarget guards against a choice that must not run the
-// request: of another pool or version, not usable, with a stale status, cordoned, or
+// TestChooseReturnsEligibleTarget guards against choosing a target that must not run
+// the request: of another pool or version, not usable, with a stale status, cordoned, or
 // already tried. It also fails if an eligible target exists and none is chosen.
 func TestChooseReturnsEligibleTarget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/core/routing/wait.go
+++ b/internal/core/routing/wait.go
@@ -26,8 +26,8 @@
 
 func newWaitQueues() waitQueues { return waitQueues{shard.New[Pool, []*Waiter](0)} }
 
-func (l waitQueues) add(w *Waiter) {
-	l.byPool.Update(w.pool, func(v []*Waiter, _ bool) ([]*Waiter, bool) {
+func (q waitQueues) add(w *Waiter) {
+	q.byPool.Update(w.pool, func(v []*Waiter, _ bool) ([]*Waiter, bool) {
 		i := len(v)
 		for i > 0 && v[i-1].class > w.class {
 			i--
@@ -36,8 +36,8 @@
 	})
 }
 
-func (l waitQueues) remove(w *Waiter) {
-	l.byPool.Update(w.pool, func(v []*Waiter, _ bool) ([]*Waiter, bool) {
+func (q waitQueues) remove(w *Waiter) {
+	q.byPool.Update(w.pool, func(v []*Waiter, _ bool) ([]*Waiter, bool) {
 		if i := slices.Index(v, w); i >= 0 {
 			v = slices.Delete(v, i, i+1)
 		}
@@ -48,8 +48,8 @@
 // wake wakes the first waiter without a pending wake-up, of those behind the waiter
 // after or, if after is nil, of the whole queue. It does not block: a full channel
 // means that a wake-up is pending.
-func (l waitQueues) wake(p Pool, after *Waiter) {
-	l.byPool.Update(p, func(v []*Waiter, _ bool) ([]*Waiter, bool) {
+func (q waitQueues) wake(p Pool, after *Waiter) {
+	q.byPool.Update(p, func(v []*Waiter, _ bool) ([]*Waiter, bool) {
 		for _, w := range v[slices.Index(v, after)+1:] {
 			select {
 			case w.woken <- struct{}{}:
