--- a/internal/port/porttest/ledger.go
+++ b/internal/port/porttest/ledger.go
@@ -84,27 +84,27 @@
 	recorded atomic.Bool
 }
 
-func (t *ledgerClaim) recordOutcome() {
-	if t.recorded.Swap(true) {
+func (c *ledgerClaim) recordOutcome() {
+	if c.recorded.Swap(true) {
 		panic("outcome of a ledger claim recorded twice")
 	}
-	t.l.Outcomes.Add(1)
+	c.l.Outcomes.Add(1)
 }
 
 // Done implements port.LedgerClaim.
-func (t *ledgerClaim) Done(a *port.StoredAnswer) {
-	t.recordOutcome()
-	t.l.records.Put(t.k, ledgerRecord{LedgerDone, a, t.content})
+func (c *ledgerClaim) Done(a *port.StoredAnswer) {
+	c.recordOutcome()
+	c.l.records.Put(c.k, ledgerRecord{LedgerDone, a, c.content})
 }
 
 // Unknown implements port.LedgerClaim.
-func (t *ledgerClaim) Unknown() {
-	t.recordOutcome()
-	t.l.records.Put(t.k, ledgerRecord{state: LedgerUnknown})
+func (c *ledgerClaim) Unknown() {
+	c.recordOutcome()
+	c.l.records.Put(c.k, ledgerRecord{state: LedgerUnknown})
 }
 
 // NotRun implements port.LedgerClaim.
-func (t *ledgerClaim) NotRun() {
-	t.recordOutcome()
-	t.l.records.Delete(t.k)
+func (c *ledgerClaim) NotRun() {
+	c.recordOutcome()
+	c.l.records.Delete(c.k)
 }
--- a/internal/port/porttest/weights.go
+++ b/internal/port/porttest/weights.go
@@ -55,12 +55,12 @@
 
 // WantedVersions returns the versions of the last call of Want.
 func (w *Weights) WantedVersions() []port.WantedVersion {
-	ts, _ := w.wanted.Get(wantedKey)
-	return ts
+	versions, _ := w.wanted.Get(wantedKey)
+	return versions
 }
 
 // Want implements port.Weights.
-func (w *Weights) Want(ts []port.WantedVersion) { w.wanted.Put(wantedKey, ts) }
+func (w *Weights) Want(versions []port.WantedVersion) { w.wanted.Put(wantedKey, versions) }
 
 // Open implements port.Weights.
 func (w *Weights) Open(v fleet.Version) (io.Reader, int64, bool) {
@@ -70,11 +70,11 @@
 
 // Progress implements port.Weights.
 func (w *Weights) Progress() port.Progress {
-	ts := w.WantedVersions()
-	if len(ts) == 0 {
+	versions := w.WantedVersions()
+	if len(versions) == 0 {
 		return port.Progress{}
 	}
-	p := port.Progress{Target: ts[0].Version, State: "fetching"}
+	p := port.Progress{Target: versions[0].Version, State: "fetching"}
 	if _, _, ok := w.Open(p.Target); ok {
 		p.State = "complete"
 	}
--- a/internal/port/process.go
+++ b/internal/port/process.go
@@ -36,8 +36,8 @@
 }
 
 // Load is the exact load of a target at the time of the message: the requests in
-// progress, their limit, and the bytes held in memory for them. It
-// is part of AgentStatus.
+// progress, their limit, and the bytes held in memory for them. It is part of
+// AgentStatus.
 type Load struct {
 	InFlight  int
 	Limit     int
--- a/internal/port/store.go
+++ b/internal/port/store.go
@@ -94,8 +94,8 @@
 	Changes []feed.Change
 	// At is the revision to pass as FeedRequest.After in the next request.
 	At int64
-	// Age is the time since the store confirmed operator keys that are no newer
-	// than those in the reply, as of some moment between request and reply.
+	// Age is the time since the store last confirmed operator keys: those in the
+	// reply are at least as new. It is measured between request and reply.
 	Age time.Duration
 }
 
@@ -116,7 +116,7 @@
 	Feed(ctx context.Context, r FeedRequest) (FeedReply, error)
 }
 
-// Prefixes are the prefixes of the store's keys.
+// Prefixes lists the prefixes under which the keys of each kind are stored.
 type Prefixes struct {
 	// Operator is the prefix of the keys that operators write.
 	Operator string
