--- a/internal/app/ctl/session.go
+++ b/internal/app/ctl/session.go
@@ -76,9 +76,9 @@
 	fmt.Fprintf(s.Err, "warning: "+format+"\n", args...)
 }
 
-// readFiles reads the files named by the arguments. A directory stands for its .ini
+// files reads the files named by the arguments. A directory stands for its .ini
 // files.
-func (s *session) readFiles() ([]inifile.File, error) {
+func (s *session) files() ([]inifile.File, error) {
 	args := s.c.Args().Slice()
 	if len(args) == 0 {
 		return nil, exitErrorf(ExitUsage, "a directory or file is required")
@@ -107,7 +107,7 @@
 // parseFiles reads and parses the files named by the arguments. It returns their
 // joined text and the declaration, or prints the faults and returns an error.
 func (s *session) parseFiles() (string, *declare.Declaration, error) {
-	files, err := s.readFiles()
+	files, err := s.files()
 	if err != nil {
 		return "", nil, err
 	}
