--- a/internal/app/feed/feed_test.go
+++ b/internal/app/feed/feed_test.go
@@ -181,7 +181,7 @@
 }
 
 // TestMutualFollowers guards against two processes that follow each other and miss
-// changes, because each takes the other for the first gateway of the domain.
+// changes, because each takes the other for a reader of the store.
 func TestMutualFollowers(t *testing.T) {
 	tn := newTestNetwork(t)
 	x, y := tn.add("x", "y"), tn.add("y", "x")
@@ -262,7 +262,7 @@
 }
 
 // TestMaxStoreWait guards against a whole domain that misses changes for as long as
-// its reader waits on a connection that went silent.
+// its reader waits on a dead connection.
 func TestMaxStoreWait(t *testing.T) {
 	w := &porttest.WaitRecorder{}
 	s := NewSource(w, nil, sysclock.Clock{}, logging.New(io.Discard, "x", "1"), func() []core.Member { return nil },
--- a/internal/app/feed/source.go
+++ b/internal/app/feed/source.go
@@ -41,7 +41,7 @@
 	Wait time.Duration
 	// MaxStoreWait bounds the wait for changes at the store, unless it is zero. It is
 	// the time after which this process and its followers notice that the connection
-	// to the store went silent.
+	// to the store is dead.
 	MaxStoreWait time.Duration
 	// PreferReaders is set for a prefix that is large and not urgent: while there are
 	// readers, the store is read only after all of them failed for preferReadersTime.
--- a/internal/app/gateway/follow.go
+++ b/internal/app/gateway/follow.go
@@ -71,9 +71,9 @@
 // processes adopt the confirmations of this one, and they must not adopt a confirmation
 // before they can read the changes that it covers.
 func (g *Gateway) publishThenApply(f *follow.Follower, apply func(follow.Event)) func(follow.Event) {
-	publish, markSeen := g.feedServer.AddPrefix(f.Prefix, func() bool { return !g.closing.Load() && g.source.FromStore(f.Prefix) })
+	publish, advance := g.feedServer.AddPrefix(f.Prefix, func() bool { return !g.closing.Load() && g.source.FromStore(f.Prefix) })
 	f.OnRevision = func(at int64) {
-		markSeen(at)
+		advance(at)
 		if f == g.operatorFollower {
 			g.adoptReaderConfirmation()
 		}
--- a/internal/app/gateway/stall.go
+++ b/internal/app/gateway/stall.go
@@ -56,7 +56,7 @@
 const stallRecheckDelay = 200 * time.Millisecond
 
 // expire cancels the attempt if another target has room for the request. Otherwise it
-// checks again later: the silent target may still respond, and a retry could not succeed.
+// checks again later: the target may still respond, and a retry could not succeed.
 func (s *stallWatch) expire(g *Gateway, q placement.Query) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/app/loader/loader.go
+++ b/internal/app/loader/loader.go
@@ -95,11 +95,11 @@
 	// shows from which gateways the configuration can be read.
 	membersListTimeout = time.Second
 	// feedWaitWeights bounds the time until the loader notices that the gateway from
-	// which it reads declarations is silent. Declared weights have to be in use within
+	// which it reads declarations no longer responds. Declared weights have to be in use within
 	// 8 s.
 	feedWaitWeights = time.Second
 	// storeWaitWeights bounds the wait for declared weights at the store, because the
-	// connection may have gone silent. Loaders read the store only while no gateway of
+	// connection may be dead. Loaders read the store only while no gateway of
 	// their domain is known or serves them.
 	storeWaitWeights = 2 * time.Second
 	// storeWaitMembers is the same for the registered processes.
--- a/internal/app/loader/loader_test.go
+++ b/internal/app/loader/loader_test.go
@@ -317,7 +317,7 @@
 }
 
 // TestWeightsStoreWaitIsBounded guards against a loader that misses declared weights
-// for too long because its connection to the store went silent. Declared weights have
+// for too long because its connection to the store is dead. Declared weights have
 // to be in use within 8 s.
 func TestWeightsStoreWaitIsBounded(t *testing.T) {
 	l := newLoader(newEngine(1), &fakeOrigin{})
