--- a/internal/app/entry/attempt.go
+++ b/internal/app/entry/attempt.go
@@ -10,10 +10,10 @@
 )
 
 // tryTargets sends the request to one target after another until one answers or
-// no further retry is allowed. A refusal for lack of room does not count as a
-// retry: the request keeps its permit and waits for room until its deadline,
-// because the permit means that there is room for it and only the entry's view of
-// the targets lags behind. tryTargets adds the targets that it used to tried.
+// no further retry is allowed. A refusal by a full target does not count as a
+// retry: the request keeps its permit and waits for a free slot until its
+// deadline, because the permit means that there is one and only the entry's view
+// of the targets lags behind. tryTargets adds the targets that it used to tried.
 func (e *Entry) tryTargets(
 	ctx context.Context, r *port.ServeRequest, pc *poolConfig, tried map[fleet.VM]bool,
 ) (*targetAnswer, error) {
@@ -84,7 +84,7 @@
 // It waits for the first piece of the answer, because a failure before that piece
 // can still be retried. All attempts carry the caller's request id, which the
 // engine repeats in its answer. Each attempt has its own stream, and no target
-// gets a second attempt unless it refused the first one for lack of room.
+// gets a second attempt unless it refused the first one because it was full.
 func (e *Entry) tryTarget(ctx context.Context, r *port.ServeRequest, c routing.Choice) (*targetAnswer, error) {
 	req := *r
 	req.Revision, req.FromDomain = e.revision(), e.Domain
--- a/internal/app/entry/choose.go
+++ b/internal/app/entry/choose.go
@@ -27,7 +27,7 @@
 // it, and waits while all targets are full. If no target accepts work, only the
 // first attempt waits for one; later attempts fail at once, because the error of
 // the previous attempt is more useful to the caller. fullRefusals is the number
-// of refusals for lack of room that the request has received.
+// of refusals by full targets that the request has received.
 func (e *Entry) reserveTarget(
 	ctx context.Context, r *port.ServeRequest, pc *poolConfig, tried map[fleet.VM]bool, fullRefusals int,
 ) (routing.Choice, error) {
--- a/internal/app/gateway/attempt.go
+++ b/internal/app/gateway/attempt.go
@@ -167,7 +167,7 @@
 }
 
 // recordLoad records the load stated in the response of a plain service. Engines are left
-// out: the loaders beside them report their load more often than responses do.
+// out: their loaders report the load more often than responses do.
 func (c *call) recordLoad(choice placement.Choice, l *port.TargetLoad) {
 	if c.service.Engine == nil {
 		load := placement.Load{Running: l.Running, Waiting: l.Waiting, Slots: l.Slots}
--- a/internal/app/gateway/follow.go
+++ b/internal/app/gateway/follow.go
@@ -169,8 +169,9 @@
 }
 
 // handleConflict updates the view after the store found other revisions of the operator
-// keys. The conflict contains the current items, so that the prefix is listed again only
-// if they do not cover it: a configuration has some hundred kilobytes.
+// keys. The conflict contains current items. Only if these do not account for it is the
+// prefix listed again, since a listing transfers a configuration of some hundred
+// kilobytes.
 func (g *Gateway) handleConflict(expect []port.Precondition, err error) {
 	var c *port.ConflictError
 	known := 0
--- a/internal/app/gateway/stall.go
+++ b/internal/app/gateway/stall.go
@@ -51,11 +51,11 @@
 	return ctx, s
 }
 
-// stallRecheckDelay is the time until the next check after no other target had room
+// stallRecheckDelay is the time until the next check after no other target had capacity
 // for the request of a stalled attempt.
 const stallRecheckDelay = 200 * time.Millisecond
 
-// expire cancels the attempt if another target has room for the request. Otherwise it
+// expire cancels the attempt if another target has capacity for the request. Otherwise it
 // checks again later: the target may still respond, and a retry could not succeed.
 func (s *stallWatch) expire(g *Gateway, q placement.Query) {
 	s.mu.Lock()
--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -77,8 +77,8 @@
 // processes returns the number of gateways that send requests to the same targets.
 func (v *view) processes() float64 { return float64(max(1, v.gatewayCount.Load())) }
 
-// expectedRevisions returns the revisions of the operator keys in this view. It includes
-// the cordon key of each domain that is not cordoned, as absent.
+// expectedRevisions returns the revisions of the operator keys in this view. The
+// cordon key of a domain that is not cordoned has revision 0, which means absent.
 func (v *view) expectedRevisions(cordonKey func(fleet.Domain) string) []port.Precondition {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -96,7 +96,7 @@
 
 // coversConflict reports whether newer items in current account for all differences from
 // expect, so that no listing is needed. It returns false if an expected key is missing
-// from current, since removals are found by a listing, and if there is no difference.
+// from current, since only a listing shows removals, or if there is no difference.
 func (v *view) coversConflict(expect []port.Precondition, current []port.StoreItem) bool {
 	newest := map[string]int64{}
 	for _, it := range current {
--- a/internal/app/ledger/ledger.go
+++ b/internal/app/ledger/ledger.go
@@ -67,8 +67,8 @@
 	answers      *core.ResponseCache[cachedAnswer]
 	writeLimiter *core.WriteLimiter
 	leases       *leases
-	// waiters holds a channel with room for one value per waiting attempt, which
-	// receives the decision on it.
+	// waiters holds a channel per waiting attempt, which buffers one value and
+	// receives the decision on the attempt.
 	waiters *shard.Map[core.Attempt, chan core.Decision]
 
 	ctx    context.Context
--- a/internal/app/loader/converge.go
+++ b/internal/app/loader/converge.go
@@ -245,9 +245,9 @@
 	}
 	o := port.StagedLoadOrder{ModelWeights: v.ModelWeights, ExpectOrderCount: r.OrderCount}
 	if g.fenced {
-		// Only this process gives orders to its engine. The engine's order count rises
-		// until the engine restarts, when it also forgets the fencing numbers that it
-		// has seen.
+		// The order count serves as the fencing number: only this process orders its
+		// engine, and the count rises until the engine restarts, when the engine also
+		// forgets the fencing numbers that it has seen.
 		o.Fence = r.OrderCount + 1
 	}
 	if err := l.deps.Engine.LoadStaged(ctx, o); err != nil {
--- a/internal/app/loader/settings.go
+++ b/internal/app/loader/settings.go
@@ -27,7 +27,7 @@
 	Memory int64
 }
 
-// storedMember returns the entry of this loader in the store.
+// storedMember returns the record under which this loader registers in the store.
 func (c *Settings) storedMember() port.StoredMember {
 	return port.StoredMember{
 		ID: c.ID, Kind: fleet.KindAgent.String(), Domain: c.Domain, Region: c.Regions[c.Domain],
--- a/internal/app/weights/version.go
+++ b/internal/app/weights/version.go
@@ -26,7 +26,7 @@
 	// corrupted chunk are asked again.
 	lastResortAfter = 250 * time.Millisecond
 	// recheckInterval bounds the time until dispatch notices without a wake-up that
-	// a peer is no longer avoided, or has gone quiet.
+	// a peer is no longer avoided, or has become unreachable.
 	recheckInterval = 50 * time.Millisecond
 	// replanDelay batches changes of the directory into one new plan.
 	replanDelay = 100 * time.Millisecond
