--- a/internal/core/ledger/model_test.go
+++ b/internal/core/ledger/model_test.go
@@ -112,7 +112,7 @@
 func (m *model) applyOutcomes(p *process, out []Outcome) {
 	for _, o := range out {
 		if _, waits := p.waiting[o.Attempt]; !waits {
-			m.t.Fatalf("attempt %x is decided twice or after its caller left", o.Attempt[0])
+			m.t.Fatalf("attempt %x is decided twice or after its caller disconnected", o.Attempt[0])
 		}
 		m.applyDecision(p, o.Attempt, o.Decision)
 	}
@@ -257,7 +257,7 @@
 
 // TestAtMostOnce guards against two runs of one key and against a wrong final
 // decision. Reads may be stale, replies may be lost, writes may take effect
-// late, callers may leave, and processes may start while older ones still run.
+// late, callers may disconnect, and processes may start while older ones still run.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
--- a/internal/core/ledger/table_test.go
+++ b/internal/core/ledger/table_test.go
@@ -154,9 +154,9 @@
 	}
 	f.table.Cancel(f.key, attempt)
 	_, d := f.newProcess().submitAndWork(writeSucceeds, true)
-	f.checkDecision("repeat through another process", d, MayHaveRun)
+	f.checkDecision("retry through another process", d, MayHaveRun)
 	_, d = f.submitAndWork(writeSucceeds, true)
-	f.checkDecision("repeat through the same process", d, Run)
+	f.checkDecision("retry through the same process", d, Run)
 }
 
 // TestNotRunFreesKey guards against a key that stays blocked, in this process
@@ -165,17 +165,17 @@
 	f := newFixture(t)
 	a, d := f.submitAndWork(writeSucceeds, true)
 	f.checkDecision("first attempt", d, Run)
-	f.table.Cancel(f.key, a)         // the caller left before it was told that the call may run
+	f.table.Cancel(f.key, a)         // the caller disconnected before it was told that the call may run
 	f.runWorker(writeSucceeds, true) // writes the Aborted record
 	if f.table.DirtyDocuments() != 0 {
 		t.Error("the Aborted record was not written")
 	}
 	other := f.newProcess()
 	a, d = other.submitAndWork(writeSucceeds, true)
-	f.checkDecision("repeat through another process", d, Run)
+	f.checkDecision("retry through another process", d, Run)
 	other.table.Finish(f.key, a, Aborted)
 	_, d = other.submitAndWork(writeSucceeds, true)
-	f.checkDecision("repeat through the same process", d, Run)
+	f.checkDecision("retry through the same process", d, Run)
 }
 
 // TestCanceledWriteFreesKey guards against a retry that gets "may have
@@ -189,9 +189,9 @@
 		records, _, _, _ := f.table.PrepareWrite(f.key.Document(), f.now)
 		f.table.Cancel(f.key, canceled)
 		_, d := f.submit()
-		f.checkDecision(name+": repeat while the write is in flight", d, Queued)
+		f.checkDecision(name+": retry while the write is in flight", d, Queued)
 		end(f, records)
-		f.checkDecision(name+": repeat after the write", f.runWorker(writeSucceeds, true), Run)
+		f.checkDecision(name+": retry after the write", f.runWorker(writeSucceeds, true), Run)
 	}
 }
 
