--- a/internal/core/rollout/gate.go
+++ b/internal/core/rollout/gate.go
@@ -47,8 +47,8 @@
 // lease detects that the lease has lapsed. An OrderGate is not safe for concurrent
 // use.
 type OrderGate struct {
-	// lapsedAt is the time at which every lease of this VM has lapsed, both this
-	// agent's own and any lease of another agent that this one does not know of.
+	// lapsedAt is the time from which every lease of this VM has lapsed: this agent's
+	// own, and any that another agent may have acquired without this one's knowledge.
 	lapsedAt   time.Time
 	leaseUntil time.Time
 	// leaseFence is the fencing number of the lease.
@@ -133,11 +133,11 @@
 }
 
 // superseded reports whether the engine received an order of another agent after
-// this agent's last one. This agent then sends no order without the platform.
+// this agent's last one. This agent then sends no order without a lease.
 func (g *OrderGate) superseded() bool { return g.lastFence > 0 && g.engineFence > g.lastFence }
 
 // nextFence returns the fencing number of an order under a valid lease: the lease's
-// revision, unless orders without the platform have raised the engine's number above
+// revision, unless orders without a lease have raised the engine's number above
 // it. Then it is one more than the engine's, which is safe, since only the holder of
 // the lease sends orders.
 func (g *OrderGate) nextFence() int64 {
--- a/internal/core/rollout/rollout_test.go
+++ b/internal/core/rollout/rollout_test.go
@@ -21,7 +21,7 @@
 	overlap  declare.Overlap
 	complete map[fleet.Version]bool
 	loaded   []fleet.Version
-	busy     map[fleet.Version]int
+	pinned   map[fleet.Version]int
 	order    Action
 	plan     Plan
 }
@@ -34,7 +34,7 @@
 		held = append(held, v)
 	}
 	es := []Event{Assigned(h.target, h.overlap, "v1", "v2", "v3"), VersionsComplete(held), EngineReported(h.loaded)}
-	for v, n := range h.busy {
+	for v, n := range h.pinned {
 		es = append(es, RequestsPinned(v, n))
 	}
 	old := h.plan
@@ -61,7 +61,7 @@
 			h.t.Fatalf("order to load %s although %v are loaded", next.Ref.Version, h.loaded)
 		}
 	case Unload:
-		if v := next.Ref.Version; h.busy[v] > 0 || v == s {
+		if v := next.Ref.Version; h.pinned[v] > 0 || v == s {
 			h.t.Fatalf("order to unload %s, which is in use", v)
 		}
 	}
@@ -101,11 +101,11 @@
 // setRequests sets the number of requests on the version being served to n, and on
 // all others to zero.
 func (h *harness) setRequests(n int) {
-	for v := range h.busy {
-		h.busy[v] = 0
+	for v := range h.pinned {
+		h.pinned[v] = 0
 	}
 	if s := h.plan.Serving.Version; s != "" {
-		h.busy[s] = n
+		h.pinned[s] = n
 	}
 	h.applyEvents()
 }
@@ -115,7 +115,7 @@
 // in the engine, an interruption of service, and a rollout that never completes.
 func TestStateMachineInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h := &harness{t: t, table: NewTable(), complete: map[fleet.Version]bool{}, busy: map[fleet.Version]int{}}
+		h := &harness{t: t, table: NewTable(), complete: map[fleet.Version]bool{}, pinned: map[fleet.Version]int{}}
 		h.overlap = rapid.SampledFrom([]declare.Overlap{declare.KeepOld, declare.DrainFirst}).Draw(t, "overlap")
 		retarget := func(t *rapid.T) {
 			h.target = Ref{"m", fleet.Version(fmt.Sprint("v", rapid.IntRange(1, 3).Draw(t, "v")))}
