--- a/internal/core/chain/table.go
+++ b/internal/core/chain/table.go
@@ -101,7 +101,7 @@
 	return t
 }
 
-// originSpacing is the interval between fetches from the origin, as a share of the
+// originSpacing is the interval between fetches from the origin, as a fraction of the
 // transfer time of a chunk. It is below one so that the link is never idle.
 const originSpacing = 0.85
 
--- a/internal/core/loadschedule/loadschedule.go
+++ b/internal/core/loadschedule/loadschedule.go
@@ -6,15 +6,15 @@
 import "time"
 
 const (
-	// firstChangeShare is the share of the bound after which the first engine
+	// firstChangeFraction is the fraction of the bound after which the first engine
 	// changes. Until then the weights are being transferred and hardly any engine
 	// has them.
-	firstChangeShare = 0.35
-	// lastChangeShare is the share of the bound after which the last engine is
+	firstChangeFraction = 0.35
+	// lastChangeFraction is the fraction of the bound after which the last engine is
 	// ordered to change. An engine starts no request on the old weights once it has
 	// the order, and gateways send no request to old weights in the last seventh of
 	// the bound.
-	lastChangeShare = 0.8
+	lastChangeFraction = 0.8
 )
 
 // ChangeTime returns the earliest time at which the engine with the given rank
@@ -25,7 +25,7 @@
 	if count <= 1 {
 		return declared
 	}
-	first := time.Duration(firstChangeShare * float64(bound))
-	last := time.Duration(lastChangeShare * float64(bound))
+	first := time.Duration(firstChangeFraction * float64(bound))
+	last := time.Duration(lastChangeFraction * float64(bound))
 	return declared.Add(first + (last-first)*time.Duration(rank)/time.Duration(count-1))
 }
