--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -79,8 +79,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewRetryBudget()
 		first, retries := 0, 0
-		for _, earn := range rapid.SliceOf(rapid.Bool()).Draw(t, "earn") {
-			if earn {
+		for _, deposit := range rapid.SliceOf(rapid.Bool()).Draw(t, "earn") {
+			if deposit {
 				b.Deposit(pool)
 				first++
 			} else if b.TryWithdraw(pool) {
--- a/internal/core/shard/shard.go
+++ b/internal/core/shard/shard.go
@@ -1,6 +1,6 @@
 // Package shard provides a map whose entries are spread over shards, each with
-// its own lock. It is the only container for state that several goroutines
-// share.
+// its own lock. It is the usual container for keyed state that several
+// goroutines share.
 //
 // No method holds the locks of two shards at once. Callbacks run under the lock
 // of one shard, so they must not block, do I/O, or call methods of the same
--- a/internal/core/spread/quota.go
+++ b/internal/core/spread/quota.go
@@ -27,8 +27,7 @@
 	backoff      time.Duration
 	retryAt      time.Time
 	averageFetch time.Duration
-	// extendedAt is the time of the last extension.
-	extendedAt time.Time
+	extendedAt   time.Time
 }
 
 // Set sets the quota in bytes. Only the first call has an effect.
--- a/internal/core/spread/table.go
+++ b/internal/core/spread/table.go
@@ -67,7 +67,7 @@
 
 // peer is the state of a watched peer.
 type peer struct {
-	slot         int
+	slot         int // bit in masks and index in arrays of peers
 	local        bool
 	backup       bool
 	fetches      int
