--- a/internal/app/loader/loader.go
+++ b/internal/app/loader/loader.go
@@ -92,14 +92,14 @@
 	// learns all others from its first read.
 	membersBatchDelay = 5 * time.Second
 	// membersListTimeout bounds the wait at the start for the list of processes, which
-	// tells from which gateways the configuration can be read.
+	// shows from which gateways the configuration can be read.
 	membersListTimeout = time.Second
 	// feedWaitWeights bounds the time until the loader notices that the gateway from
-	// which it reads declarations is silent. Declared weights have to be in use within
+	// which it reads declarations no longer responds. Declared weights have to be in use within
 	// 8 s.
 	feedWaitWeights = time.Second
 	// storeWaitWeights bounds the wait for declared weights at the store, because the
-	// connection may have gone silent. Loaders read the store only while no gateway of
+	// connection may be dead. Loaders read the store only while no gateway of
 	// their domain is known or serves them.
 	storeWaitWeights = 2 * time.Second
 	// storeWaitMembers is the same for the registered processes.
@@ -146,8 +146,8 @@
 	wg.Go(func() { l.reportLoad(ctx, sender) })
 	wg.Go(func() { l.fetchDeclared(ctx) })
 	wg.Go(func() { l.converge(ctx) })
-	e := registration.Registrar{Store: l.deps.Store, Prefix: ps.Members, Self: l.settings.storedMember(), Clock: l.deps.Clock, Log: l.deps.Log}
-	wg.Go(func() { e.Run(ctx) })
+	registrar := registration.Registrar{Store: l.deps.Store, Prefix: ps.Members, Self: l.settings.storedMember(), Clock: l.deps.Clock, Log: l.deps.Log}
+	wg.Go(func() { registrar.Run(ctx) })
 	return nil
 }
 
