--- a/internal/app/agent/identity_test.go
+++ b/internal/app/agent/identity_test.go
@@ -107,7 +107,7 @@
 	askedAt := w.deps.Clock.Now()
 	status, _ := e.Engine.Status(t.Context())
 	w.admissions.ObserveEngine(w.targetKey, newObservation(status, askedAt), askedAt)
-	w.warm()
+	w.reachFullLimit()
 	var wg conc.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
 	wg.Go(func() { w.runIdentityQueries(ctx) })
@@ -115,7 +115,7 @@
 	return w
 }
 
-func (w warmAgent) warm() {
+func (w warmAgent) reachFullLimit() {
 	w.Helper()
 	for range 16 {
 		w.admitRequests(1)()
--- a/internal/app/agent/service_test.go
+++ b/internal/app/agent/service_test.go
@@ -26,7 +26,7 @@
 				svc := porttest.NewService()
 				svc.Respond = func(_ context.Context, r port.ServiceRequest) (port.Answer, error) { return respond(r) }
 				w := newWarmAgent(t, Deps{Service: svc}, "service")
-				w.warm()
+				w.reachFullLimit()
 				r := port.ServeRequest{ID: "r", Service: "s", Call: call, Customer: "c", IdempotencyKey: "k", Timeout: time.Second}
 				wantError(t, w.Serve(context.Background(), r, &discardSink{}), verdict.MayHaveRun, verdict.CodeTargetLost)
 				w.wantLimit(testLimits.ColdRequests)
