--- a/internal/core/chain/chain_test.go
+++ b/internal/core/chain/chain_test.go
@@ -130,11 +130,11 @@
 	for range 400 {
 		f, ok := tab.Next(fullCapacity, now)
 		if ok {
-			out := Pending
+			outcome := Pending
 			if f.Origin {
-				out = Got
+				outcome = Got
 			}
-			tab.Done(f, out, now)
+			tab.Done(f, outcome, now)
 		}
 		now = now.Add(20 * time.Millisecond)
 	}
@@ -239,13 +239,13 @@
 					originFetches = append(originFetches, &originFetch{tab, f, 1})
 					continue
 				}
-				out := Pending
+				outcome := Pending
 				if f.AnnounceOnly || !sent[f.From.VM] {
-					out = respond(tables[f.From.VM], f)
+					outcome = respond(tables[f.From.VM], f)
 				}
-				sent[f.From.VM] = sent[f.From.VM] || out == Got
-				tab.Done(f, out, now)
-				if out == Got {
+				sent[f.From.VM] = sent[f.From.VM] || outcome == Got
+				tab.Done(f, outcome, now)
+				if outcome == Got {
 					break
 				}
 			}
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func genRecords(t *rapid.T, label string) Records {
+func drawRecords(t *rapid.T, label string) Records {
 	return rapid.MapOf(
 		rapid.Custom(func(t *rapid.T) KeyHash { return KeyHash{rapid.Byte().Draw(t, "k") % 8} }),
 		rapid.Custom(func(t *rapid.T) Record {
@@ -79,7 +79,7 @@
 // attempt.
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		known, fetched := genRecords(t, "known"), genRecords(t, "fetched")
+		known, fetched := drawRecords(t, "known"), drawRecords(t, "fetched")
 		merged := Merge(known, fetched)
 		for k, r := range known {
 			f, both := fetched[k]
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -286,8 +286,8 @@
 	tb.Merge(Record[string]{ID: "m", Domain: "a", Incarnation: 5, State: Dead}, 0, t0)
 	g := Gossip[string]{Table: tb, Budget: NewBudget(800, t0), RecordSize: one}
 	now := t0.Add(2 * sendPeriod)
-	answer, _ := m.Reply(g.FirstMessage("m", now), now)
-	g.MergeMessage(answer, now)
+	reply, _ := m.Reply(g.FirstMessage("m", now), now)
+	g.MergeMessage(reply, now)
 	if s := stateOf(tb, "m", now); s != Alive {
 		t.Errorf("after the reply: %v, want alive", s)
 	}
--- a/internal/core/membership/simulation_test.go
+++ b/internal/core/membership/simulation_test.go
@@ -93,12 +93,12 @@
 		n.bytes, to.bytes = n.bytes+b, to.bytes+b
 	}
 	count(m)
-	a, result := to.Reply(m, s.now)
+	reply, result := to.Reply(m, s.now)
 	to.sendNow = to.sendNow || result.StateChanged || result.Refuted
-	count(a)
-	result = n.MergeMessage(a, s.now)
+	count(reply)
+	result = n.MergeMessage(reply, s.now)
 	n.sendNow = n.sendNow || result.StateChanged || result.Refuted
-	return a
+	return reply
 }
 
 // exchange runs an exchange in the way the application does.
@@ -109,11 +109,11 @@
 		return
 	}
 	for range 4 {
-		a := s.call(n, to, n.FirstMessage(id, s.now))
-		for m, ok := n.NextMessage(a, s.now); ok && compare; m, ok = n.NextMessage(a, s.now) {
-			a = s.call(n, to, m)
+		reply := s.call(n, to, n.FirstMessage(id, s.now))
+		for m, ok := n.NextMessage(reply, s.now); ok && compare; m, ok = n.NextMessage(reply, s.now) {
+			reply = s.call(n, to, m)
 		}
-		if !compare || a.Digest == n.Table.Digest() || !n.Budget.HalfFull(s.now) {
+		if !compare || reply.Digest == n.Table.Digest() || !n.Budget.HalfFull(s.now) {
 			return
 		}
 	}
--- a/internal/core/verdict/verdict_test.go
+++ b/internal/core/verdict/verdict_test.go
@@ -23,7 +23,7 @@
 	err := errors.Wrap(New(NotRun, CodeTargetFull, "10 of 10 requests"), "opening stream")
 	e := FromError(err)
 	if e.Verdict != NotRun || e.Code != CodeTargetFull {
-		t.Fatalf("Of = %v %v, want not-run target_full", e.Verdict, e.Code)
+		t.Fatalf("FromError = %v %v, want not-run target_full", e.Verdict, e.Code)
 	}
 	for _, v := range []Verdict{NotRun, MayHaveRun, Ran} {
 		if Parse(v.String()) != v {
