--- a/internal/core/admission/identity_test.go
+++ b/internal/core/admission/identity_test.go
@@ -40,7 +40,7 @@
 }
 
 // TestIdentityConfirmation guards against a request above the cold limit that starts
-// on the strength of an identity reported before the request arrived, and against
+// although the engine last reported its identity before the request arrived, and against
 // unnecessary queries.
 func TestIdentityConfirmation(t *testing.T) {
 	table := newReadyTable(declare.Limits{MaxRequests: 8, ColdRequests: 2})
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestRestartResetsLoad guards against load from before a restart of an instance,
-// and against an address that still resolves to the instance it belonged to before.
+// TestRestartResetsLoad guards against a load that is kept after a restart of an
+// instance, and against an address that still resolves to the instance it belonged to before.
 func TestRestartResetsLoad(t *testing.T) {
 	table := NewTable()
 	table.Set(engine("x", 2))
