--- a/internal/app/agent/harness_test.go
+++ b/internal/app/agent/harness_test.go
@@ -35,9 +35,9 @@
 }
 
 type directoryState struct {
-	declaration *declare.Declaration
-	self        port.MemberRecord
-	writes      int
+	d      *declare.Declaration
+	self   port.MemberRecord
+	writes int
 }
 
 func newFakeDirectory() *fakeDirectory {
@@ -54,12 +54,12 @@
 }
 
 func (d *fakeDirectory) setDeclaration(dec *declare.Declaration) {
-	d.update(func(s *directoryState) { s.declaration = dec })
+	d.update(func(s *directoryState) { s.d = dec })
 	signal(d.changed)
 }
 
 func (d *fakeDirectory) Declaration() (*declare.Declaration, time.Duration) {
-	return d.get().declaration, 0
+	return d.get().d, 0
 }
 func (d *fakeDirectory) Members(fleet.Kind) []port.MemberRecord { return nil }
 func (d *fakeDirectory) Subscribe() (<-chan struct{}, func())   { return d.changed, func() {} }
