--- a/internal/app/loader/converge.go
+++ b/internal/app/loader/converge.go
@@ -245,7 +245,7 @@
 	}
 	o := port.StagedLoadOrder{ModelWeights: v.ModelWeights, ExpectOrderCount: r.OrderCount}
 	if g.fenced {
-		// The order count serves as the fencing number: only this process orders its
+		// The next order count serves as the fencing number: only this process orders its
 		// engine, and the count rises until the engine restarts, when the engine also
 		// forgets the fencing numbers that it has seen.
 		o.Fence = r.OrderCount + 1
