--- a/cmd/masticwing-gateway/main.go
+++ b/cmd/masticwing-gateway/main.go
@@ -50,7 +50,7 @@
 	peers := rpc.NewClient()
 	defer peers.Close()
 	g := gateway.New(set, gateway.Deps{
-		Store: platform.NewStoreWithMetrics(set.Platform, env.Metrics), Feed: peers, Facts: platform.Decoder{},
+		Store: platform.NewStoreWithMetrics(set.Platform, env.Metrics), Feed: peers, Decoder: platform.Decoder{},
 		Targets: platform.NewTargetClient(func() { env.Metrics.Count("target_connections_total", 1) }),
 		Clock:   sysclock.Clock{}, Rand: sysclock.Rand{}, Metrics: env.Metrics, Log: env.Log,
 	})
--- a/internal/app/gateway/follow.go
+++ b/internal/app/gateway/follow.go
@@ -155,7 +155,7 @@
 // confirmView checks the revisions of the operator keys with a commit without writes. It
 // returns the pause before the next check.
 func (g *Gateway) confirmView(ctx context.Context) time.Duration {
-	expect := g.view.expectedRevisions(g.deps.Facts.CordonKey)
+	expect := g.view.expectedRevisions(g.deps.Decoder.CordonKey)
 	at := g.deps.Clock.SinceBoot()
 	err := g.deps.Store.Commit(ctx, expect, nil)
 	switch {
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -26,7 +26,7 @@
 type Deps struct {
 	Store   port.Store
 	Feed    port.FeedClient
-	Facts   port.ItemDecoder
+	Decoder port.ItemDecoder
 	Targets port.Forwarder
 	Clock   feed.Clock
 	Rand    port.Rand
@@ -69,7 +69,7 @@
 		budgets: placement.NewRetryBudgets(s.RetryRatio, s.RetrySlack, s.RetryWindow, d.Clock.Now()),
 		active:  inflight.New(),
 	}
-	ps := d.Facts.Prefixes()
+	ps := d.Decoder.Prefixes()
 	readers := func() []core.Member { return *g.view.readers.Load() }
 	g.source = feed.NewSource(d.Store, d.Feed, d.Clock, d.Log, readers, map[string]feed.PrefixOptions{
 		ps.Operator: {Wait: feedWaitOperator, MaxStoreWait: storeWaitOperator},
@@ -95,7 +95,7 @@
 	defer wg.Wait()
 	g.openNoticeSender()
 	wg.Go(func() { g.serveFeed(ctx) })
-	ps := g.deps.Facts.Prefixes()
+	ps := g.deps.Decoder.Prefixes()
 	targets, members := g.newFollower(ps.Targets, targetBatchDelay), g.newFollower(ps.Members, memberBatchDelay)
 	applyTargets, applyMembers := g.publishThenApply(targets, g.view.applyTargets), g.publishThenApply(members, g.view.applyMembers)
 	wg.Go(func() { g.operatorFollower.Run(ctx, g.applyOperatorKeys) })
--- a/internal/app/gateway/harness_test.go
+++ b/internal/app/gateway/harness_test.go
@@ -165,7 +165,7 @@
 		WeightsBound: 8 * time.Second, RetryRatio: 0.2, RetrySlack: 100, RetryWindow: 10 * time.Second,
 	}
 	gw.Gateway = New(s, Deps{
-		Facts: gw.decodedItems, Targets: gw.forwarder, Clock: gw.clock, Rand: sysclock.Rand{}, Metrics: noMetrics{},
+		Decoder: gw.decodedItems, Targets: gw.forwarder, Clock: gw.clock, Rand: sysclock.Rand{}, Metrics: noMetrics{},
 		Log: logging.New(gw.log, "masticwing-gateway", "g"),
 	})
 	gw.operatorFollower = follow.New(nil, "op/", time.Second, func() time.Duration { return time.Millisecond }, gw.clock, gw.deps.Log)
--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -63,7 +63,7 @@
 
 func newView(s Settings, d Deps, t *placement.Table) *view {
 	v := &view{
-		self: s.storedMember(), decoder: d.Facts, targets: t, regions: s.Regions, clock: d.Clock, log: d.Log,
+		self: s.storedMember(), decoder: d.Decoder, targets: t, regions: s.Regions, clock: d.Clock, log: d.Log,
 		operatorRevisions: map[string]int64{}, members: registration.Members{}, instanceByKey: map[string]fleet.Instance{},
 	}
 	v.otherGateways.Store(&[]netip.AddrPort{})
